--- a/bench/ledger_bench.cpp
+++ b/bench/ledger_bench.cpp
@@ -35,7 +35,7 @@
   std::int64_t now = 0;
   for (auto _ : state) {
     const auto& group = setup.groups[static_cast<std::size_t>(now) % setup.groups.size()];
-    Ticket t = accounts.Begin(Micros(++now), group.name, 1);
+    UsageHandle t = accounts.Begin(Micros(++now), group.name, 1);
     accounts.End(Micros(++now), t);
   }
 }
@@ -114,8 +114,8 @@
     std::int64_t now = 0;
     std::uint64_t number = 0;
     for (int k = 0; k < 1'000'000; ++k) {
-      Ticket t = accounts.Begin(Micros(now), setup.groups[static_cast<std::size_t>(k % 20)].name,
-                                static_cast<std::size_t>(k % 3));
+      UsageHandle t = accounts.Begin(Micros(now), setup.groups[static_cast<std::size_t>(k % 20)].name,
+                                     static_cast<std::size_t>(k % 3));
       now += 86'400;
       accounts.End(Micros(now), t);
       if (k % 58 != 0) continue;  // About 5 s. Postings of one period are joined, as on a slow disk.
--- a/rig/poller.cpp
+++ b/fault_injection/event_poller.cpp
@@ -1,4 +1,4 @@
-#include "poller.h"
+#include "event_poller.h"
 
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-namespace stoatrun::rig {
+namespace stoatrun::fault_injection {
 
 sockaddr_in At(const std::string& ip, int port) {
   sockaddr_in a{};
@@ -64,11 +64,11 @@
     : poller_(poller), fd_(fd), readable_(std::move(readable)) {
   ev_io_init(&io_, OnIo, fd, EV_READ);
   io_.data = this;
-  ev_io_start(poller_.Raw(), &io_);
+  ev_io_start(poller_.native_handle(), &io_);
 }
 
 Watched::~Watched() {
-  ev_io_stop(poller_.Raw(), &io_);
+  ev_io_stop(poller_.native_handle(), &io_);
   close(fd_);
 }
 
@@ -151,4 +151,4 @@
   return fd;
 }
 
-}  // namespace stoatrun::rig
+}  // namespace stoatrun::fault_injection
--- a/rig/poller.h
+++ b/fault_injection/event_poller.h
@@ -1,7 +1,7 @@
 // Sockets and timers of the rig on one libev loop. Everything is non-blocking; time is microseconds since the
 // start.
-#ifndef STOATRUN_RIG_POLLER_H_
-#define STOATRUN_RIG_POLLER_H_
+#ifndef STOATRUN_FAULT_INJECTION_EVENT_POLLER_H_
+#define STOATRUN_FAULT_INJECTION_EVENT_POLLER_H_
 
 #include <ev.h>
 #include <netinet/in.h>
@@ -14,7 +14,7 @@
 #include <string>
 #include <string_view>
 
-namespace stoatrun::rig {
+namespace stoatrun::fault_injection {
 
 using Micros = std::chrono::microseconds;
 
@@ -27,7 +27,7 @@
   Poller(const Poller&) = delete;
   Poller& operator=(const Poller&) = delete;
 
-  struct ev_loop* Raw() {
+  struct ev_loop* native_handle() {
     return loop_;
   }
   Micros Now() const;
@@ -87,6 +87,6 @@
 
 int Listen(const std::string& ip, int port);  // Throws std::system_error.
 
-}  // namespace stoatrun::rig
+}  // namespace stoatrun::fault_injection
 
-#endif  // STOATRUN_RIG_POLLER_H_
+#endif  // STOATRUN_FAULT_INJECTION_EVENT_POLLER_H_
--- a/rig/check/checker.cpp
+++ b/fault_injection/history/history_checker.cpp
@@ -1,4 +1,4 @@
-#include "check/checker.h"
+#include "history/history_checker.h"
 
 #include <fmt/format.h>
 #include <simdjson.h>
@@ -13,7 +13,7 @@
 #include <set>
 #include <utility>
 
-namespace stoatrun::rig {
+namespace stoatrun::history {
 namespace {
 
 using simdjson::dom::element;
@@ -435,4 +435,4 @@
 
 Findings Check(std::string_view history) { return Checker().Run(history); }
 
-}  // namespace stoatrun::rig
+}  // namespace stoatrun::history
--- a/rig/check/checker.h
+++ b/fault_injection/history/history_checker.h
@@ -1,7 +1,8 @@
 // Reads the history of a fleet and says which of its bounds broke. It knows the history's form
-// (rig/HISTORY.md) and nothing of the code that made it: no type, no constant, no header of the program.
-#ifndef STOATRUN_RIG_CHECK_CHECKER_H_
-#define STOATRUN_RIG_CHECK_CHECKER_H_
+// (fault_injection/HISTORY.md) and nothing of the code that made it: no type, no constant, no header of the
+// program.
+#ifndef STOATRUN_FAULT_INJECTION_HISTORY_HISTORY_CHECKER_H_
+#define STOATRUN_FAULT_INJECTION_HISTORY_HISTORY_CHECKER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -9,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-namespace stoatrun::rig {
+namespace stoatrun::history {
 
 struct Breach {
   std::int64_t at_us = 0;
@@ -33,6 +34,6 @@
 
 Findings Check(std::string_view history);
 
-}  // namespace stoatrun::rig
+}  // namespace stoatrun::history
 
-#endif  // STOATRUN_RIG_CHECK_CHECKER_H_
+#endif  // STOATRUN_FAULT_INJECTION_HISTORY_HISTORY_CHECKER_H_
--- a/rig/main.cpp
+++ b/fault_injection/main.cpp
@@ -1,4 +1,4 @@
-// `stoatrun_rig run FILE`: plays a schedule with real processes, and checks what was seen.
+// `stoatrun_fault_injection run FILE`: plays a schedule with real processes, and checks what was seen.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -13,13 +13,13 @@
 #include <stdexcept>
 #include <string>
 
-#include "check/checker.h"
-#include "lab/schedule.h"
-#include "rig.h"
+#include "history/history_checker.h"
+#include "process_fleet.h"
+#include "simulation/schedule.h"
 
 namespace {
 
-using stoatrun::lab::Schedule;
+using stoatrun::simulation::Schedule;
 
 std::string ReadAll(const std::string& path) {
   std::ifstream in(path);
@@ -30,7 +30,7 @@
   return text.str();
 }
 
-int Report(const stoatrun::rig::Findings& found) {
+int Report(const stoatrun::history::Findings& found) {
   for (const auto& b : found.breaches)
     std::cout << fmt::format("{:.3f} s {}: {}\n", b.at_us / 1e6, b.bound, b.what);
   if (found.more > 0) std::cout << found.more << " more\n";
@@ -45,7 +45,7 @@
 int Main(int argc, char** argv) {
   CLI::App app("Real processes of stoatrun under faults, and what can be said of their histories.");
   app.require_subcommand(1);
-  stoatrun::rig::RigSetup setup;
+  stoatrun::fault_injection::RigSetup setup;
   std::string file, history_file;
   std::optional<std::uint64_t> seed;
   std::uint64_t relays = 5, seconds = 25;
@@ -62,7 +62,7 @@
   CLI::App* check = app.add_subcommand("check", "checks a history");
   check->add_option("file", file)->required();
   CLI11_PARSE(app, argc, argv);
-  if (check->parsed()) return Report(stoatrun::rig::Check(ReadAll(file)));
+  if (check->parsed()) return Report(stoatrun::history::Check(ReadAll(file)));
 
   Schedule schedule;
   if (file.empty()) {
@@ -73,7 +73,8 @@
   }
   const bool own_folder = setup.folder.empty();
   if (own_folder) {
-    std::string pattern = (std::filesystem::temp_directory_path() / "stoatrun_rig.XXXXXX").string();
+    std::string pattern =
+        (std::filesystem::temp_directory_path() / "stoatrun_fault_injection.XXXXXX").string();
     if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("no folder to be had");
     setup.folder = pattern;
   } else {
@@ -82,10 +83,10 @@
   setup.program = std::filesystem::absolute(setup.program).string();
   if (!std::filesystem::exists(setup.program)) throw std::runtime_error(setup.program + ": no such program");
   std::ostringstream history;
-  const auto figures = stoatrun::rig::Play(schedule, setup, history);
+  const auto figures = stoatrun::fault_injection::Play(schedule, setup, history);
   const std::string text = history.str();
   std::ofstream(history_file.empty() ? setup.folder + "/history.jsonl" : history_file) << text;
-  const auto found = stoatrun::rig::Check(text);
+  const auto found = stoatrun::history::Check(text);
   std::cout << fmt::format(
       "{} connections: {} served, {} refused, {} failed; {:.1f} datagrams and {:.0f} bytes a second "
       "at each relay, {:.2f}% of a core, {:.1f} MB; {} crashes\n",
@@ -108,7 +109,7 @@
   try {
     return Main(argc, argv);
   } catch (const std::exception& e) {
-    std::cerr << "stoatrun_rig: " << e.what() << '\n';
+    std::cerr << "stoatrun_fault_injection: " << e.what() << '\n';
     return 2;
   }
 }
--- a/rig/rig.cpp
+++ b/fault_injection/process_fleet.cpp
@@ -1,4 +1,4 @@
-#include "rig.h"
+#include "process_fleet.h"
 
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -27,12 +27,12 @@
 #include <utility>
 #include <vector>
 
-#include "poller.h"
+#include "event_poller.h"
 
-namespace stoatrun::rig {
+namespace stoatrun::fault_injection {
 namespace {
 
-using lab::IndexOf;
+using simulation::IndexOf;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -53,7 +53,7 @@
 
 class Rig {
  public:
-  Rig(const lab::Schedule& schedule, const RigSetup& setup, std::ostream& history)
+  Rig(const simulation::Schedule& schedule, const RigSetup& setup, std::ostream& history)
       : schedule_(schedule), setup_(setup), history_(history), random_(schedule.seed) {
     TakeNet();
     if (schedule.relays > 250 || schedule.servers > 100)
@@ -62,7 +62,7 @@
 
   RigFigures Run() {
     Begin();
-    for (const lab::Step& step : schedule_.steps) poller_.After(step.at, [this, &step] { Do(step); });
+    for (const simulation::Step& step : schedule_.steps) poller_.After(step.at, [this, &step] { Do(step); });
     poller_.After(schedule_.length, [this] { poller_.Stop(); });
     poller_.Run();
     Weigh();
@@ -702,14 +702,14 @@
 
   // ---- faults ----
 
-  void Do(const lab::Step& step) {
+  void Do(const simulation::Step& step) {
     const auto& w = step.words;
     const auto relay = [&](std::size_t n) -> Relay& { return *relays_[IndexOf(w[n])]; };
     const auto number = [&](std::size_t n) { return std::stoul(w[n]); };
     Tell(R"("e":"note","what":"{} {}"}})", step.verb, fmt::join(w, " "));
     if (step.verb == "cut") cuts_.insert({IndexOf(w[0]), IndexOf(w[1])});
     if (step.verb == "heal") cuts_.erase({IndexOf(w[0]), IndexOf(w[1])});
-    if (step.verb == "split") side_ = lab::IndicesOf(w[0]);
+    if (step.verb == "split") side_ = simulation::IndicesOf(w[0]);
     if (step.verb == "join") {
       side_.clear();
       cuts_.clear();
@@ -774,7 +774,7 @@
     r.twin = Spawn(Path(r, "twin.json"), Path(r, "twin.txtpb"), Path(r, "twin.log"));
   }
 
-  const lab::Schedule& schedule_;
+  const simulation::Schedule& schedule_;
   const RigSetup setup_;
   std::ostream& history_;
   std::mt19937_64 random_;
@@ -801,8 +801,8 @@
 
 }  // namespace
 
-RigFigures Play(const lab::Schedule& schedule, const RigSetup& setup, std::ostream& history) {
+RigFigures Play(const simulation::Schedule& schedule, const RigSetup& setup, std::ostream& history) {
   return Rig(schedule, setup, history).Run();
 }
 
-}  // namespace stoatrun::rig
+}  // namespace stoatrun::fault_injection
--- a/rig/rig.h
+++ b/fault_injection/process_fleet.h
@@ -2,16 +2,16 @@
 // puts faults between them as a schedule says, and writes what was seen from outside as a history
 // (HISTORY.md). Every datagram between relays goes through the rig; so does every connection, as it is at one
 // of its ends.
-#ifndef STOATRUN_RIG_RIG_H_
-#define STOATRUN_RIG_RIG_H_
+#ifndef STOATRUN_FAULT_INJECTION_PROCESS_FLEET_H_
+#define STOATRUN_FAULT_INJECTION_PROCESS_FLEET_H_
 
 #include <cstdint>
 #include <ostream>
 #include <string>
 
-#include "lab/schedule.h"
+#include "simulation/schedule.h"
 
-namespace stoatrun::rig {
+namespace stoatrun::fault_injection {
 
 struct RigSetup {
   std::string program;       // The relay.
@@ -29,8 +29,8 @@
 };
 
 // Plays it and writes its history. Throws std::runtime_error if a process can't be started at all.
-RigFigures Play(const lab::Schedule& schedule, const RigSetup& setup, std::ostream& history);
+RigFigures Play(const simulation::Schedule& schedule, const RigSetup& setup, std::ostream& history);
 
-}  // namespace stoatrun::rig
+}  // namespace stoatrun::fault_injection
 
-#endif  // STOATRUN_RIG_RIG_H_
+#endif  // STOATRUN_FAULT_INJECTION_PROCESS_FLEET_H_
--- a/adapter/main.cpp
+++ b/simulator_adapter/main.cpp
@@ -8,17 +8,17 @@
 int main() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  arrowhatch::adapter::Adapter adapter;
+  balancer::adapter::Adapter adapter;
   std::string line;
   for (std::size_t number = 1; std::getline(std::cin, line); ++number) {
     try {
-      std::cout << adapter.handle_line(line) << '\n' << std::flush;
+      std::cout << adapter.HandleLine(line) << '\n' << std::flush;
     } catch (const std::exception& error) {
-      std::cerr << "arrowhatch_adapter: line " << number << ": " << error.what() << '\n';
+      std::cerr << "simulator_adapter: line " << number << ": " << error.what() << '\n';
       return 1;
     }
     if (!std::cout) {
-      std::cerr << "arrowhatch_adapter: line " << number << ": the reply could not be written\n";
+      std::cerr << "simulator_adapter: line " << number << ": the reply could not be written\n";
       return 1;
     }
   }
--- a/adapter/wire.cpp
+++ b/simulator_adapter/wire.cpp
@@ -12,11 +12,11 @@
 #include <utility>
 #include <vector>
 
-#include "arrowhatch/balancer.h"
-#include "settings/json.h"
-#include "settings/settings.h"
+#include "balancer/balancer.h"
+#include "config/json.h"
+#include "config/site_settings.h"
 
-namespace arrowhatch::adapter {
+namespace balancer::adapter {
 namespace {
 
 using simdjson::dom::array;
@@ -68,7 +68,7 @@
 };
 
 std::uint64_t Raw(RequestId id) { return static_cast<std::uint64_t>(id); }
-std::uint64_t Raw(ServerId id) { return static_cast<std::uint64_t>(id); }
+std::uint64_t Raw(EndpointId id) { return static_cast<std::uint64_t>(id); }
 
 std::optional<LoadReport> ReadReport(const element* e, const std::vector<ReportField>& fields,
                                      const std::string& where) {
@@ -88,10 +88,10 @@
   static constexpr std::array<std::pair<std::string_view, Outcome>, 8> kWords{
       {{"pass", Outcome::kServed},
        {"fault", Outcome::kError},
-       {"no_room", Outcome::kTurnedAway},
+       {"no_room", Outcome::kRejected},
        {"too_slow", Outcome::kTimedOut},
        {"no_route", Outcome::kNotConnected},
-       {"cut", Outcome::kCut},
+       {"cut", Outcome::kConnectionLost},
        {"undone", Outcome::kCancelled},
        {"stale_send", Outcome::kNotSent}}};
   for (const auto& [name, outcome] : kWords) {
@@ -100,31 +100,31 @@
   return Outcome::kUnknown;  // May have run, as far as we know.
 }
 
-ServerList ReadMembers(Row& row) {
-  ServerList list;
+EndpointUpdate ReadMembers(Row& row) {
+  EndpointUpdate list;
   const std::uint64_t kind = row.Unsigned("form");
   if (kind > 3) Fail(row.Where("form"), "expected 0 to 3");
-  list.kind = std::array{ServerList::Kind::kChanges, ServerList::Kind::kFull, ServerList::Kind::kCached,
-                         ServerList::Kind::kFailed}[kind];
+  list.kind = std::array{EndpointUpdate::Kind::kChanges, EndpointUpdate::Kind::kFull,
+                         EndpointUpdate::Kind::kCached, EndpointUpdate::Kind::kFailed}[kind];
   row.UnsignedOr("generation", 0);
   const element* rows = row.Optional();
   if (rows == nullptr) {
-    if (list.kind != ServerList::Kind::kFailed) Fail(row.Where("rows"), "missing");
+    if (list.kind != EndpointUpdate::Kind::kFailed) Fail(row.Where("rows"), "missing");
     return list;
   }
   for (const element e : AsArray(*rows, row.Where("rows"))) {
     Row r(e, row.Where("rows"));
-    ServerEntry entry;
-    entry.id = ServerId(r.Unsigned("server"));
+    Endpoint entry;
+    entry.id = EndpointId(r.Unsigned("server"));
     entry.zone = ZoneId(static_cast<std::uint32_t>(r.UnsignedOr("failureDomain", 0)));
     r.Optional();  // The machine kind decides nothing.
     entry.cell = CellId(r.UnsignedOr("bay", 0));
     const std::uint64_t state = r.Unsigned("stageState");
     if (state > 2) Fail(r.Where("stageState"), "expected 0 to 2");
-    entry.state = std::array{ServerState::kDraining, ServerState::kReady, ServerState::kGone}[state];
+    entry.state = std::array{EndpointState::kDraining, EndpointState::kReady, EndpointState::kGone}[state];
     if (const element* size = r.Optional()) entry.size = AsNumber(*size, r.Where("size"));
-    if (const element* at = r.Optional()) entry.started = Micros(AsSigned(*at, r.Where("startedAt")));
-    entry.name = Raw(entry.id);
+    if (const element* at = r.Optional()) entry.started_at = Micros(AsSigned(*at, r.Where("startedAt")));
+    entry.name_hash = Raw(entry.id);
     list.entries.push_back(entry);
   }
   return list;
@@ -138,10 +138,10 @@
   if (const element* key = row.Optional()) AsText(*key, row.Where("entity"));
   r.deadline = Micros(row.Signed("deadline"));
   if (const element* hint = row.Optional()) r.load_hint = AsNumber(*hint, row.Where("expected"));
-  if (const element* group = row.Optional()) r.group = NumberOf(AsText(*group, row.Where("group")));
+  if (const element* group = row.Optional()) r.affinity_group = NumberOf(AsText(*group, row.Where("group")));
   row.BoolOr("againByClient", false);
   row.BoolOr("stray", false);
-  r.came_back = row.BoolOr("cameBack", false);
+  r.is_reconnect = row.BoolOr("cameBack", false);
   return r;
 }
 
@@ -149,14 +149,14 @@
 class Writer {
  public:
   Writer(std::string& out, std::uint64_t instance) : out_(out), instance_(instance) {}
-  void operator()(const SendAttempt& a) { Put("Send", {Raw(a.id), Raw(a.server), Time(a.timeout)}); }
+  void operator()(const SendAttempt& a) { Put("Send", {Raw(a.id), Raw(a.endpoint), Time(a.timeout)}); }
   void operator()(const CancelAttempt& a) { Put("CallOff", {Raw(a.id), a.attempt}); }
-  void operator()(const RefuseRequest& a) { Put("NotNow", {Raw(a.id), Time(a.come_back)}); }
+  void operator()(const RejectRequest& a) { Put("NotNow", {Raw(a.id), Time(a.retry_after)}); }
   void operator()(const FailRequest& a) { Put("Surrender", {Raw(a.id)}); }
-  void operator()(const MoveClient& a) { Put("Migrate", {Raw(a.id)}); }
-  void operator()(const ProbeServer& a) { Put("AskLoad", {Raw(a.server)}); }
+  void operator()(const MigrateConnection& a) { Put("Migrate", {Raw(a.id)}); }
+  void operator()(const ProbeEndpoint& a) { Put("AskLoad", {Raw(a.endpoint)}); }
   void operator()(const StartTimer& a) { Put("SetTimer", {Time(a.delay), 0}); }
-  void operator()(const WatchServers&) {
+  void operator()(const WatchEndpoints&) {
     Begin("Watch");
     out_ += ",true]";
   }
@@ -236,7 +236,7 @@
         ReadEvent(name, row, instance == nullptr ? kNoFields : instance->report_fields);
     if (!event || instance == nullptr) return;  // Not for a running instance: nothing to decide.
     actions_.clear();
-    instance->balancer.handle(now_, *event, actions_);
+    instance->balancer.Handle(now_, *event, actions_);
     Writer writer(reply, id);
     for (const Action& action : actions_) std::visit(writer, action);
   }
@@ -248,13 +248,13 @@
     if (name == "Resumed") {
       ConnectionResumed e;
       e.request = ReadRequest(row);
-      e.server = ServerId(row.Unsigned("server"));
+      e.endpoint = EndpointId(row.Unsigned("server"));
       return e;
     }
     if (name == "FirstByte") {
       AttemptEstablished e;
       e.id = RequestId(row.Unsigned("xid"));
-      e.server = ServerId(row.Unsigned("server"));
+      e.endpoint = EndpointId(row.Unsigned("server"));
       return e;
     }
     if (name == "Result") {
@@ -264,20 +264,20 @@
       e.outcome = ReadOutcome(row.Text("ending"));
       e.request_finished = row.Bool("closed");
       row.UnsignedOr("copy", 0);
-      e.server = ServerId(row.Unsigned("server"));
+      e.endpoint = EndpointId(row.Unsigned("server"));
       e.report = ReadReport(row.Optional(), fields, row.Where("feedback"));
       return e;
     }
     if (name == "Notice") return ReadNotice(row);
     if (name == "ProbeDone") {
-      ProbeAnswered e;
-      e.server = ServerId(row.Unsigned("server"));
+      ProbeCompleted e;
+      e.endpoint = EndpointId(row.Unsigned("server"));
       row.UnsignedOr("timeTaken", 0);
       e.ok = row.Text("ending") == "pass";
       e.report = ReadReport(row.Optional(), fields, row.Where("feedback"));
       return e;
     }
-    if (name == "Gone") return ClientLeft{RequestId(row.Unsigned("xid"))};
+    if (name == "Gone") return ClientDisconnected{RequestId(row.Unsigned("xid"))};
     if (name == "Due") {
       row.Unsigned("nonce");
       return TimerFired{};
@@ -289,11 +289,11 @@
   static std::optional<Event> ReadNotice(Row& row) {
     const RequestId id = RequestId(row.Unsigned("xid"));
     row.UnsignedOr("copy", 0);
-    const ServerId server = ServerId(row.Unsigned("server"));
+    const EndpointId server = EndpointId(row.Unsigned("server"));
     const std::uint64_t what = row.Unsigned("what");
     const double x = row.Number("x");
-    if (what == 1) return LoadTold{id, x};
-    if (what == 2) return DelayTold{server, Micros(std::llround(x * 1000.0))};
+    if (what == 1) return LoadReported{id, x};
+    if (what == 2) return MessageLatencyReported{server, Micros(std::llround(x * 1000.0))};
     return std::nullopt;
   }
 
@@ -305,6 +305,6 @@
 
 Adapter::Adapter() : impl_(std::make_unique<Impl>()) {}
 Adapter::~Adapter() = default;
-std::string Adapter::handle_line(std::string_view line) { return impl_->HandleLine(line); }
+std::string Adapter::HandleLine(std::string_view line) { return impl_->HandleLine(line); }
 
-}  // namespace arrowhatch::adapter
+}  // namespace balancer::adapter
--- a/adapter/wire.h
+++ b/simulator_adapter/wire.h
@@ -1,14 +1,14 @@
 // The simulator's JSON wire on one side, the interface of the library on the other. Nothing is decided here.
-#ifndef ARROWHATCH_ADAPTER_WIRE_H_
-#define ARROWHATCH_ADAPTER_WIRE_H_
+#ifndef STOATRUN_SIMULATOR_ADAPTER_WIRE_H_
+#define STOATRUN_SIMULATOR_ADAPTER_WIRE_H_
 
 #include <memory>
 #include <string>
 #include <string_view>
 
-#include "settings/json.h"
+#include "config/json.h"
 
-namespace arrowhatch::adapter {
+namespace balancer::adapter {
 
 // A line that is not what the wire describes. what() names the field.
 using WireError = settings::FormError;
@@ -22,13 +22,13 @@
   Adapter& operator=(const Adapter&) = delete;
 
   // Takes one batch (a line without its end) and gives its reply (likewise). Throws WireError.
-  std::string handle_line(std::string_view line);
+  std::string HandleLine(std::string_view line);
 
  private:
   class Impl;
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace arrowhatch::adapter
+}  // namespace balancer::adapter
 
-#endif  // ARROWHATCH_ADAPTER_WIRE_H_
+#endif  // STOATRUN_SIMULATOR_ADAPTER_WIRE_H_
--- a/src/ops/management.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "ops/management.h"
+#include "admin/admin_server.h"
 
 #include <arpa/inet.h>
 #include <sys/socket.h>
@@ -45,12 +45,12 @@
     : id(slot),
       all(all),
       stream(all.loop_, all, slot),
-      deadline(all.loop_.deadlines, [&all, slot] { all.Due(slot); }) {
+      deadline(all.loop_.timers, [&all, slot] { all.Due(slot); }) {
   http_parser_init(&parser, HTTP_REQUEST);
   parser.data = this;
 }
 
-Management::Management(Loop& loop, ManagementEvents& events) : loop_(loop), events_(events) {
+Management::Management(EventLoop& loop, ManagementEvents& events) : loop_(loop), events_(events) {
   ev_init(&accept_, OnAccept);
   accept_.data = this;
   http_parser_settings_init(&settings_);
@@ -60,7 +60,7 @@
   settings_.on_headers_complete = OnHeadersComplete;
   settings_.on_body = OnBody;
   settings_.on_message_complete = OnMessageComplete;
-  loop_.AddSweeper([this] { callers_.Sweep(); });
+  loop_.AddTurnEndHook([this] { callers_.Reclaim(); });
 }
 
 Management::~Management() { Stop(); }
@@ -81,12 +81,12 @@
   if (listen(fd, 64) != 0) give_up("management: listen");
   fd_ = fd;
   ev_io_set(&accept_, fd_, EV_READ);
-  ev_io_start(loop_.Raw(), &accept_);
+  ev_io_start(loop_.native_handle(), &accept_);
 }
 
 void Management::Stop() {
   if (fd_ < 0) return;
-  ev_io_stop(loop_.Raw(), &accept_);
+  ev_io_stop(loop_.native_handle(), &accept_);
   close(fd_);
   fd_ = -1;
 }
@@ -129,7 +129,7 @@
 void Management::OnBytes(SlotId id) {
   Caller* c = callers_.Find(id);
   if (c == nullptr) return;
-  const std::string_view in = c->stream.In();
+  const std::string_view in = c->stream.input();
   if (c->answered) {  // One call a connection: what follows it is not read.
     c->stream.Consume(in.size());
     return;
@@ -229,20 +229,20 @@
   Drop(*c);
 }
 
-void Management::OnEnd(SlotId id, StreamEnd end) {
+void Management::OnEnd(SlotId id, ConnectionEnd end) {
   Caller* c = callers_.Find(id);
   if (c == nullptr) return;
   // A caller that ended its sending with a whole request still waits for the answer.
-  if (!c->answered && end == StreamEnd::kFinished && !c->head_done) {
+  if (!c->answered && end == ConnectionEnd::kFinished && !c->head_done) {
     ++counts_.malformed;
     Answer(*c, 400, "request ended before its head");
     return;
   }
-  if (c->answered && end == StreamEnd::kFinished && c->stream.Queued() > 0) return;
+  if (c->answered && end == ConnectionEnd::kFinished && c->stream.Queued() > 0) return;
   Drop(*c);
 }
 
-void Management::OnRoom(SlotId id) {
+void Management::OnWritable(SlotId id) {
   Caller* c = callers_.Find(id);
   if (c != nullptr && c->answered && c->stream.PeerEnded()) Drop(*c);
 }
--- a/src/ops/management.h
+++ b/src/admin/admin_server.h
@@ -3,8 +3,8 @@
 // A caller is answered within the same turn of the loop in which its request is whole, so however busy the
 // relay is, the answer waits for nothing but that turn. Callers that never finish a request are bounded in
 // number and time: the oldest unfinished one makes way for a new caller, and none is kept past `kHeadWait`.
-#ifndef STOATRUN_OPS_MANAGEMENT_H_
-#define STOATRUN_OPS_MANAGEMENT_H_
+#ifndef STOATRUN_ADMIN_ADMIN_SERVER_H_
+#define STOATRUN_ADMIN_ADMIN_SERVER_H_
 
 #include <ev.h>
 #include <http_parser.h>
@@ -15,10 +15,10 @@
 #include <string>
 #include <string_view>
 
-#include "base/deadlines.h"
-#include "base/slots.h"
-#include "base/stream.h"
-#include "ops/routes.h"
+#include "admin/routes.h"
+#include "base/event_loop.h"
+#include "base/slot_map.h"
+#include "base/tcp_connection.h"
 
 namespace stoatrun {
 
@@ -38,7 +38,7 @@
   std::uint64_t calls = 0, answered = 0, refused = 0, malformed = 0, unfinished = 0, crowded_out = 0;
 };
 
-class Management : public StreamHandler {
+class Management : public TcpConnectionHandler {
  public:
   // A caller that has sent no whole request by then is closed.
   static constexpr Micros kHeadWait = std::chrono::milliseconds(1500);
@@ -47,7 +47,7 @@
   static constexpr std::size_t kMostHead = std::size_t{8} * 1024;
   static constexpr std::size_t kMostBody = std::size_t{16} * 1024;
 
-  Management(Loop& loop, ManagementEvents& events);
+  Management(EventLoop& loop, ManagementEvents& events);
   ~Management() override;
   Management(const Management&) = delete;
   Management& operator=(const Management&) = delete;
@@ -58,16 +58,16 @@
   const ManagementCounts& Counts() const { return counts_; }
 
   void OnBytes(SlotId id) override;
-  void OnEnd(SlotId id, StreamEnd end) override;
-  void OnRoom(SlotId id) override;
+  void OnEnd(SlotId id, ConnectionEnd end) override;
+  void OnWritable(SlotId id) override;
 
  private:
   struct Caller {
     Caller(SlotId slot, Management& all);
     SlotId id;
     Management& all;
-    Stream stream;
-    Deadline deadline;
+    TcpConnection stream;
+    Timer deadline;
     http_parser parser{};
     std::string method, target;
     std::size_t head = 0, body = 0;
@@ -87,11 +87,11 @@
   static int OnBody(http_parser* p, const char* at, std::size_t size);
   static int OnMessageComplete(http_parser* p);
 
-  Loop& loop_;
+  EventLoop& loop_;
   ManagementEvents& events_;
   ev_io accept_{};
   int fd_ = -1;
-  Slots<Caller> callers_;
+  SlotMap<Caller> callers_;
   std::list<SlotId> unanswered_;
   http_parser_settings settings_{};
   ManagementCounts counts_;
@@ -99,4 +99,4 @@
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_OPS_MANAGEMENT_H_
+#endif  // STOATRUN_ADMIN_ADMIN_SERVER_H_
--- a/src/ops/figures.cpp
+++ b/src/admin/metrics.cpp
@@ -1,4 +1,4 @@
-#include "ops/figures.h"
+#include "admin/metrics.h"
 
 #include <fmt/format.h>
 
--- a/src/ops/figures.h
+++ b/src/admin/metrics.h
@@ -1,6 +1,6 @@
 // The figures that `GET /v1/metrics` shows, one `name=value` a line, under the names the operators read.
-#ifndef STOATRUN_OPS_FIGURES_H_
-#define STOATRUN_OPS_FIGURES_H_
+#ifndef STOATRUN_ADMIN_METRICS_H_
+#define STOATRUN_ADMIN_METRICS_H_
 
 #include <cstdint>
 #include <string>
@@ -20,4 +20,4 @@
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_OPS_FIGURES_H_
+#endif  // STOATRUN_ADMIN_METRICS_H_
--- a/src/ops/routes.cpp
+++ b/src/admin/routes.cpp
@@ -1,4 +1,4 @@
-#include "ops/routes.h"
+#include "admin/routes.h"
 
 #include <array>
 
--- a/src/ops/routes.h
+++ b/src/admin/routes.h
@@ -1,6 +1,6 @@
 // Which call a request on the second address is: pure, so that every path and method is tested alone.
-#ifndef STOATRUN_OPS_ROUTES_H_
-#define STOATRUN_OPS_ROUTES_H_
+#ifndef STOATRUN_ADMIN_ROUTES_H_
+#define STOATRUN_ADMIN_ROUTES_H_
 
 #include <optional>
 #include <string_view>
@@ -21,4 +21,4 @@
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_OPS_ROUTES_H_
+#endif  // STOATRUN_ADMIN_ROUTES_H_
--- a/src/decide.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,5 +1,7 @@
-// All decisions of arrowhatch. The types, events and actions are in include/arrowhatch/balancer.h.
+// All decisions of balancer. The types, events and actions are in include/balancer/balancer.h.
 // Sections are numbered; what only some deployments need is decided by their settings.
+#include "balancer/balancer.h"
+
 #include <algorithm>
 #include <cmath>
 #include <limits>
@@ -7,9 +9,7 @@
 #include <unordered_map>
 #include <utility>
 
-#include "arrowhatch/balancer.h"
-
-namespace arrowhatch {
+namespace balancer {
 namespace {
 
 // ---- 1 constants ----
@@ -52,7 +52,7 @@
 constexpr int kCandidates = 3;             // Table figures looked at for each landing probe.
 constexpr std::size_t kTableLooks = 8;     // And for a landing without a fresh answer.
 constexpr double kAimForProbes = 1.0 / 8;  // Part of the aim that a request may wait for landing probes.
-// A crossing of zones that costs one point counts like so much utilisation.
+// A crossing of zones that costs one point counts like so much utilization.
 constexpr double kZoneWeight = 5.0;
 
 // Part of the cold budget used: capacity is estimated, arrivals vary.
@@ -147,7 +147,7 @@
 };
 
 struct Server {
-  ServerEntry entry;
+  Endpoint entry;
   std::uint64_t seen_in = 0;  // Number of the last list that named it.
   // Utilisation table.
   bool has_figure = false;
@@ -218,8 +218,9 @@
  public:
   explicit Impl(const Settings& settings) : set_(settings), random_(settings.seed) {
     for (const ClassSettings& c : set_.classes) {
-      if (c.message_aim.count() > 0 && (shortest_aim_.count() == 0 || c.message_aim < shortest_aim_)) {
-        shortest_aim_ = c.message_aim;
+      if (c.message_latency_objective.count() > 0 &&
+          (shortest_aim_.count() == 0 || c.message_latency_objective < shortest_aim_)) {
+        shortest_aim_ = c.message_latency_objective;
       }
     }
   }
@@ -232,7 +233,8 @@
   }
   std::size_t Avoided(Micros now) const {  // Listed, and not tried for now after failures.
     std::size_t n = 0;
-    for (const Server& s : servers_) n += s.entry.state != ServerState::kGone && now < s.avoid_until ? 1 : 0;
+    for (const Server& s : servers_)
+      n += s.entry.state != EndpointState::kGone && now < s.avoid_until ? 1 : 0;
     return n;
   }
 
@@ -245,7 +247,7 @@
     const auto it = requests_.find(id);
     return it == requests_.end() ? nullptr : &it->second;
   }
-  int Index(ServerId id) const {
+  int Index(EndpointId id) const {
     const auto it = index_.find(id);
     return it == index_.end() ? kNone : it->second;
   }
@@ -256,18 +258,19 @@
 
   // ---- 3 server list ----
 
-  void On(const ServerList& list) {
-    if (list.kind == ServerList::Kind::kFailed) {  // The old list stays in force until a watch stands again.
+  void On(const EndpointUpdate& list) {
+    if (list.kind ==
+        EndpointUpdate::Kind::kFailed) {  // The old list stays in force until a watch stands again.
       watch_due_ = now_ + Jittered(kWatchRetry, 0.5, 1.5);
       Schedule(watch_due_, Task::kWatch);
       return;
     }
-    if (list.kind != ServerList::Kind::kCached) watch_due_ = Micros(0);
+    if (list.kind != EndpointUpdate::Kind::kCached) watch_due_ = Micros(0);
     ++list_round_;
-    for (const ServerEntry& entry : list.entries) TakeEntry(entry);
-    const bool whole = list.kind != ServerList::Kind::kChanges;
+    for (const Endpoint& entry : list.entries) TakeEntry(entry);
+    const bool whole = list.kind != EndpointUpdate::Kind::kChanges;
     for (std::size_t i = 0; whole && i < servers_.size(); ++i) {  // Who is absent has been removed.
-      if (servers_[i].seen_in != list_round_) SetState(static_cast<int>(i), ServerState::kGone);
+      if (servers_[i].seen_in != list_round_) SetState(static_cast<int>(i), EndpointState::kGone);
     }
     if (std::exchange(started_, true)) return;
     if (set_.list_mode == ListMode::kSubscribed) Watch();
@@ -275,24 +278,25 @@
   }
 
   void Watch() {
-    Emit(WatchServers{});
+    Emit(WatchEndpoints{});
     watch_due_ = now_ + kWatchLost;
     Schedule(watch_due_, Task::kWatch);
   }
 
-  void TakeEntry(const ServerEntry& entry) {
+  void TakeEntry(const Endpoint& entry) {
     const auto [at, fresh] = index_.try_emplace(entry.id, static_cast<int>(servers_.size()));
     if (fresh) servers_.emplace_back();
     Server& s = servers_[at->second];
     s.seen_in = list_round_;
-    if (entry.started.count() > 0 && entry.started != s.entry.started) Restarted(s, entry.started);
+    if (entry.started_at.count() > 0 && entry.started_at != s.entry.started_at)
+      Restarted(s, entry.started_at);
     s.entry = entry;
     SetState(at->second, entry.state);
   }
 
-  void SetState(int i, ServerState state) {
+  void SetState(int i, EndpointState state) {
     Server& s = servers_[i];
-    if (state == ServerState::kReady) {
+    if (state == EndpointState::kReady) {
       if (s.eligible_pos == kNone) {
         s.eligible_pos = static_cast<int>(eligible_.size());
         eligible_.push_back(i);
@@ -319,7 +323,7 @@
     s.cold_tokens = random_.Unit();  // Gateways start at different points: their first sends don't bunch.
   }
 
-  // ---- 4 utilisation table ----
+  // ---- 4 utilization table ----
 
   double Mean() const { return figures_ > 0 ? figure_sum_ / figures_ : 0.0; }
 
@@ -333,7 +337,7 @@
 
   void TakeFigure(int i, double value, double count = -1) {
     Server& s = servers_[i];
-    if (s.entry.state != ServerState::kReady) return;
+    if (s.entry.state != EndpointState::kReady) return;
     const double previous = s.has_figure ? s.latest : value;
     // The same figures are the same report, looked at again: it knows no more of what was sent since. Without
     // counts and told loads what one of them weighs is known too roughly to carry them over.
@@ -362,11 +366,11 @@
     if (report) {
       // A server that carries connections of this gateway has load: a zero is a report that was not yet made.
       if (report->load_ratio && *report->load_ratio <= 0 && !s.held.empty()) return std::nullopt;
-      const auto& told = report->load_ratio ? report->load_ratio : report->utilisation;
+      const auto& told = report->load_ratio ? report->load_ratio : report->utilization;
       if (told) return std::max(0.0, *told);
       if (report->outstanding) return RelativeCount(s, *report->outstanding);
     }
-    if (set_.reports == ReportMode::kOff) return RelativeCount(s, static_cast<double>(s.held.size()));
+    if (set_.report_mode == ReportMode::kOff) return RelativeCount(s, static_cast<double>(s.held.size()));
     return std::nullopt;
   }
   double RelativeCount(const Server& s, double count) {
@@ -394,7 +398,7 @@
     // are too few, and what they tell is nearer: sizes count cores of the standard in which loads are told.
     if (held <= 0) held = static_cast<double>(held_);
     const double mean = Blind() ? kCountMean : load / std::max(sampled, 1e-9);
-    const double told = told_mean_ / kCore, by_own = held > 0 ? mean * all / (held * set_.gateways) : 0;
+    const double told = told_mean_ / kCore, by_own = held > 0 ? mean * all / (held * set_.replicas) : 0;
     return !wary && told > 0 && by_own > 0 ? std::min(told, by_own) : std::max(told, by_own);
   }
   double LoadOfOne(const Server& s) const { return LoadOfOne() / std::max(s.entry.size, 1e-9); }
@@ -409,19 +413,19 @@
 
   // ---- 5 probing ----
 
-  bool CanProbe() const { return set_.probes_allowed && set_.reports != ReportMode::kOff; }
+  bool CanProbe() const { return set_.probes_allowed && set_.report_mode != ReportMode::kOff; }
 
   bool Probe(int i) {
     Server& s = servers_[i];
-    if (s.probe_out || s.entry.state != ServerState::kReady) return false;
+    if (s.probe_out || s.entry.state != EndpointState::kReady) return false;
     s.probe_out = true;
     s.sends_since_probe = 0;
-    Emit(ProbeServer{s.entry.id});
+    Emit(ProbeEndpoint{s.entry.id});
     return true;
   }
 
-  void On(const ProbeAnswered& e) {
-    const int i = Index(e.server);
+  void On(const ProbeCompleted& e) {
+    const int i = Index(e.endpoint);
     if (i == kNone) return;
     Server& s = servers_[i];
     s.probe_out = false;
@@ -484,21 +488,21 @@
       }
     }
     if (r.awaited.empty() && Decide(r)) return;
-    Wait(r, now_ + FromSeconds(Seconds(ClassOf(r).aim) * kAimForProbes));
+    Wait(r, now_ + FromSeconds(Seconds(ClassOf(r).setup_latency_objective) * kAimForProbes));
   }
 
   // One of many gateways: arrivals tell it little, and its answers are old when it uses them.
   bool Thin() const {
-    return set_.gateways > eligible_.size() && kSamplesPerRequest * ArrivalRate() < kMinSampleRate;
+    return set_.replicas > eligible_.size() && kSamplesPerRequest * ArrivalRate() < kMinSampleRate;
   }
 
   // Samples of the servers on which this gateway holds connections, oldest figures first by turns.
   void Sample() {
-    if (!CanProbe() && set_.reports != ReportMode::kOff) return;
+    if (!CanProbe() && set_.report_mode != ReportMode::kOff) return;
     // A look at each that is held, at most two by all gateways together.
     if (sample_allowance_ < 0)
       sample_allowance_ =
-          std::min(1.0, 2.0 / set_.gateways) * static_cast<double>(std::min(held_, servers_.size()));
+          std::min(1.0, 2.0 / set_.replicas) * static_cast<double>(std::min(held_, servers_.size()));
     const double rate = std::max(kMinSampleRate, kSamplesPerRequest * ArrivalRate());
     sample_allowance_ = std::min(sample_allowance_ + rate * Seconds(kTick), std::max(2.0, sample_allowance_));
     int this_tick = 8;
@@ -513,7 +517,7 @@
       if ((s.held.empty() && !Blind()) || !due || sample_allowance_ < charge) continue;
       if (Blind()) {
         DropFigure(s);  // Of late messages: nothing else would ever end what it says.
-      } else if (set_.reports == ReportMode::kOff) {
+      } else if (set_.report_mode == ReportMode::kOff) {
         TakeFigure(i, *FigureOf(i, std::nullopt));
       } else if (Probe(i)) {
         s.sampled = true;
@@ -525,13 +529,13 @@
 
   // ---- 6 rebalancing ----
 
-  void On(const DelayTold& e) {
-    const int i = Index(e.server);
+  void On(const MessageLatencyReported& e) {
+    const int i = Index(e.endpoint);
     if (i == kNone || shortest_aim_.count() == 0 || e.delay < shortest_aim_) return;
     TakeFigure(i, std::max(servers_[i].latest, kDelayFigure));  // Fresh evidence that costs no probe.
   }
 
-  void On(const LoadTold& e) {
+  void On(const LoadReported& e) {
     Request* r = Find(e.id);
     if (r == nullptr) return;
     if (r->load < 0) told_mean_ += (e.load - told_mean_) / std::min(++told_, kToldMemory);
@@ -575,7 +579,7 @@
 
   void Move(RequestId id) {
     Request& r = *Find(id);
-    Emit(MoveClient{id});
+    Emit(MigrateConnection{id});
     Release(r);
     r.finished = true;  // The client comes again as a new request; the attempt's end is still told.
   }
@@ -595,21 +599,21 @@
 
   // One of more gateways than there are servers, without reports: the few connections that it holds itself
   // tell nothing of how full a server is.
-  bool Blind() const { return set_.reports == ReportMode::kOff && set_.gateways > eligible_.size(); }
+  bool Blind() const { return set_.report_mode == ReportMode::kOff && set_.replicas > eligible_.size(); }
   // One of more gateways than there are servers holds too little of a group to know where it stands, and all
   // would send it to one server by views equally old. The blind have no views, and nothing else to go by.
   bool Grouped(const Request& r) const {
-    return r.info.group != 0 && (set_.gateways <= eligible_.size() || Blind());
+    return r.info.affinity_group != 0 && (set_.replicas <= eligible_.size() || Blind());
   }
 
   double Cost(const Request& r, int i) const {
     const Server& s = servers_[i];
-    const double crossing = s.entry.zone == set_.zone ? 0.0 : kZoneWeight * set_.zone_price;
+    const double crossing = s.entry.zone == set_.zone ? 0.0 : kZoneWeight * set_.zone_crossing_cost;
     if (!Grouped(r)) return Estimate(s) + crossing;
     return Estimate(s) + crossing -
-           (s.groups.contains(r.info.group) ? kGroupHeld
-            : i == r.home                   ? kGroupHome
-                                            : 0);
+           (s.groups.contains(r.info.affinity_group) ? kGroupHeld
+            : i == r.home                            ? kGroupHome
+                                                     : 0);
   }
 
   // Where a group's connections go first: to the server that holds some and has most room, else to the first
@@ -620,8 +624,8 @@
     for (const int i : eligible_) {
       const Server& s = servers_[i];
       if (now_ < s.avoid_until || Estimate(s) > kGroupFull) continue;
-      if (s.groups.contains(r.info.group)) held.Offer(i, Estimate(s));
-      const double u = Random(r.info.group ^ s.entry.name).Unit();
+      if (s.groups.contains(r.info.affinity_group)) held.Offer(i, Estimate(s));
+      const double u = Random(r.info.affinity_group ^ s.entry.name_hash).Unit();
       home.Offer(i, -std::log(1 - u) / std::max(s.entry.size, 1e-9));
     }
     return held.index != kNone ? held.index : home.index;
@@ -666,12 +670,14 @@
 
   // ---- 8 cold starts ----
 
-  bool Cold(const Server& s) const { return s.cold_from.count() > 0 && now_ < s.cold_from + set_.cold_time; }
+  bool Cold(const Server& s) const {
+    return s.cold_from.count() > 0 && now_ < s.cold_from + set_.slow_start_duration;
+  }
 
   // This gateway's share of the connections that fill a server, by what the others carry; slow to follow, as
   // held connections and figures jump apart when clients drop or come again in masses.
   void LearnFullShare() {
-    const double one = LoadOfOne(true) * set_.gateways;
+    const double one = LoadOfOne(true) * set_.replicas;
     if (one <= 0) return;
     full_share_ = full_share_ <= 0 ? 1 / one : full_share_ + kFullShareWeight * (1 / one - full_share_);
   }
@@ -680,11 +686,12 @@
   // part of a window's worth and a fraction of a connection, which rounds at random over the gateways.
   void FillCold(Server& s) {
     if (s.cold_at == now_ || s.cold_told) return;
-    const double age = Seconds(now_ - s.cold_from) / std::max(Seconds(set_.cold_time), 1e-6);
-    const double present = std::min(1.0, set_.cold_share + (1 - set_.cold_share) * std::max(0.0, age));
+    const double age = Seconds(now_ - s.cold_from) / std::max(Seconds(set_.slow_start_duration), 1e-6);
+    const double present =
+        std::min(1.0, set_.slow_start_share + (1 - set_.slow_start_share) * std::max(0.0, age));
     // What it can do at a moment is to carry so many connections; sent a multiple of that in a window, falls.
-    const double window = kColdPart * set_.cold_multiple * present * full_share_ * s.entry.size;
-    s.cold_tokens += window * Seconds(now_ - s.cold_at) / std::max(Seconds(set_.cold_window), 1e-6);
+    const double window = kColdPart * set_.slow_start_overload_factor * present * full_share_ * s.entry.size;
+    s.cold_tokens += window * Seconds(now_ - s.cold_at) / std::max(Seconds(set_.slow_start_window), 1e-6);
     // Where the part of each is less than one connection in a window, what many had saved would be more than
     // a server bears: what was not spent in the window in which it was whole lapses.
     const double most = 1.0 + window / (window < 1 ? 1 : 4);
@@ -714,12 +721,14 @@
   // Rules 2 to 4 for one server: every send passes here.
   bool MaySend(const Request& r, int i) {
     const Server& s = servers_[i];
-    if (s.entry.state != ServerState::kReady) return false;  // Drains are kept from the moment they are told.
+    if (s.entry.state != EndpointState::kReady)
+      return false;  // Drains are kept from the moment they are told.
     if (!MayRepeat(r)) return false;
-    if (const ClassSettings& c = ClassOf(r); r.may_have_run && c.effect == Effect::kKeyed) {
-      const ServerEntry& ran = servers_[r.ran_at].entry;
-      if (c.group == RepeatGroup::kZone && ran.zone != s.entry.zone) return false;
-      if (c.group == RepeatGroup::kCell && ran.cell != s.entry.cell) return false;
+    if (const ClassSettings& c = ClassOf(r);
+        r.may_have_run && c.idempotency == Idempotency::kIdempotencyKey) {
+      const Endpoint& ran = servers_[r.ran_at].entry;
+      if (c.deduplication_scope == DeduplicationScope::kZone && ran.zone != s.entry.zone) return false;
+      if (c.deduplication_scope == DeduplicationScope::kCell && ran.cell != s.entry.cell) return false;
     }
     return ColdAllows(r, i);
   }
@@ -727,7 +736,9 @@
   bool MayRefuse(const Request& r) const {
     const ClassSettings& c = ClassOf(r);
     const bool open = r.may_have_run || r.attempt_out;  // It may run, or have run.
-    return c.effect == Effect::kSafe || !open || (c.effect == Effect::kKeyed && c.group == RepeatGroup::kAll);
+    return c.idempotency == Idempotency::kIdempotent || !open ||
+           (c.idempotency == Idempotency::kIdempotencyKey &&
+            c.deduplication_scope == DeduplicationScope::kAll);
   }
 
   bool Send(Request& r, int i) {
@@ -738,7 +749,8 @@
     const Micros left = r.info.deadline - now_;
     Micros timeout = left;
     if (r.attempts + 1 < set_.max_attempts) {  // Leave room for a further attempt.
-      timeout = std::max(FromSeconds(Seconds(left) * kFirstTimeout), std::min(left, ClassOf(r).aim));
+      timeout = std::max(FromSeconds(Seconds(left) * kFirstTimeout),
+                         std::min(left, ClassOf(r).setup_latency_objective));
     }
     ++r.attempts;
     r.attempt_out = true;
@@ -748,7 +760,7 @@
     r.tried.push_back(i);
     std::erase_if(s.unseen, [&](const Unseen& u) { return u.at < now_ - kReportAge; });
     s.unseen.push_back({now_, r.info.id});
-    ++s.groups[r.info.group];
+    ++s.groups[r.info.affinity_group];
     sends_.Add(now_);
     Emit(SendAttempt{r.info.id, s.entry.id, timeout});
     if (++s.sends_since_probe >= kSampleSends && CanProbe()) Probe(i);
@@ -759,7 +771,7 @@
   void Answer(Request& r) {
     if (r.finished) return;
     if (r.attempt_out && set_.cancel_allowed) Emit(CancelAttempt{r.info.id, r.attempts - 1});
-    Emit(MayRefuse(r) ? Action(RefuseRequest{r.info.id, ComeBack()}) : Action(FailRequest{r.info.id}));
+    Emit(MayRefuse(r) ? Action(RejectRequest{r.info.id, RetryAfter()}) : Action(FailRequest{r.info.id}));
     Close(r);
   }
 
@@ -824,14 +836,14 @@
   }
 
   void On(const ConnectionResumed& e) {
-    const int i = Index(e.server);
+    const int i = Index(e.endpoint);
     Request* r = i == kNone ? nullptr : Add(e.request);
     if (r == nullptr) return;
     r->attempts = 1;
     r->attempt_out = true;
     r->server = i;
     r->may_have_run = true;
-    ++servers_[i].groups[e.request.group];
+    ++servers_[i].groups[e.request.affinity_group];
     Hold(*r);
   }
 
@@ -843,27 +855,28 @@
     successes_.Add(now_);
     --setups_out_;
     window_ = std::min(kWindowMax, window_ + 1);
-    if (!r->info.came_back) arrivals_.Add(now_);
+    if (!r->info.is_reconnect) arrivals_.Add(now_);
     Hold(*r);
   }
 
   void On(const AttemptEnded& e) {
-    const int i = Index(e.server);
+    const int i = Index(e.endpoint);
     if (i != kNone && e.report) {
       if (const auto figure = FigureOf(i, e.report)) {
         TakeFigure(i, *figure, e.report->outstanding.value_or(-1));
-        if (set_.reports == ReportMode::kWithAnswers) AddToPool(i);
+        if (set_.report_mode == ReportMode::kWithAnswers) AddToPool(i);
       }
     }
     Request* r = Find(e.id);
     if (r == nullptr || !r->attempt_out) return;
     const bool stood = r->stood;
     const bool timed_out = !stood && e.outcome == Outcome::kTimedOut;
-    const bool never_ran = e.outcome == Outcome::kTurnedAway || e.outcome == Outcome::kNotConnected ||
+    const bool never_ran = e.outcome == Outcome::kRejected || e.outcome == Outcome::kNotConnected ||
                            e.outcome == Outcome::kNotSent;
     Release(*r);
     r->attempt_out = false;
-    if (auto& of = servers_[r->server].groups; --of[r->info.group] == 0) of.erase(r->info.group);
+    if (auto& of = servers_[r->server].groups; --of[r->info.affinity_group] == 0)
+      of.erase(r->info.affinity_group);
     if (!stood) {
       --setups_out_;
       std::erase_if(servers_[r->server].unseen, [&](const Unseen& u) { return u.id == e.id; });
@@ -874,7 +887,7 @@
     }
     if (timed_out || (!stood && e.outcome == Outcome::kError)) faults_.Add(now_);
     if (i != kNone && (timed_out || (never_ran && e.outcome != Outcome::kNotSent) ||
-                       e.outcome == Outcome::kCut || (!stood && e.outcome == Outcome::kError))) {
+                       e.outcome == Outcome::kConnectionLost || (!stood && e.outcome == Outcome::kError))) {
       NoteFailure(i, true);
     }
     if (e.request_finished || r->finished) return Close(*r);
@@ -889,11 +902,11 @@
 
   bool MayRepeat(const Request& r) const {
     const ClassSettings& c = ClassOf(r);
-    return !r.may_have_run || c.effect == Effect::kSafe ||
-           (c.effect == Effect::kKeyed && now_ < r.ran_from + c.repeat_window);
+    return !r.may_have_run || c.idempotency == Idempotency::kIdempotent ||
+           (c.idempotency == Idempotency::kIdempotencyKey && now_ < r.ran_from + c.deduplication_window);
   }
 
-  void On(const ClientLeft& e) {
+  void On(const ClientDisconnected& e) {
     Request* r = Find(e.id);
     if (r == nullptr) return;
     Release(*r);
@@ -904,7 +917,7 @@
 
   // A server asked for more than it can do serves nobody within the aim: one more set-up takes from all.
   bool TooFull(const Request& r, int i) const {
-    const bool back = r.info.came_back && Mean() <= kRoomBack;
+    const bool back = r.info.is_reconnect && Mean() <= kRoomBack;
     const double over =
         Estimate(servers_[i]) + Herd(r, back ? 0 : sends_.At(now_)) - (back ? kAdmitBack : kAdmit);
     return servers_[i].has_figure && over > 0 && MayRefuse(r);
@@ -915,7 +928,7 @@
   double Herd(const Request& r, double own) const {
     double size = 0;
     for (const int i : eligible_) size += servers_[i].entry.size;
-    return kHerdPart * LoadOfOne() * (own + (r.info.came_back ? kHerdPrior : 0)) * (set_.gateways - 1) /
+    return kHerdPart * LoadOfOne() * (own + (r.info.is_reconnect ? kHerdPrior : 0)) * (set_.replicas - 1) /
            std::max(1.0, size);
   }
 
@@ -930,13 +943,13 @@
 
   // When the reason to refuse, as known now, will be over: a client told less would be refused again, one
   // told more would lose service that is to be had.
-  Micros ComeBack() const {
+  Micros RetryAfter() const {
     Micros over = std::max(Micros(0), full_until_ - now_);
     if (Overrun()) {  // Faults and successes fade alike, so their excess fades to what is free.
       const double excess = faults_.At(now_) - (kAttemptsPerSuccess - 1) * successes_.At(now_);
       over = std::max(over, FromSeconds(Seconds(kFaultMemory) * std::log(excess / kAttemptsFree)));
     }
-    return std::min(over, set_.longest_advice);
+    return std::min(over, set_.max_retry_after);
   }
 
   // ---- 11 dispatch ----
@@ -957,13 +970,13 @@
     Emit(StartTimer{armed_ - now_});
   }
 
-  void On(const PeersTold& e) {
-    const int i = Index(e.server);
+  void On(const FleetHint& e) {
+    const int i = Index(e.endpoint);
     if (i == kNone) return;
     Server& s = servers_[i];
-    s.others = e.unseen;
-    if ((s.cold_told = e.cold >= 0)) s.cold_tokens = e.cold;
-    if (e.avoid) s.avoid_until = std::max(s.avoid_until, now_ + kAvoidBase);
+    s.others = e.unreported_in_flight;
+    if ((s.cold_told = e.slow_start_tokens >= 0)) s.cold_tokens = e.slow_start_tokens;
+    if (e.eject) s.avoid_until = std::max(s.avoid_until, now_ + kAvoidBase);
   }
 
   void On(const TimerFired&) {}  // Due tasks run after every event.
@@ -995,8 +1008,8 @@
   std::vector<Action>* out_ = nullptr;
   Micros shortest_aim_{0};
   std::vector<Server> servers_;
-  std::unordered_map<ServerId, int> index_;  // Looked up only, never walked: its order is not defined.
-  std::vector<int> eligible_;                // Servers that are ready.
+  std::unordered_map<EndpointId, int> index_;  // Looked up only, never walked: its order is not defined.
+  std::vector<int> eligible_;                  // Servers that are ready.
   std::uint64_t list_round_ = 0;
   bool started_ = false;
   Micros watch_due_{0};  // When a watch is to be asked for, unless its answer comes before; 0: one stands.
@@ -1023,9 +1036,9 @@
 Balancer::Balancer(Balancer&&) noexcept = default;
 Balancer& Balancer::operator=(Balancer&&) noexcept = default;
 
-void Balancer::handle(Micros now, const Event& event, std::vector<Action>& actions) {
+void Balancer::Handle(Micros now, const Event& event, std::vector<Action>& actions) {
   impl_->Handle(now, event, actions);
 }
-std::size_t Balancer::avoided(Micros now) const { return impl_->Avoided(now); }
+std::size_t Balancer::EjectedCount(Micros now) const { return impl_->Avoided(now); }
 
-}  // namespace arrowhatch
+}  // namespace balancer
--- a/src/base/worker.cpp
+++ b/src/base/background_worker.cpp
@@ -1,4 +1,4 @@
-#include "base/worker.h"
+#include "base/background_worker.h"
 
 #include <condition_variable>
 #include <deque>
@@ -9,7 +9,7 @@
 
 namespace stoatrun {
 
-struct Worker::Shared {
+struct BackgroundWorker::Shared {
   std::mutex guard;
   std::condition_variable work, rest;
   std::deque<Job> jobs;
@@ -39,7 +39,7 @@
   }
 };
 
-Worker::Worker(struct ev_loop* loop, std::size_t capacity)
+BackgroundWorker::BackgroundWorker(struct ev_loop* loop, std::size_t capacity)
     : loop_(loop), capacity_(capacity), shared_(std::make_shared<Shared>()) {
   ev_async_init(&async_, OnAsync);
   async_.data = this;
@@ -48,7 +48,7 @@
   shared_->async = &async_;
 }
 
-Worker::~Worker() {
+BackgroundWorker::~BackgroundWorker() {
   bool given_up = false;
   {
     const std::scoped_lock lock(shared_->guard);
@@ -68,7 +68,7 @@
   ev_async_stop(loop_, &async_);
 }
 
-bool Worker::Post(Job job) {
+bool BackgroundWorker::Post(Job job) {
   {
     const std::scoped_lock lock(shared_->guard);
     if (shared_->jobs.size() >= capacity_ || shared_->stop) return false;
@@ -79,17 +79,17 @@
   return true;
 }
 
-bool Worker::Idle() const {
+bool BackgroundWorker::Idle() const {
   const std::scoped_lock lock(shared_->guard);
   return shared_->jobs.empty() && !shared_->running && shared_->replies.empty();
 }
 
-bool Worker::Resting() const {
+bool BackgroundWorker::Resting() const {
   const std::scoped_lock lock(shared_->guard);
   return shared_->jobs.empty() && !shared_->running;
 }
 
-bool Worker::Finish(std::chrono::milliseconds bound) {
+bool BackgroundWorker::Finish(std::chrono::milliseconds bound) {
   const auto end = std::chrono::steady_clock::now() + bound;
   while (!Idle()) {
     {
@@ -107,11 +107,11 @@
   return true;
 }
 
-void Worker::OnAsync(struct ev_loop* /*loop*/, ev_async* w, int /*events*/) {
-  static_cast<Worker*>(w->data)->RunReplies();
+void BackgroundWorker::OnAsync(struct ev_loop* /*loop*/, ev_async* w, int /*events*/) {
+  static_cast<BackgroundWorker*>(w->data)->RunReplies();
 }
 
-void Worker::RunReplies() {
+void BackgroundWorker::RunReplies() {
   std::vector<Reply> replies;
   {
     const std::scoped_lock lock(shared_->guard);
--- a/src/base/worker.h
+++ b/src/base/background_worker.h
@@ -1,7 +1,7 @@
 // A thread for what may block (disk, heavy work), with a bounded queue. The loop posts jobs; what a job
 // returns is run on the loop's thread afterwards.
-#ifndef STOATRUN_BASE_WORKER_H_
-#define STOATRUN_BASE_WORKER_H_
+#ifndef STOATRUN_BASE_BACKGROUND_WORKER_H_
+#define STOATRUN_BASE_BACKGROUND_WORKER_H_
 
 #include <ev.h>
 
@@ -12,17 +12,17 @@
 
 namespace stoatrun {
 
-class Worker {
+class BackgroundWorker {
  public:
   using Reply = std::function<void()>;  // May be empty.
   using Job = std::function<Reply()>;   // Must not throw.
 
   // `capacity`: jobs that may wait. Started at the first job.
-  Worker(struct ev_loop* loop, std::size_t capacity);
+  BackgroundWorker(struct ev_loop* loop, std::size_t capacity);
   // Gives up what waits. Waits for the job that runs, unless Finish has given it up.
-  ~Worker();
-  Worker(const Worker&) = delete;
-  Worker& operator=(const Worker&) = delete;
+  ~BackgroundWorker();
+  BackgroundWorker(const BackgroundWorker&) = delete;
+  BackgroundWorker& operator=(const BackgroundWorker&) = delete;
 
   // False: the queue is full and nothing was taken; the caller keeps its data and comes again.
   bool Post(Job job);
@@ -42,9 +42,9 @@
   struct ev_loop* loop_;
   const std::size_t capacity_;
   ev_async async_{};
-  std::shared_ptr<Shared> shared_;  // Also the thread's: it may outlive the Worker.
+  std::shared_ptr<Shared> shared_;  // Also the thread's: it may outlive the BackgroundWorker.
 };
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_BASE_WORKER_H_
+#endif  // STOATRUN_BASE_BACKGROUND_WORKER_H_
--- a/src/base/deadlines.h
+++ b/src/base/event_loop.h
@@ -1,6 +1,6 @@
 // All deadlines of the relay in one ordered structure, and the loop that drives them with one libev timer.
-#ifndef STOATRUN_BASE_DEADLINES_H_
-#define STOATRUN_BASE_DEADLINES_H_
+#ifndef STOATRUN_BASE_EVENT_LOOP_H_
+#define STOATRUN_BASE_EVENT_LOOP_H_
 
 #include <ev.h>
 
@@ -15,57 +15,57 @@
 
 namespace stoatrun {
 
-class Deadline;
+class Timer;
 
-class Deadlines {
+class TimerQueue {
  public:
   // Runs what is due. What a callback sets anew waits for the next call, even if it is due at once.
-  void RunDue(Micros now);
+  void RunExpired(Micros now);
   // Of the earliest; valid only if not empty.
   Micros Next() const { return order_.begin()->first.first; }
   bool Empty() const { return order_.empty(); }
 
  private:
-  friend class Deadline;
+  friend class Timer;
   using Key = std::pair<Micros, std::uint64_t>;
-  std::map<Key, Deadline*> order_;
+  std::map<Key, Timer*> order_;
   std::uint64_t next_ = 0;
 };
 
 // One deadline, owned by what it guards; taken back when its owner goes.
-class Deadline {
+class Timer {
  public:
-  Deadline(Deadlines& all, std::function<void()> due) : all_(all), due_(std::move(due)) {}
-  ~Deadline() { Cancel(); }
-  Deadline(const Deadline&) = delete;
-  Deadline& operator=(const Deadline&) = delete;
+  Timer(TimerQueue& all, std::function<void()> due) : all_(all), due_(std::move(due)) {}
+  ~Timer() { Cancel(); }
+  Timer(const Timer&) = delete;
+  Timer& operator=(const Timer&) = delete;
 
   void Set(Micros at);
   void Cancel();
   bool IsSet() const { return set_; }
 
  private:
-  friend class Deadlines;
-  Deadlines& all_;
+  friend class TimerQueue;
+  TimerQueue& all_;
   std::function<void()> due_;
-  Deadlines::Key key_{};
+  TimerQueue::Key key_{};
   bool set_ = false;
 };
 
-// One libev loop with the clock and the deadlines. A turn: read the clock, serve the sockets and what is due,
+// One libev loop with the clock and the timers. A turn: read the clock, serve the sockets and what is due,
 // then run the sweepers.
-class Loop {
+class EventLoop {
  public:
-  explicit Loop(Clock::Mode mode = Clock::Mode::kMonotonic);
-  ~Loop();
-  Loop(const Loop&) = delete;
-  Loop& operator=(const Loop&) = delete;
+  explicit EventLoop(Clock::Mode mode = Clock::Mode::kMonotonic);
+  ~EventLoop();
+  EventLoop(const EventLoop&) = delete;
+  EventLoop& operator=(const EventLoop&) = delete;
 
-  struct ev_loop* Raw() {
+  struct ev_loop* native_handle() {
     return loop_;
   }
   Micros Now() const { return clock.Now(); }
-  void AddSweeper(std::function<void()> sweeper) { sweepers_.push_back(std::move(sweeper)); }
+  void AddTurnEndHook(std::function<void()> hook) { turn_end_hooks_.push_back(std::move(hook)); }
   void Run() { ev_run(loop_, 0); }
   void Stop() {
     stopped_ = true;
@@ -76,7 +76,7 @@
   void Poll();
 
   Clock clock;
-  Deadlines deadlines;
+  TimerQueue timers;
 
  private:
   static void OnCheck(struct ev_loop* loop, ev_check* w, int events);
@@ -88,9 +88,9 @@
   ev_prepare prepare_{};
   ev_timer timer_{};
   bool stopped_ = false;
-  std::vector<std::function<void()>> sweepers_;
+  std::vector<std::function<void()>> turn_end_hooks_;
 };
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_BASE_DEADLINES_H_
+#endif  // STOATRUN_BASE_EVENT_LOOP_H_
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -130,7 +130,7 @@
   return *this;
 }
 
-bool LogLimit::Allows(Micros now) {
+bool LogRateLimiter::Allows(Micros now) {
   if (now >= from_ + std::chrono::seconds(1)) {
     from_ = now;
     written_ = 0;
@@ -143,6 +143,6 @@
   return false;
 }
 
-std::uint64_t LogLimit::TakeLeftOut() { return std::exchange(left_out_, 0); }
+std::uint64_t LogRateLimiter::TakeLeftOut() { return std::exchange(left_out_, 0); }
 
 }  // namespace stoatrun
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -63,7 +63,7 @@
 
 // Callers at full speed must not buy CPU by what is logged of them: of entries of one kind only a few a
 // second are written, and the next one tells how many were left out. Counters count them all.
-class LogLimit {
+class LogRateLimiter {
  public:
   bool Allows(Micros now);
   std::uint64_t TakeLeftOut();
--- a/src/fleet/random.h
+++ b/src/base/random.h
@@ -1,7 +1,7 @@
 // A small seeded generator with the few draws that the fleet's modules need: the same everywhere, unlike
 // those of the standard library's distributions.
-#ifndef STOATRUN_FLEET_RANDOM_H_
-#define STOATRUN_FLEET_RANDOM_H_
+#ifndef STOATRUN_BASE_RANDOM_H_
+#define STOATRUN_BASE_RANDOM_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -37,4 +37,4 @@
 
 }  // namespace stoatrun::fleet
 
-#endif  // STOATRUN_FLEET_RANDOM_H_
+#endif  // STOATRUN_BASE_RANDOM_H_
--- a/src/base/slots.h
+++ b/src/base/slot_map.h
@@ -1,6 +1,6 @@
 // Tables of numbered slots. A number names one use of its slot: once the use has ended it finds nothing.
-#ifndef STOATRUN_BASE_SLOTS_H_
-#define STOATRUN_BASE_SLOTS_H_
+#ifndef STOATRUN_BASE_SLOT_MAP_H_
+#define STOATRUN_BASE_SLOT_MAP_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -23,7 +23,7 @@
 };
 
 template <typename T>
-class Slots {
+class SlotMap {
  public:
   // The constructor of T takes the new number first.
   template <typename... Args>
@@ -46,7 +46,7 @@
     return slots_[id.index].value.get();
   }
 
-  // The number finds nothing from here on; the value itself lives until Sweep, for it may be further up the
+  // The number finds nothing from here on; the value itself lives until Reclaim, for it may be further up the
   // stack.
   void Erase(SlotId id) {
     if (Find(id) == nullptr) return;
@@ -55,7 +55,7 @@
     --size_;
   }
 
-  void Sweep() { dead_.clear(); }
+  void Reclaim() { dead_.clear(); }
   std::size_t Size() const { return size_; }
 
   template <typename F>
@@ -78,4 +78,4 @@
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_BASE_SLOTS_H_
+#endif  // STOATRUN_BASE_SLOT_MAP_H_
--- a/src/base/stream.cpp
+++ b/src/base/tcp_connection.cpp
@@ -1,4 +1,4 @@
-#include "base/stream.h"
+#include "base/tcp_connection.h"
 
 #include <arpa/inet.h>
 #include <netinet/tcp.h>
@@ -46,26 +46,26 @@
   return address;
 }
 
-void ReadAway(int fd) {
+void DiscardUnreadInput(int fd) {
   for (int k = 0; k < kMostDrops && DropSome(fd) > 0;) ++k;
 }
 
-Stream::Stream(Loop& loop, StreamHandler& handler, SlotId id)
-    : loop_(loop), handler_(handler), id_(id), look_(loop.deadlines, [this] { Look(); }) {
+TcpConnection::TcpConnection(EventLoop& loop, TcpConnectionHandler& handler, SlotId id)
+    : loop_(loop), handler_(handler), id_(id), peer_reset_check_(loop.timers, [this] { CheckPeerReset(); }) {
   ev_init(&io_, OnIo);
   io_.data = this;
 }
 
-Stream::~Stream() { Close(); }
+TcpConnection::~TcpConnection() { Close(); }
 
-void Stream::Adopt(int fd) {
+void TcpConnection::Adopt(int fd) {
   fd_ = fd;
   const int on = 1;
   setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   Watch();
 }
 
-bool Stream::Connect(const Address& address) {
+bool TcpConnection::Connect(const Address& address) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return false;
   if (connect(fd, reinterpret_cast<const sockaddr*>(&address.raw), sizeof address.raw) != 0 &&
@@ -78,7 +78,7 @@
   return true;
 }
 
-void Stream::Consume(std::size_t n) {
+void TcpConnection::Consume(std::size_t n) {
   n = std::min(n, size_);
   if (n == 0) return;
   std::memmove(in_.get(), in_.get() + n, size_ - n);
@@ -86,25 +86,25 @@
   Watch();
 }
 
-void Stream::Drop() {
+void TcpConnection::DiscardInput() {
   dropping_ = true;
   in_.reset();
   size_ = 0;
   SetReading(true);
 }
 
-void Stream::ReadNow() {
+void TcpConnection::ReadNow() {
   if (!IsUp() || broken_ || in_ended_) return;
   if (reading_ && size_ < kInSize) return ReadSome();
-  Look();
+  CheckPeerReset();
 }
 
-void Stream::SetReading(bool on) {
+void TcpConnection::SetReading(bool on) {
   reading_ = on;
   Watch();
 }
 
-void Stream::Write(std::initializer_list<std::string_view> pieces) {
+void TcpConnection::Write(std::initializer_list<std::string_view> pieces) {
   if (!IsOpen() || finish_ || broken_) return;
   std::size_t written = 0;
   if (Queued() == 0 && !connecting_) {
@@ -129,22 +129,22 @@
   Watch();
 }
 
-void Stream::Finish() {
+void TcpConnection::Finish() {
   finish_ = true;
   if (IsUp() && Queued() == 0) Flush();
 }
 
-void Stream::Close() {
+void TcpConnection::Close() {
   if (fd_ < 0) return;
-  ev_io_stop(loop_.Raw(), &io_);
-  ev_clear_pending(loop_.Raw(), &io_);
-  look_.Cancel();
-  if (dropping_ && !broken_) ReadAway(fd_);
+  ev_io_stop(loop_.native_handle(), &io_);
+  ev_clear_pending(loop_.native_handle(), &io_);
+  peer_reset_check_.Cancel();
+  if (dropping_ && !broken_) DiscardUnreadInput(fd_);
   close(fd_);
   fd_ = -1;
 }
 
-void Stream::Reset() {
+void TcpConnection::Reset() {
   if (fd_ < 0) return;
   const linger hard{1, 0};
   setsockopt(fd_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
@@ -153,56 +153,56 @@
 }
 
 // Writes fail in the middle of what the relay does; the break is told from the loop, where a turn begins.
-void Stream::Break() {
+void TcpConnection::Break() {
   broken_ = true;
-  look_.Cancel();
-  ev_io_stop(loop_.Raw(), &io_);
-  ev_feed_event(loop_.Raw(), &io_, EV_CUSTOM);
+  peer_reset_check_.Cancel();
+  ev_io_stop(loop_.native_handle(), &io_);
+  ev_feed_event(loop_.native_handle(), &io_, EV_CUSTOM);
 }
 
-void Stream::Watch() {
+void TcpConnection::Watch() {
   if (broken_ || !IsOpen()) return;
   const int wanted =
       connecting_ ? EV_WRITE
                   : (reading_ && !in_ended_ && size_ < kInSize ? EV_READ : 0) | (Queued() > 0 ? EV_WRITE : 0);
   if (wanted != 0 || in_ended_) {
-    look_.Cancel();
-  } else if (!look_.IsSet()) {
-    look_.Set(loop_.Now() + kLookEvery);
+    peer_reset_check_.Cancel();
+  } else if (!peer_reset_check_.IsSet()) {
+    peer_reset_check_.Set(loop_.Now() + kLookEvery);
   }
   if (ev_is_active(&io_) && (io_.events & (EV_READ | EV_WRITE)) == wanted) return;
-  ev_io_stop(loop_.Raw(), &io_);
+  ev_io_stop(loop_.native_handle(), &io_);
   if (wanted == 0) return;
   ev_io_set(&io_, fd_, wanted);
-  ev_io_start(loop_.Raw(), &io_);
+  ev_io_start(loop_.native_handle(), &io_);
 }
 
 // The loop tells of a peer's end only to who reads or writes. A full buffer or a reading that is held back
 // does neither, and a client that sent much and left, or a peer that reset, would stand for as long as that
 // lasts.
-void Stream::Look() {
+void TcpConnection::CheckPeerReset() {
   pollfd now{fd_, POLLRDHUP, 0};
   const bool known = poll(&now, 1, 0) > 0;
   if (known && (now.revents & POLLERR) != 0) {
     broken_ = true;
-    look_.Cancel();
-    ev_io_stop(loop_.Raw(), &io_);
-    handler_.OnEnd(id_, StreamEnd::kReset);
+    peer_reset_check_.Cancel();
+    ev_io_stop(loop_.native_handle(), &io_);
+    handler_.OnEnd(id_, ConnectionEnd::kReset);
     return;
   }
   Watch();
   if (known && (now.revents & (POLLRDHUP | POLLHUP)) != 0 && !std::exchange(leaving_, true)) {
-    handler_.OnLeaving(id_);
+    handler_.OnPeerClosing(id_);
   }
 }
 
-void Stream::OnIo(struct ev_loop* /*loop*/, ev_io* w, int events) {
-  static_cast<Stream*>(w->data)->Ready(events);
+void TcpConnection::OnIo(struct ev_loop* /*loop*/, ev_io* w, int events) {
+  static_cast<TcpConnection*>(w->data)->Ready(events);
 }
 
-void Stream::Ready(int events) {
+void TcpConnection::Ready(int events) {
   if (broken_) {
-    handler_.OnEnd(id_, StreamEnd::kReset);
+    handler_.OnEnd(id_, ConnectionEnd::kReset);
     return;
   }
   if (connecting_) {
@@ -210,7 +210,7 @@
     socklen_t size = sizeof error;
     if (getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0) {
       broken_ = true;
-      handler_.OnEnd(id_, StreamEnd::kReset);
+      handler_.OnEnd(id_, ConnectionEnd::kReset);
       return;
     }
     connecting_ = false;
@@ -221,17 +221,17 @@
   }
   if ((events & EV_WRITE) != 0) {
     Flush();
-    if (IsOpen() && !broken_ && Queued() == 0) handler_.OnRoom(id_);
+    if (IsOpen() && !broken_ && Queued() == 0) handler_.OnWritable(id_);
   }
   if ((events & EV_READ) != 0 && IsOpen() && !broken_ && reading_ && !in_ended_) ReadSome();
 }
 
-void Stream::ReadSome() {
+void TcpConnection::ReadSome() {
   if (size_ == kInSize) return Watch();
   if (!in_ && !dropping_) in_ = std::make_unique<char[]>(kInSize);
   const ssize_t n = dropping_ ? DropSome(fd_) : read(fd_, in_.get() + size_, kInSize - size_);
   if (n > 0 && dropping_) {
-    handler_.OnDropped(id_, static_cast<std::size_t>(n));
+    handler_.OnInputDiscarded(id_, static_cast<std::size_t>(n));
   } else if (n > 0) {
     size_ += static_cast<std::size_t>(n);
     Watch();
@@ -239,16 +239,16 @@
   } else if (n == 0) {
     in_ended_ = true;
     Watch();
-    handler_.OnEnd(id_, StreamEnd::kFinished);
+    handler_.OnEnd(id_, ConnectionEnd::kFinished);
   } else if (errno != EAGAIN && errno != EINTR) {
     broken_ = true;
-    look_.Cancel();
-    ev_io_stop(loop_.Raw(), &io_);
-    handler_.OnEnd(id_, StreamEnd::kReset);
+    peer_reset_check_.Cancel();
+    ev_io_stop(loop_.native_handle(), &io_);
+    handler_.OnEnd(id_, ConnectionEnd::kReset);
   }
 }
 
-void Stream::Flush() {
+void TcpConnection::Flush() {
   while (Queued() > 0) {
     const ssize_t n = write(fd_, out_.data() + out_begin_, Queued());
     if (n < 0) {
--- a/src/base/stream.h
+++ b/src/base/tcp_connection.h
@@ -1,7 +1,7 @@
 // One non-blocking socket with bounded buffers; the downstream side, the attempts, probes and discovery share
 // it.
-#ifndef STOATRUN_BASE_STREAM_H_
-#define STOATRUN_BASE_STREAM_H_
+#ifndef STOATRUN_BASE_TCP_CONNECTION_H_
+#define STOATRUN_BASE_TCP_CONNECTION_H_
 
 #include <ev.h>
 #include <netinet/in.h>
@@ -14,8 +14,8 @@
 #include <string>
 #include <string_view>
 
-#include "base/deadlines.h"
-#include "base/slots.h"
+#include "base/event_loop.h"
+#include "base/slot_map.h"
 
 namespace stoatrun {
 
@@ -28,34 +28,34 @@
   }
 };
 
-enum class StreamEnd { kFinished, kReset };  // An orderly end of the peer's sending, or a break.
+enum class ConnectionEnd { kFinished, kReset };  // An orderly end of the peer's sending, or a break.
 
-class StreamHandler {
+class TcpConnectionHandler {
  public:
-  virtual ~StreamHandler() = default;
+  virtual ~TcpConnectionHandler() = default;
   virtual void OnConnected(SlotId /*id*/) {}
   virtual void OnBytes(SlotId id) = 0;
-  virtual void OnDropped(SlotId /*id*/, std::size_t /*size*/) {}
-  virtual void OnEnd(SlotId id, StreamEnd end) = 0;  // At most once a stream.
+  virtual void OnInputDiscarded(SlotId /*id*/, std::size_t /*size*/) {}
+  virtual void OnEnd(SlotId id, ConnectionEnd end) = 0;  // At most once a stream.
   // The peer has ended its sending, though what it sent before is not all read; OnEnd follows once it is.
-  virtual void OnLeaving(SlotId /*id*/) {}
-  virtual void OnRoom(SlotId /*id*/) {}  // All that was queued is written.
+  virtual void OnPeerClosing(SlotId /*id*/) {}
+  virtual void OnWritable(SlotId /*id*/) {}  // All that was queued is written.
 };
 
 // Reads what a socket holds and throws it away: a close over unread bytes is a reset, which may overtake what
 // was written last.
-void ReadAway(int fd);
+void DiscardUnreadInput(int fd);
 
-class Stream {
+class TcpConnection {
  public:
   static constexpr std::size_t kInSize = std::size_t{2} * 4096;  // Two lines of the longest form.
   static constexpr std::size_t kHighWater =
       std::size_t{64} * 1024;  // Queued output over this stops the other side's reading.
 
-  Stream(Loop& loop, StreamHandler& handler, SlotId id);
-  ~Stream();
-  Stream(const Stream&) = delete;
-  Stream& operator=(const Stream&) = delete;
+  TcpConnection(EventLoop& loop, TcpConnectionHandler& handler, SlotId id);
+  ~TcpConnection();
+  TcpConnection(const TcpConnection&) = delete;
+  TcpConnection& operator=(const TcpConnection&) = delete;
 
   void Adopt(int fd);                    // A socket that is up, already non-blocking.
   bool Connect(const Address& address);  // False: refused at once or no descriptor to be had.
@@ -65,11 +65,11 @@
   bool IsUp() const { return IsOpen() && !connecting_; }
   bool IsBroken() const { return broken_; }  // OnEnd tells of it, or is about to.
   // What was read and not consumed. It stays where it is until Consume, also when more comes.
-  std::string_view In() const { return {in_.get(), size_}; }
+  std::string_view input() const { return {in_.get(), size_}; }
   void Consume(std::size_t n);
   void SetReading(bool on);
-  // What was read and what comes is thrown away; OnDropped tells how much came.
-  void Drop();
+  // What was read and what comes is thrown away; OnInputDiscarded tells how much came.
+  void DiscardInput();
   // What the socket holds by now, before the loop tells of it: bytes and the peer's end.
   void ReadNow();
   // A gathered write; what the socket does not take is queued. A break is told by OnEnd, later.
@@ -86,16 +86,16 @@
   void Flush();
   void Break();
   void Watch();
-  void Look();
+  void CheckPeerReset();
 
-  Loop& loop_;
-  StreamHandler& handler_;
+  EventLoop& loop_;
+  TcpConnectionHandler& handler_;
   SlotId id_;
   ev_io io_{};
   int fd_ = -1;
   bool connecting_ = false, reading_ = true, in_ended_ = false, finish_ = false, finished_ = false,
        broken_ = false, dropping_ = false, leaving_ = false;
-  Deadline look_;               // For the peer's end, while nothing is read or written that would tell of it.
+  Timer peer_reset_check_;      // For the peer's end, while nothing is read or written that would tell of it.
   std::unique_ptr<char[]> in_;  // Taken at the first byte: those who say nothing cost none.
   std::size_t size_ = 0;
   std::string out_;
@@ -104,4 +104,4 @@
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_BASE_STREAM_H_
+#endif  // STOATRUN_BASE_TCP_CONNECTION_H_
--- a/src/base/meter.h
+++ b/src/base/usage_meter.h
@@ -1,6 +1,6 @@
 // Whoever counts standing connections, as the relay sees it: the ledger today.
-#ifndef STOATRUN_BASE_METER_H_
-#define STOATRUN_BASE_METER_H_
+#ifndef STOATRUN_BASE_USAGE_METER_H_
+#define STOATRUN_BASE_USAGE_METER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -8,21 +8,21 @@
 
 namespace stoatrun {
 
-struct Ticket {  // Of one standing connection: kept by whoever holds the connection, 16 bytes.
+struct UsageHandle {  // Of one standing connection: kept by whoever holds the connection, 16 bytes.
   std::int64_t since_us = 0;
   std::uint32_t row = 0;
   bool open = false;
 };
 
-class Meter {
+class UsageMeter {
  public:
-  virtual ~Meter() = default;
+  virtual ~UsageMeter() = default;
   // A connection stands from now on: its client is being handed UP. `group` may be empty.
-  virtual Ticket Begin(std::string_view group, std::size_t class_index) = 0;
+  virtual UsageHandle Begin(std::string_view group, std::size_t class_index) = 0;
   // It has ended. A ticket that is not open is passed by.
-  virtual void End(Ticket& ticket) = 0;
+  virtual void End(UsageHandle& ticket) = 0;
 };
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_BASE_METER_H_
+#endif  // STOATRUN_BASE_USAGE_METER_H_
--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -2,8 +2,8 @@
 #include <iostream>
 
 #include "cli/cli.h"
-#include "net/config.h"
-#include "ops/operator_file.h"
+#include "config/config.h"
+#include "config/operator_file.h"
 
 namespace stoatrun::cli {
 
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -5,9 +5,9 @@
 #include <functional>
 #include <iostream>
 
+#include "config/config.h"
+#include "config/operator_file.h"
 #include "ledger/io/store.h"
-#include "net/config.h"
-#include "ops/operator_file.h"
 
 namespace stoatrun::cli {
 
--- a/src/cli/fetch.h
+++ b/src/cli/fetch.h
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <string>
 
-#include "base/stream.h"
+#include "base/tcp_connection.h"
 
 namespace stoatrun::cli {
 
--- a/src/cli/fleet_setup.cpp
+++ b/src/cli/fleet_setup.cpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <random>
 
-#include "fleet/adviser.h"
+#include "fleet/hint_builder.h"
 
 namespace stoatrun::cli {
 
@@ -17,8 +17,8 @@
   return out;
 }
 
-fleet::TalkSetup FleetSetupOf(const Config& config, const config::Fleet& file) {
-  fleet::TalkSetup setup;
+fleet::GossipTransportSetup FleetSetupOf(const Config& config, const config::Fleet& file) {
+  fleet::GossipTransportSetup setup;
   fleet::Settings& s = setup.settings;
   s.fleet = file.name();
   s.slots = file.places();
@@ -59,8 +59,8 @@
   }
   for (const auto& group : config.site.groups) {
     if (!file.quotas() || group.quota < 0) continue;
-    s.budgets.push_back(
-        {fleet::Adviser::Quota(group.name), static_cast<std::uint32_t>(std::floor(group.quota)), Micros(0)});
+    s.budgets.push_back({fleet::HintBuilder::Quota(group.name),
+                         static_cast<std::uint32_t>(std::floor(group.quota)), Micros(0)});
   }
   s.stale = std::chrono::milliseconds(file.stale_ms());
   s.taken_per_s = file.most_taken_per_s();
--- a/src/cli/fleet_setup.h
+++ b/src/cli/fleet_setup.h
@@ -5,14 +5,14 @@
 #include <string>
 #include <vector>
 
-#include "fleet/io/talk.h"
-#include "net/config.h"
-#include "ops/operator_file.h"
+#include "config/config.h"
+#include "config/operator_file.h"
+#include "fleet/io/gossip_transport.h"
 
 namespace stoatrun::cli {
 
 // Throws OperatorError if this relay is not named among the peers.
-fleet::TalkSetup FleetSetupOf(const Config& config, const config::Fleet& file);
+fleet::GossipTransportSetup FleetSetupOf(const Config& config, const config::Fleet& file);
 
 // The groups whose connections count against a budget of all relays.
 std::vector<std::string> QuotasOf(const Config& config, const config::Fleet& file);
--- a/src/cli/ledger.cpp
+++ b/src/cli/ledger.cpp
@@ -18,9 +18,9 @@
 #include "cli/cli.h"
 #include "cli/ledger_setup.h"
 #include "cli/table.h"
+#include "config/operator_file.h"
 #include "ledger/io/export_file.h"
 #include "ledger/io/store.h"
-#include "ops/operator_file.h"
 
 namespace stoatrun::cli {
 namespace {
--- a/src/cli/ledger_setup.cpp
+++ b/src/cli/ledger_setup.cpp
@@ -20,7 +20,7 @@
   setup.accounts.most_strangers = file.most_strangers();
   for (const auto& g : config.site.groups) {
     ledger::GroupSetup group{g.name, std::nullopt};
-    if (g.quota >= 0) group.share_milli = std::llround(g.quota * 1000 / config.site.module.gateways);
+    if (g.quota >= 0) group.share_milli = std::llround(g.quota * 1000 / config.site.module.replicas);
     setup.accounts.groups.push_back(group);
   }
   for (const config::Share& s : file.share()) {
--- a/src/cli/ledger_setup.h
+++ b/src/cli/ledger_setup.h
@@ -2,9 +2,9 @@
 #ifndef STOATRUN_CLI_LEDGER_SETUP_H_
 #define STOATRUN_CLI_LEDGER_SETUP_H_
 
-#include "ledger/io/courier.h"
-#include "ledger/io/keeper.h"
-#include "net/config.h"
+#include "config/config.h"
+#include "ledger/io/export_client.h"
+#include "ledger/io/usage_recorder.h"
 #include "operator.pb.h"
 
 namespace stoatrun::cli {
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -8,19 +8,19 @@
 #include <exception>
 #include <optional>
 
-#include "base/deadlines.h"
+#include "admin/admin_server.h"
+#include "admin/metrics.h"
+#include "base/event_loop.h"
 #include "base/log.h"
 #include "cli/cli.h"
 #include "cli/fleet_setup.h"
 #include "cli/ledger_setup.h"
-#include "fleet/io/seat.h"
+#include "config/config.h"
+#include "config/operator_file.h"
+#include "fleet/io/fleet_member.h"
+#include "fleet/io/gossip_transport.h"
 #include "fleet/io/status.h"
-#include "fleet/io/talk.h"
-#include "net/config.h"
-#include "net/relay.h"
-#include "ops/figures.h"
-#include "ops/management.h"
-#include "ops/operator_file.h"
+#include "proxy/proxy.h"
 
 namespace stoatrun::cli {
 namespace {
@@ -47,8 +47,8 @@
       }
     }
     if (file.has_fleet()) {
-      talk_.emplace(loop_, FleetSetupOf(config, file.fleet()));
-      seat_.emplace(loop_, *talk_, QuotasOf(config, file.fleet()));
+      transport_.emplace(loop_, FleetSetupOf(config, file.fleet()));
+      seat_.emplace(loop_, *transport_, QuotasOf(config, file.fleet()));
     }
     relay_.emplace(loop_, config, keeper_ ? &*keeper_ : nullptr, seat_ ? &*seat_ : nullptr);
     if (config.management) management_.emplace(loop_, static_cast<ManagementEvents&>(*this));
@@ -61,9 +61,9 @@
   }
 
   void Serve(const Config& config) {
-    if (talk_) {
-      talk_->Start();
-      LogLine(Level::kInfo, "fleet").Field("name", file_.fleet().name()).Field("port", talk_->Port());
+    if (transport_) {
+      transport_->Start();
+      LogLine(Level::kInfo, "fleet").Field("name", file_.fleet().name()).Field("port", transport_->Port());
     }
     relay_->Start();
     if (management_) {
@@ -72,7 +72,7 @@
     }
     LogLine(Level::kInfo, "ready").Field("name", config.name).Field("port", relay_->Port());
     loop_.Run();
-    if (talk_) talk_->Leave();
+    if (transport_) transport_->Leave();
     const bool kept = !keeper_ || keeper_->Finish(kLedgerEnd);
     Print();
     // A thread that hangs in a call to the disk can't be waited for, nor may its objects go.
@@ -83,7 +83,7 @@
   void Watch(ev_signal& w, int number, void (*callback)(struct ev_loop*, ev_signal*, int)) {
     ev_signal_init(&w, callback, number);
     w.data = this;
-    ev_signal_start(loop_.Raw(), &w);
+    ev_signal_start(loop_.native_handle(), &w);
   }
   static Service& Of(ev_signal* w) { return *static_cast<Service*>(w->data); }
   static void OnEnd(struct ev_loop* /*loop*/, ev_signal* w, int /*events*/) { Of(w).relay_->Drain(); }
@@ -102,8 +102,8 @@
     const config::OperatorFile file = LoadOperatorFile(common_.operator_path);
     const OperatorChange change = CompareOperatorFiles(file_, file);
     // Made before anything is taken up, for it may find the file in error.
-    const std::optional<fleet::TalkSetup> fleet =
-        talk_ && file.has_fleet() ? std::optional(FleetSetupOf(config, file.fleet())) : std::nullopt;
+    const std::optional<fleet::GossipTransportSetup> fleet =
+        transport_ && file.has_fleet() ? std::optional(FleetSetupOf(config, file.fleet())) : std::nullopt;
     for (const auto& field : change.need_restart)
       LogLine(Level::kWarn, "reload takes a restart").Field("changed", field);
     for (const auto& field : change.taken_up) LogLine(Level::kInfo, "reload").Field("operator", field);
@@ -111,15 +111,15 @@
     relay_->Reload(config);
     // What takes a restart stays as it is in force, so that the next reload tells of it again.
     *file_.mutable_log() = file.log();
-    if (fleet && fleet->settings.self != talk_->Seat().Setup().self) {
+    if (fleet && fleet->settings.self != transport_->LocalNode().Setup().self) {
       LogLine(Level::kWarn, "reload takes a restart").Field("changed", "fleet.peer.place");
     } else if (fleet) {
-      talk_->Follow(fleet->settings.peers, fleet->addresses);
+      transport_->Follow(fleet->settings.peers, fleet->addresses);
       *file_.mutable_fleet()->mutable_peer() = file.fleet().peer();
     }
   }
 
-  bool HasFleet() const override { return talk_.has_value(); }
+  bool HasFleet() const override { return transport_.has_value(); }
   ManagementAnswer OnCall(ManagementCall call) override {
     switch (call) {
       case ManagementCall::kReady:
@@ -136,10 +136,10 @@
         relay_->Activate();
         return relay_->Ready() ? ManagementAnswer{200, "active"} : ManagementAnswer{503, "ending"};
       case ManagementCall::kFleet: {
-        const fleet::TalkCounts& c = talk_->Counts();
-        return {200,
-                fleet::StatusJson(talk_->Seat(), talk_->Name(), relay_->ClassNames(), loop_.Now(),
-                                  {c.not_ours + c.other_schema + c.damaged + c.malformed, c.wrong_address})};
+        const fleet::GossipTransportCounts& c = transport_->Counts();
+        return {200, fleet::StatusJson(
+                         transport_->LocalNode(), transport_->Name(), relay_->ClassNames(), loop_.Now(),
+                         {c.not_ours + c.other_schema + c.damaged + c.malformed, c.wrong_address})};
       }
     }
     return {500, "unknown call"};
@@ -151,20 +151,20 @@
     AddFields(record, relay_->Counts());
     if (keeper_) keeper_->AddFields(record);
     if (courier_) courier_->AddFields(record);
-    if (talk_) {
+    if (transport_) {
       record.Field("legs_held_back", relay_->Counts().legs_held_back);
-      talk_->AddFields(record);
+      transport_->AddFields(record);
     }
   }
 
   const Common& common_;
   config::OperatorFile file_;
-  Loop loop_;
+  EventLoop loop_;
   std::optional<ledger::Keeper> keeper_;
   std::optional<ledger::Courier> courier_;
-  std::optional<fleet::Talk> talk_;
-  std::optional<fleet::Seat> seat_;
-  std::optional<Relay> relay_;  // Ends before what it tells.
+  std::optional<fleet::GossipTransport> transport_;
+  std::optional<fleet::FleetMember> seat_;
+  std::optional<Proxy> relay_;  // Ends before what it tells.
   std::optional<Management> management_;
   ev_signal term_{}, interrupt_{}, usr1_{}, hangup_{};
 };
--- a/src/net/config.cpp
+++ b/src/config/config.cpp
@@ -1,4 +1,4 @@
-#include "net/config.h"
+#include "config/config.h"
 
 #include <algorithm>
 #include <charconv>
@@ -7,14 +7,14 @@
 #include <optional>
 #include <utility>
 
-#include "settings/json.h"
+#include "config/json.h"
 
 namespace stoatrun {
 namespace {
 
 using simdjson::dom::element;
 using simdjson::dom::object;
-using namespace arrowhatch::settings;  // NOLINT(google-build-using-namespace): the shared JSON helpers.
+using namespace balancer::settings;  // NOLINT(google-build-using-namespace): the shared JSON helpers.
 
 std::optional<std::string> Env(const char* name) {
   const char* value = std::getenv(name);  // NOLINT(concurrency-mt-unsafe): there is one thread.
@@ -90,7 +90,7 @@
     c.settings_text = simdjson::minify(*settings);
     if (c.site.class_names.empty()) throw ConfigError("settings.classes: missing or empty");
     c.sockets = static_cast<std::size_t>(std::max(0.0, NumberOr(GetObject(o, "limits"), "sockets", 0)));
-    if (const auto known = Get(o, "known")) c.known = ReadHostList(*known);
+    if (const auto known = Get(o, "known")) c.known = ParseEndpointUpdate(*known);
     return c;
   } catch (const FormError& e) {
     throw ConfigError(e.what());
@@ -99,24 +99,24 @@
 
 }  // namespace
 
-HostList ReadHostList(const element& e) {
+EndpointUpdate ParseEndpointUpdate(const element& e) {
   const object o = AsObject(e, "list");
-  HostList list;
+  EndpointUpdate list;
   if (const auto revision = Get(o, "revision")) list.revision = AsUnsigned(*revision, "revision");
   list.complete = BoolOr(o, "complete", false);
   const auto members = Get(o, "members");
   if (!members) return list;
   for (const element m : AsArray(*members, "members")) {
     const object entry = AsObject(m, "members");
-    HostEntry h;
+    Endpoint h;
     h.id = std::string(TextOr(entry, "id", ""));
     h.address = std::string(TextOr(entry, "host_port", ""));
     h.locality = std::string(TextOr(entry, "locality", ""));
     const std::string_view phase = TextOr(entry, "phase", "ready");
     // A phase of a later protocol is no promise that new work is welcome.
-    h.phase = phase == "ready"  ? HostPhase::kReady
-              : phase == "gone" ? HostPhase::kGone
-                                : HostPhase::kDraining;
+    h.phase = phase == "ready"  ? EndpointState::kReady
+              : phase == "gone" ? EndpointState::kGone
+                                : EndpointState::kDraining;
     h.cell = static_cast<std::uint64_t>(NumberOr(entry, "cell", 0));
     h.size = NumberOr(entry, "size", 1.0);
     h.up_since_ms = static_cast<std::int64_t>(NumberOr(entry, "up_since_ms", 0));
--- a/src/net/config.h
+++ b/src/config/config.h
@@ -1,6 +1,6 @@
 // What a relay is told at its start: the environment and the configuration file.
-#ifndef STOATRUN_NET_CONFIG_H_
-#define STOATRUN_NET_CONFIG_H_
+#ifndef STOATRUN_CONFIG_CONFIG_H_
+#define STOATRUN_CONFIG_CONFIG_H_
 
 #include <simdjson.h>
 
@@ -11,9 +11,9 @@
 #include <string_view>
 
 #include "base/log.h"
-#include "base/stream.h"
-#include "net/hosts.h"
-#include "settings/settings.h"
+#include "base/tcp_connection.h"
+#include "config/site_settings.h"
+#include "endpoint/endpoint_update.h"
 
 namespace stoatrun {
 
@@ -28,8 +28,8 @@
   Address listen, discovery;
   std::string listen_text, discovery_text;
   std::optional<Level> log_level;  // By STOATRUN_LOG.
-  HostList known;
-  arrowhatch::settings::SiteSettings site;
+  EndpointUpdate known;
+  balancer::settings::SiteSettings site;
   std::size_t sockets = 0;  // Descriptors it may hold, by `limits.sockets`; 0: not told.
   // The second address, for the operators' calls (`management`, PROXY_MANAGEMENT); none: not told.
   std::optional<Address> management;
@@ -39,8 +39,8 @@
   std::string settings_text;  // As the file has them, to tell at a reload whether they changed.
 };
 
-// Throws arrowhatch::settings::FormError. Entries without an id or an address are skipped.
-HostList ReadHostList(const simdjson::dom::element& e);
+// Throws balancer::settings::FormError. Entries without an id or an address are skipped.
+EndpointUpdate ParseEndpointUpdate(const simdjson::dom::element& e);
 
 // Throws ConfigError. At the start the environment's values go before the file's. At a reload the file's
 // `discovery` goes first: the environment still names the address of the start.
@@ -51,4 +51,4 @@
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_NET_CONFIG_H_
+#endif  // STOATRUN_CONFIG_CONFIG_H_
--- a/src/settings/json.h
+++ b/src/config/json.h
@@ -1,6 +1,6 @@
 // Typed reads of JSON values whose errors name the field; shared by the simulator's host and the relay.
-#ifndef ARROWHATCH_SETTINGS_JSON_H_
-#define ARROWHATCH_SETTINGS_JSON_H_
+#ifndef STOATRUN_CONFIG_JSON_H_
+#define STOATRUN_CONFIG_JSON_H_
 
 #include <simdjson.h>
 
@@ -10,9 +10,9 @@
 #include <string>
 #include <string_view>
 
-#include "arrowhatch/balancer.h"
+#include "balancer/balancer.h"
 
-namespace arrowhatch::settings {
+namespace balancer::settings {
 
 // A value that is not of the form described. what() names the field.
 class FormError : public std::runtime_error {
@@ -94,6 +94,6 @@
   return e ? AsText(*e, key) : value;
 }
 
-}  // namespace arrowhatch::settings
+}  // namespace balancer::settings
 
-#endif  // ARROWHATCH_SETTINGS_JSON_H_
+#endif  // STOATRUN_CONFIG_JSON_H_
--- a/src/ops/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -1,4 +1,4 @@
-#include "ops/operator_file.h"
+#include "config/operator_file.h"
 
 #include <fmt/format.h>
 #include <google/protobuf/io/tokenizer.h>
@@ -14,7 +14,7 @@
 #include <sstream>
 
 #include "base/name.h"
-#include "base/stream.h"
+#include "base/tcp_connection.h"
 
 namespace stoatrun {
 namespace {
--- a/src/ops/operator_file.h
+++ b/src/config/operator_file.h
@@ -1,6 +1,6 @@
 // Reads and checks the operator file (proto/operator.proto, protobuf text format).
-#ifndef STOATRUN_OPS_OPERATOR_FILE_H_
-#define STOATRUN_OPS_OPERATOR_FILE_H_
+#ifndef STOATRUN_CONFIG_OPERATOR_FILE_H_
+#define STOATRUN_CONFIG_OPERATOR_FILE_H_
 
 #include <stdexcept>
 #include <string>
@@ -33,4 +33,4 @@
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_OPS_OPERATOR_FILE_H_
+#endif  // STOATRUN_CONFIG_OPERATOR_FILE_H_
--- a/src/settings/settings.cpp
+++ b/src/config/site_settings.cpp
@@ -1,4 +1,4 @@
-#include "settings/settings.h"
+#include "config/site_settings.h"
 
 #include <xxhash.h>
 
@@ -6,22 +6,24 @@
 #include <optional>
 #include <utility>
 
-#include "settings/json.h"
+#include "config/json.h"
 
-namespace arrowhatch::settings {
+namespace balancer::settings {
 namespace {
 
 ClassSettings ReadClass(const element& e) {
   const std::optional<object> o = AsObject(e, "facts.classes");
   ClassSettings c;
-  c.aim = TimeOr(o, "target", Micros(0));
-  c.repeat_window = TimeOr(o, "repeatWindow", Micros(0));
-  const std::string_view effect = TextOr(o, "effect", "at_most_once");
-  c.effect = effect == "idempotent"     ? Effect::kSafe
-             : effect == "deduplicated" ? Effect::kKeyed
-                                        : Effect::kUnsafe;
+  c.setup_latency_objective = TimeOr(o, "target", Micros(0));
+  c.deduplication_window = TimeOr(o, "repeatWindow", Micros(0));
+  const std::string_view idempotency = TextOr(o, "effect", "at_most_once");
+  c.idempotency = idempotency == "idempotent"     ? Idempotency::kIdempotent
+                  : idempotency == "deduplicated" ? Idempotency::kIdempotencyKey
+                                                  : Idempotency::kNotIdempotent;
   const std::string_view group = TextOr(o, "group", "cell");  // The narrowest where none is told.
-  c.group = group == "all" ? RepeatGroup::kAll : group == "zone" ? RepeatGroup::kZone : RepeatGroup::kCell;
+  c.deduplication_scope = group == "all"    ? DeduplicationScope::kAll
+                          : group == "zone" ? DeduplicationScope::kZone
+                                            : DeduplicationScope::kCell;
   return c;
 }
 
@@ -33,23 +35,23 @@
   const auto stats = GetObject(*facts, "stats");
   Settings s;
   s.seed = seed;
-  s.gateways = static_cast<std::uint32_t>(std::max(1.0, NumberOr(facts, "balancers", 1)));
+  s.replicas = static_cast<std::uint32_t>(std::max(1.0, NumberOr(facts, "balancers", 1)));
   s.zone = ZoneId(static_cast<std::uint32_t>(NumberOr(facts, "zone", 0)));
   s.list_mode =
       TextOr(facts, "discovery", "automatic") == "subscribe" ? ListMode::kSubscribed : ListMode::kPushed;
   const std::string_view how = TextOr(stats, "how", "off");
-  s.reports = how == "inline"     ? ReportMode::kWithAnswers
-              : how == "on_probe" ? ReportMode::kOnProbe
-                                  : ReportMode::kOff;
+  s.report_mode = how == "inline"     ? ReportMode::kWithAnswers
+                  : how == "on_probe" ? ReportMode::kOnProbe
+                                      : ReportMode::kOff;
   s.probes_allowed = BoolOr(limits, "probes", false);
   s.cancel_allowed = BoolOr(limits, "cancel", false);
   s.max_attempts = static_cast<std::uint32_t>(std::max(1.0, NumberOr(limits, "sendCap", 1)));
-  if (BoolOr(limits, "retryAfter", false)) s.longest_advice = TimeOr(limits, "maxRetryAfter", Micros(0));
-  s.zone_price = NumberOr(prices, "crossZone", 0);
-  s.cold_share = NumberOr(rules, "coldFrom", 1.0);
-  s.cold_time = TimeOr(rules, "cold", Micros(0));
-  s.cold_multiple = NumberOr(rules, "fallMultiple", 1.0);
-  s.cold_window = TimeOr(rules, "fall", Micros(0));
+  if (BoolOr(limits, "retryAfter", false)) s.max_retry_after = TimeOr(limits, "maxRetryAfter", Micros(0));
+  s.zone_crossing_cost = NumberOr(prices, "crossZone", 0);
+  s.slow_start_share = NumberOr(rules, "coldFrom", 1.0);
+  s.slow_start_duration = TimeOr(rules, "cold", Micros(0));
+  s.slow_start_overload_factor = NumberOr(rules, "fallMultiple", 1.0);
+  s.slow_start_window = TimeOr(rules, "fall", Micros(0));
   if (const auto classes = Get(*facts, "classes")) {
     for (const element c : AsArray(*classes, "facts.classes")) s.classes.push_back(ReadClass(c));
   }
@@ -57,7 +59,7 @@
     std::size_t k = 0;
     for (const element aim : AsArray(*aims, "facts.familyInfo.messageAim")) {
       if (k < s.classes.size() && !Absent(aim)) {
-        s.classes[k].message_aim =
+        s.classes[k].message_latency_objective =
             Micros(static_cast<std::int64_t>(AsNumber(aim, "facts.familyInfo.messageAim")));
       }
       ++k;
@@ -114,14 +116,14 @@
 ReportField ReportFieldOf(std::string_view name) {
   // On sockets reports may use the simulator's own words, which WIRE sets beside these.
   if (name == "x0") return ReportField::kLoadRatio;
-  if (name == "utilization" || name == "util") return ReportField::kUtilisation;
+  if (name == "utilization" || name == "util") return ReportField::kUtilization;
   if (name == "outstanding" || name == "inflight") return ReportField::kOutstanding;
   return ReportField::kOther;
 }
 
 void SetField(LoadReport& report, ReportField field, double value) {
   if (field == ReportField::kLoadRatio) report.load_ratio = value;
-  if (field == ReportField::kUtilisation) report.utilisation = value;
+  if (field == ReportField::kUtilization) report.utilization = value;
   if (field == ReportField::kOutstanding) report.outstanding = value;
 }
 
@@ -149,4 +151,4 @@
   return site;
 }
 
-}  // namespace arrowhatch::settings
+}  // namespace balancer::settings
--- a/src/settings/settings.h
+++ b/src/config/site_settings.h
@@ -1,7 +1,7 @@
 // The settings of a deployment, in the one form that the simulator's first message and the relay's
 // configuration share. Parsed here and nowhere else.
-#ifndef ARROWHATCH_SETTINGS_SETTINGS_H_
-#define ARROWHATCH_SETTINGS_SETTINGS_H_
+#ifndef STOATRUN_CONFIG_SITE_SETTINGS_H_
+#define STOATRUN_CONFIG_SITE_SETTINGS_H_
 
 #include <simdjson.h>
 
@@ -10,11 +10,11 @@
 #include <string_view>
 #include <vector>
 
-#include "arrowhatch/balancer.h"
+#include "balancer/balancer.h"
 
-namespace arrowhatch::settings {
+namespace balancer::settings {
 
-enum class ReportField { kLoadRatio, kUtilisation, kOutstanding, kOther };
+enum class ReportField { kLoadRatio, kUtilization, kOutstanding, kOther };
 
 // The field that a load report calls by this name.
 ReportField ReportFieldOf(std::string_view name);
@@ -45,6 +45,6 @@
 // Throws FormError.
 SiteSettings ReadSettings(const simdjson::dom::element& facts, std::uint64_t seed);
 
-}  // namespace arrowhatch::settings
+}  // namespace balancer::settings
 
-#endif  // ARROWHATCH_SETTINGS_SETTINGS_H_
+#endif  // STOATRUN_CONFIG_SITE_SETTINGS_H_
--- a/src/net/discovery.cpp
+++ b/src/endpoint/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "net/discovery.h"
+#include "endpoint/discovery_client.h"
 
 #include <simdjson.h>
 
@@ -6,8 +6,8 @@
 #include <utility>
 
 #include "base/log.h"
-#include "net/config.h"
-#include "settings/json.h"
+#include "config/config.h"
+#include "config/json.h"
 
 namespace stoatrun {
 namespace {
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-Discovery::Discovery(Loop& loop, DiscoveryEvents& events, Counters& counters, const Address& address,
+Discovery::Discovery(EventLoop& loop, DiscoveryEvents& events, Counters& counters, const Address& address,
                      std::string host, std::uint64_t known_revision, const Callers& callers)
     : loop_(loop),
       events_(events),
@@ -39,15 +39,15 @@
       address_(address),
       host_(std::move(host)),
       revision_(known_revision),
-      retry_(loop.deadlines, [this] { Connect(); }),
-      silence_(loop.deadlines, [this] { FallSilent(); }),
+      retry_(loop.timers, [this] { Connect(); }),
+      silence_(loop.timers, [this] { FallSilent(); }),
       backoff_(callers.relays, callers.longest_wait, callers.seed),
       frames_(kMostObject) {
   http_parser_settings_init(&parser_settings_);
   parser_settings_.on_headers_complete = OnStatus;
   parser_settings_.on_body = OnBody;
   parser_settings_.on_message_complete = OnComplete;
-  loop_.AddSweeper([this] { calls_.Sweep(); });
+  loop_.AddTurnEndHook([this] { calls_.Reclaim(); });
 }
 
 void Discovery::Watch() {
@@ -103,7 +103,7 @@
 void Discovery::OnBytes(SlotId id) {
   Call* call = calls_.Find(id);
   if (call == nullptr || id != call_) return;
-  const std::string_view in = call->stream.In();
+  const std::string_view in = call->stream.input();
   const std::size_t used = http_parser_execute(&parser_, &parser_settings_, in.data(), in.size());
   if (calls_.Find(id) == nullptr) return;
   call->stream.Consume(in.size());
@@ -112,8 +112,8 @@
   }
 }
 
-void Discovery::OnEnd(SlotId id, StreamEnd end) {
-  if (id == call_ && calls_.Find(id) != nullptr) Fail(end == StreamEnd::kReset ? "reset" : "ended");
+void Discovery::OnEnd(SlotId id, ConnectionEnd end) {
+  if (id == call_ && calls_.Find(id) != nullptr) Fail(end == ConnectionEnd::kReset ? "reset" : "ended");
 }
 
 void Discovery::FallSilent() {
@@ -170,7 +170,7 @@
 }
 
 bool Discovery::TakeObject(std::string_view object) {
-  HostList list;
+  EndpointUpdate list;
   try {
     simdjson::dom::parser parser;
     simdjson::dom::element root;
@@ -178,8 +178,8 @@
       LogLine(Level::kWarn, "discovery sent what is not JSON,").Field("size", object.size());
       return false;
     }
-    list = ReadHostList(root);
-  } catch (const arrowhatch::settings::FormError& e) {
+    list = ParseEndpointUpdate(root);
+  } catch (const balancer::settings::FormError& e) {
     LogLine(Level::kWarn, "discovery sent a malformed list").Why(e.what());
     return false;
   }
@@ -189,7 +189,7 @@
   backoff_.Reset();
   owes_answer_ = false;
   ++counters_.lists;
-  events_.OnHosts(list);
+  events_.OnEndpointUpdate(list);
   return true;
 }
 
--- a/src/net/discovery.h
+++ b/src/endpoint/discovery_client.h
@@ -1,6 +1,6 @@
 // Discovery: holds a watch on the list of upstream hosts and renews it when it ends, fails or falls silent.
-#ifndef STOATRUN_NET_DISCOVERY_H_
-#define STOATRUN_NET_DISCOVERY_H_
+#ifndef STOATRUN_ENDPOINT_DISCOVERY_CLIENT_H_
+#define STOATRUN_ENDPOINT_DISCOVERY_CLIENT_H_
 
 #include <http_parser.h>
 
@@ -10,22 +10,22 @@
 
 #include "base/backoff.h"
 #include "base/counters.h"
-#include "base/deadlines.h"
-#include "base/slots.h"
-#include "base/stream.h"
-#include "net/hosts.h"
-#include "net/object_frames.h"
+#include "base/event_loop.h"
+#include "base/slot_map.h"
+#include "base/tcp_connection.h"
+#include "endpoint/endpoint_update.h"
+#include "endpoint/json_framing.h"
 
 namespace stoatrun {
 
 class DiscoveryEvents {
  public:
   virtual ~DiscoveryEvents() = default;
-  virtual void OnHosts(const HostList& list) = 0;
+  virtual void OnEndpointUpdate(const EndpointUpdate& list) = 0;
   virtual void OnWatchFailed() = 0;
 };
 
-class Discovery : public StreamHandler {
+class Discovery : public TcpConnectionHandler {
  public:
   struct Callers {             // What paces the calls.
     std::uint32_t relays = 1;  // That share the service, this one included.
@@ -33,23 +33,23 @@
     Micros longest_wait{6'000'000};  // Between two calls.
   };
 
-  Discovery(Loop& loop, DiscoveryEvents& events, Counters& counters, const Address& address, std::string host,
-            std::uint64_t known_revision, const Callers& callers);
+  Discovery(EventLoop& loop, DiscoveryEvents& events, Counters& counters, const Address& address,
+            std::string host, std::uint64_t known_revision, const Callers& callers);
 
-  // Keeps a watch from now on. Answered by one OnHosts or one OnWatchFailed.
+  // Keeps a watch from now on. Answered by one OnEndpointUpdate or one OnWatchFailed.
   void Watch();
   // Holds the watch at another address from now on.
   void MoveTo(const Address& address, std::string host);
 
   void OnConnected(SlotId id) override;
   void OnBytes(SlotId id) override;
-  void OnEnd(SlotId id, StreamEnd end) override;
+  void OnEnd(SlotId id, ConnectionEnd end) override;
 
  private:
   struct Call {
     Call(SlotId slot, Discovery& all) : id(slot), stream(all.loop_, all, slot) {}
     SlotId id;
-    Stream stream;
+    TcpConnection stream;
   };
 
   void Begin();
@@ -64,15 +64,15 @@
   static int OnBody(http_parser* p, const char* at, std::size_t size);
   static int OnComplete(http_parser* p);
 
-  Loop& loop_;
+  EventLoop& loop_;
   DiscoveryEvents& events_;
   Counters& counters_;
   Address address_;
   std::string host_;
   std::uint64_t revision_;
-  Slots<Call> calls_;
+  SlotMap<Call> calls_;
   SlotId call_;
-  Deadline retry_, silence_;
+  Timer retry_, silence_;
   Backoff backoff_;
   bool watching_ = false, owes_answer_ = false, refused_ = false, ended_ = false, malformed_ = false;
   bool spoke_ = false;  // This call has brought a word.
@@ -86,4 +86,4 @@
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_NET_DISCOVERY_H_
+#endif  // STOATRUN_ENDPOINT_DISCOVERY_CLIENT_H_
--- a/src/net/hosts.h
+++ b/src/endpoint/endpoint_update.h
@@ -1,6 +1,6 @@
 // A list of upstream hosts as a source of entries gives it: discovery here, another inventory later.
-#ifndef STOATRUN_NET_HOSTS_H_
-#define STOATRUN_NET_HOSTS_H_
+#ifndef STOATRUN_ENDPOINT_ENDPOINT_UPDATE_H_
+#define STOATRUN_ENDPOINT_ENDPOINT_UPDATE_H_
 
 #include <cstdint>
 #include <string>
@@ -8,22 +8,22 @@
 
 namespace stoatrun {
 
-enum class HostPhase { kReady, kDraining, kGone };
+enum class EndpointState { kReady, kDraining, kGone };
 
-struct HostEntry {
+struct Endpoint {
   std::string id, address, locality;
-  HostPhase phase = HostPhase::kReady;
+  EndpointState phase = EndpointState::kReady;
   std::uint64_t cell = 0;
   double size = 1.0;
   std::int64_t up_since_ms = 0;  // Unix time; 0: long ago.
 };
 
-struct HostList {
+struct EndpointUpdate {
   std::uint64_t revision = 0;
   bool complete = false;
-  std::vector<HostEntry> entries;
+  std::vector<Endpoint> entries;
 };
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_NET_HOSTS_H_
+#endif  // STOATRUN_ENDPOINT_ENDPOINT_UPDATE_H_
--- a/src/net/object_frames.h
+++ b/src/endpoint/json_framing.h
@@ -1,6 +1,6 @@
 // Cuts a stream of JSON objects into whole ones, however they are laid out on lines and cut into pieces.
-#ifndef STOATRUN_NET_OBJECT_FRAMES_H_
-#define STOATRUN_NET_OBJECT_FRAMES_H_
+#ifndef STOATRUN_ENDPOINT_JSON_FRAMING_H_
+#define STOATRUN_ENDPOINT_JSON_FRAMING_H_
 
 #include <cstddef>
 #include <string>
@@ -56,4 +56,4 @@
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_NET_OBJECT_FRAMES_H_
+#endif  // STOATRUN_ENDPOINT_JSON_FRAMING_H_
--- a/src/fleet/counts.cpp
+++ b/src/fleet/connection_counts.cpp
@@ -1,8 +1,8 @@
-#include "fleet/counts.h"
+#include "fleet/connection_counts.h"
 
 #include <algorithm>
 
-#include "fleet/planted.h"
+#include "fleet/injected_fault.h"
 
 namespace stoatrun::fleet {
 namespace {
--- a/src/fleet/counts.h
+++ b/src/fleet/connection_counts.h
@@ -11,8 +11,8 @@
 // its open ones may have ended in any way, and it holds between none and `most_open`. A run that is over
 // holds none; what it may have done between its last report and its end is widened likewise. A relay of which
 // nothing was heard makes the sum unbounded above.
-#ifndef STOATRUN_FLEET_COUNTS_H_
-#define STOATRUN_FLEET_COUNTS_H_
+#ifndef STOATRUN_FLEET_CONNECTION_COUNTS_H_
+#define STOATRUN_FLEET_CONNECTION_COUNTS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -25,8 +25,8 @@
 #include <utility>
 #include <vector>
 
+#include "base/random.h"
 #include "fleet/message.h"
-#include "fleet/random.h"
 #include "fleet/types.h"
 
 namespace stoatrun::fleet {
@@ -183,4 +183,4 @@
 
 }  // namespace stoatrun::fleet
 
-#endif  // STOATRUN_FLEET_COUNTS_H_
+#endif  // STOATRUN_FLEET_CONNECTION_COUNTS_H_
--- a/src/fleet/planted.h
+++ b/src/fleet/injected_fault.h
@@ -1,7 +1,7 @@
 // Faults that the fleet's own tests plant, to see that the checker of histories can fail. The program is
-// built without STOATRUN_PLANT: then every question here is `false` at compile time.
-#ifndef STOATRUN_FLEET_PLANTED_H_
-#define STOATRUN_FLEET_PLANTED_H_
+// built without STOATRUN_INJECT_FAULTS: then every question here is `false` at compile time.
+#ifndef STOATRUN_FLEET_INJECTED_FAULT_H_
+#define STOATRUN_FLEET_INJECTED_FAULT_H_
 
 namespace stoatrun::fleet {
 
@@ -23,7 +23,7 @@
   kHearsayBeforeOwn,         // What others say goes before what was seen here.
 };
 
-#ifdef STOATRUN_PLANT
+#ifdef STOATRUN_INJECT_FAULTS
 inline thread_local Fault planted = Fault::kNone;
 inline bool Planted(Fault fault) { return planted == fault; }
 #else
@@ -32,4 +32,4 @@
 
 }  // namespace stoatrun::fleet
 
-#endif  // STOATRUN_FLEET_PLANTED_H_
+#endif  // STOATRUN_FLEET_INJECTED_FAULT_H_
--- a/src/fleet/io/talk.cpp
+++ b/src/fleet/io/gossip_transport.cpp
@@ -1,4 +1,4 @@
-#include "fleet/io/talk.h"
+#include "fleet/io/gossip_transport.h"
 
 #include <arpa/inet.h>
 #include <sys/socket.h>
@@ -16,29 +16,29 @@
 constexpr int kDatagramsATurn = 64;
 constexpr std::array<std::string_view, 4> kStandings{"alive", "suspected", "silent", "left"};
 
-Life FirstLife(const TalkSetup& setup) {
+Life FirstLife(const GossipTransportSetup& setup) {
   return {static_cast<std::uint64_t>(std::max<std::int64_t>(1, setup.wall_ms)),
           Mixed(setup.seed, 0x11fe) | 1U};
 }
 
 }  // namespace
 
-Talk::Talk(Loop& loop, const TalkSetup& setup)
+GossipTransport::GossipTransport(EventLoop& loop, const GossipTransportSetup& setup)
     : loop_(loop),
       setup_(setup),
       node_(setup.settings, setup.name, FirstLife(setup), Mixed(setup.seed, 0xf1ee7), loop.Now()),
-      tick_(loop.deadlines, [this] { Tick(); }) {
+      tick_(loop.timers, [this] { Tick(); }) {
   ev_init(&io_, OnReadable);
   io_.data = this;
 }
 
-Talk::~Talk() {
+GossipTransport::~GossipTransport() {
   if (fd_ < 0) return;
-  ev_io_stop(loop_.Raw(), &io_);
+  ev_io_stop(loop_.native_handle(), &io_);
   close(fd_);
 }
 
-void Talk::Start() {
+void GossipTransport::Start() {
   const int fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) throw std::system_error(errno, std::generic_category(), "fleet: socket");
   // No address is shared: a second process of this name on this machine must be told so.
@@ -49,32 +49,32 @@
   }
   fd_ = fd;
   ev_io_set(&io_, fd_, EV_READ);
-  ev_io_start(loop_.Raw(), &io_);
+  ev_io_start(loop_.native_handle(), &io_);
   Tick();
 }
 
-int Talk::Port() const {
+int GossipTransport::Port() const {
   sockaddr_in bound{};
   socklen_t size = sizeof bound;
   return getsockname(fd_, reinterpret_cast<sockaddr*>(&bound), &size) == 0 ? ntohs(bound.sin_port) : 0;
 }
 
-void Talk::Leave() {
+void GossipTransport::Leave() {
   if (fd_ < 0) return;
   Out out;
   node_.Leave(loop_.Now(), out);
   Send(out);
   tick_.Cancel();
-  ev_io_stop(loop_.Raw(), &io_);
+  ev_io_stop(loop_.native_handle(), &io_);
   close(std::exchange(fd_, -1));
 }
 
-void Talk::Follow(const std::vector<Peer>& peers, const std::map<Slot, Address>& addresses) {
+void GossipTransport::Follow(const std::vector<Peer>& peers, const std::map<Slot, Address>& addresses) {
   setup_.addresses = addresses;
   node_.Follow(peers, loop_.Now());
 }
 
-bool Talk::Spend(const std::string& budget) {
+bool GossipTransport::Spend(const std::string& budget) {
   loop_.clock.Read();
   Out out;
   const bool spent = node_.Spend(loop_.Now(), budget, out);
@@ -82,11 +82,11 @@
   return spent;
 }
 
-void Talk::OnReadable(struct ev_loop* /*loop*/, ev_io* w, int /*events*/) {
-  static_cast<Talk*>(w->data)->Read();
+void GossipTransport::OnReadable(struct ev_loop* /*loop*/, ev_io* w, int /*events*/) {
+  static_cast<GossipTransport*>(w->data)->Read();
 }
 
-void Talk::Read() {
+void GossipTransport::Read() {
   std::array<char, 2048> buffer;  // Over the largest datagram: a longer one is cut, and its checksum fails.
   for (int k = 0; k < kDatagramsATurn; ++k) {
     Address from;
@@ -129,7 +129,7 @@
   }
 }
 
-void Talk::Send(const Out& out) {
+void GossipTransport::Send(const Out& out) {
   if (fd_ < 0) return;
   for (const Outgoing& o : out) {
     const auto address = setup_.addresses.find(o.to);
@@ -147,7 +147,7 @@
   }
 }
 
-void Talk::Tick() {
+void GossipTransport::Tick() {
   Out out;
   node_.Tick(loop_.Now(), out);
   Send(out);
@@ -156,7 +156,7 @@
 }
 
 // What on-call staff should see, once each time it changes.
-void Talk::Say() {
+void GossipTransport::Say() {
   for (const auto& m : node_.Members().Members()) {
     const auto [at, fresh] = said_.try_emplace(m.slot, Standing::kSilent);
     if (at->second != m.standing) {
@@ -183,7 +183,7 @@
   }
 }
 
-void Talk::AddFields(LogLine& record) const {
+void GossipTransport::AddFields(LogLine& record) const {
   record.Field("fleet_received", counts_.received)
       .Field("fleet_sent", counts_.sent)
       .Field("fleet_bytes_out", counts_.bytes_out)
--- a/src/fleet/io/talk.h
+++ b/src/fleet/io/gossip_transport.h
@@ -2,8 +2,8 @@
 //
 // A datagram counts as a peer's only if it came from the address that the operator file gives for it. What
 // can't be sent now is dropped: everything that relays tell each other is told again.
-#ifndef STOATRUN_FLEET_IO_TALK_H_
-#define STOATRUN_FLEET_IO_TALK_H_
+#ifndef STOATRUN_FLEET_IO_GOSSIP_TRANSPORT_H_
+#define STOATRUN_FLEET_IO_GOSSIP_TRANSPORT_H_
 
 #include <ev.h>
 
@@ -12,15 +12,15 @@
 #include <string>
 #include <string_view>
 
-#include "base/deadlines.h"
+#include "base/event_loop.h"
 #include "base/log.h"
-#include "base/stream.h"
+#include "base/tcp_connection.h"
 #include "fleet/io/codec.h"
 #include "fleet/node.h"
 
 namespace stoatrun::fleet {
 
-struct TalkSetup {
+struct GossipTransportSetup {
   Settings settings;
   std::string name;
   Address listen;
@@ -30,17 +30,17 @@
   std::int64_t wall_ms = 0;  // Unix time of the start: the life's generation.
 };
 
-struct TalkCounts {
+struct GossipTransportCounts {
   std::uint64_t received = 0, sent = 0, bytes_in = 0, bytes_out = 0, not_ours = 0, other_schema = 0,
                 damaged = 0, malformed = 0, wrong_address = 0, send_failed = 0;
 };
 
-class Talk {
+class GossipTransport {
  public:
-  Talk(Loop& loop, const TalkSetup& setup);
-  ~Talk();
-  Talk(const Talk&) = delete;
-  Talk& operator=(const Talk&) = delete;
+  GossipTransport(EventLoop& loop, const GossipTransportSetup& setup);
+  ~GossipTransport();
+  GossipTransport(const GossipTransport&) = delete;
+  GossipTransport& operator=(const GossipTransport&) = delete;
 
   void Start();  // Throws std::system_error if the address can't be had.
   void Leave();  // An orderly end: tells a few, and closes.
@@ -49,10 +49,10 @@
   // Takes one unit of a budget. The clock is read here, so that a process that was stopped in the middle of a
   // turn finds its lease over.
   bool Spend(const std::string& budget);
-  Node& Seat() { return node_; }
-  const Node& Seat() const { return node_; }
+  Node& LocalNode() { return node_; }
+  const Node& LocalNode() const { return node_; }
   const std::string& Name() const { return setup_.name; }
-  const TalkCounts& Counts() const { return counts_; }
+  const GossipTransportCounts& Counts() const { return counts_; }
   void AddFields(LogLine& record) const;
   int Port() const;
 
@@ -63,13 +63,13 @@
   void Tick();
   void Say();
 
-  Loop& loop_;
-  TalkSetup setup_;
+  EventLoop& loop_;
+  GossipTransportSetup setup_;
   Node node_;
   ev_io io_{};
   int fd_ = -1;
-  Deadline tick_;
-  TalkCounts counts_;
+  Timer tick_;
+  GossipTransportCounts counts_;
   std::map<Slot, Standing> said_;  // As it was logged last.
   bool said_twins_ = false, said_unbalanced_ = false;
   std::map<Slot, bool> said_peer_twins_;
@@ -77,4 +77,4 @@
 
 }  // namespace stoatrun::fleet
 
-#endif  // STOATRUN_FLEET_IO_TALK_H_
+#endif  // STOATRUN_FLEET_IO_GOSSIP_TRANSPORT_H_
--- a/src/fleet/membership.h
+++ b/src/fleet/membership.h
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
+#include "base/random.h"
 #include "fleet/message.h"
-#include "fleet/random.h"
 #include "fleet/types.h"
 
 namespace stoatrun::fleet {
--- a/src/fleet/node.h
+++ b/src/fleet/node.h
@@ -14,12 +14,12 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/budget.h"
-#include "fleet/counts.h"
-#include "fleet/judgement.h"
+#include "base/random.h"
+#include "fleet/connection_counts.h"
 #include "fleet/membership.h"
 #include "fleet/message.h"
-#include "fleet/random.h"
+#include "fleet/outlier_consensus.h"
+#include "fleet/quota_leases.h"
 #include "fleet/types.h"
 
 namespace stoatrun::fleet {
--- a/src/fleet/judgement.cpp
+++ b/src/fleet/outlier_consensus.cpp
@@ -1,9 +1,9 @@
-#include "fleet/judgement.h"
+#include "fleet/outlier_consensus.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "fleet/planted.h"
+#include "fleet/injected_fault.h"
 
 namespace stoatrun::fleet {
 namespace {
--- a/src/fleet/judgement.h
+++ b/src/fleet/outlier_consensus.h
@@ -9,8 +9,8 @@
 //  - a witness that finds more than half of the servers bad speaks of its own link, and one that was often
 //  found wrong
 //    here is not heard for a while.
-#ifndef STOATRUN_FLEET_JUDGEMENT_H_
-#define STOATRUN_FLEET_JUDGEMENT_H_
+#ifndef STOATRUN_FLEET_OUTLIER_CONSENSUS_H_
+#define STOATRUN_FLEET_OUTLIER_CONSENSUS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -104,4 +104,4 @@
 
 }  // namespace stoatrun::fleet
 
-#endif  // STOATRUN_FLEET_JUDGEMENT_H_
+#endif  // STOATRUN_FLEET_OUTLIER_CONSENSUS_H_
--- a/src/fleet/budget.cpp
+++ b/src/fleet/quota_leases.cpp
@@ -1,9 +1,9 @@
-#include "fleet/budget.h"
+#include "fleet/quota_leases.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "fleet/planted.h"
+#include "fleet/injected_fault.h"
 
 namespace stoatrun::fleet {
 namespace {
--- a/src/fleet/budget.h
+++ b/src/fleet/quota_leases.h
@@ -19,8 +19,8 @@
 // more and gives up what is over), but the lender has the units back only when the borrower says so, or when
 // a new run of the borrower is heard of, as the connections ended with the former one. A new run of a lender
 // has the part that it lends back when all others have said what they hold of it.
-#ifndef STOATRUN_FLEET_BUDGET_H_
-#define STOATRUN_FLEET_BUDGET_H_
+#ifndef STOATRUN_FLEET_QUOTA_LEASES_H_
+#define STOATRUN_FLEET_QUOTA_LEASES_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -32,8 +32,8 @@
 #include <utility>
 #include <vector>
 
+#include "base/random.h"
 #include "fleet/message.h"
-#include "fleet/random.h"
 #include "fleet/types.h"
 
 namespace stoatrun::fleet {
@@ -166,4 +166,4 @@
 
 }  // namespace stoatrun::fleet
 
-#endif  // STOATRUN_FLEET_BUDGET_H_
+#endif  // STOATRUN_FLEET_QUOTA_LEASES_H_
--- a/src/ledger/accounts.cpp
+++ b/src/ledger/accounts.cpp
@@ -92,7 +92,7 @@
   for (Group& group : groups_) Settle(group, now_us);
 }
 
-Ticket Accounts::Begin(Micros now, std::string_view group, std::size_t class_index) {
+UsageHandle Accounts::Begin(Micros now, std::string_view group, std::size_t class_index) {
   Advance(now);
   const std::uint32_t number = GroupNamed(group);
   const std::uint32_t index = RowOf(number, class_index);
@@ -110,7 +110,7 @@
   return {now.count(), index, true};
 }
 
-void Accounts::End(Micros now, Ticket& ticket) {
+void Accounts::End(Micros now, UsageHandle& ticket) {
   if (!ticket.open) return;
   Advance(now);
   Row& row = rows_[ticket.row];
--- a/src/ledger/accounts.h
+++ b/src/ledger/accounts.h
@@ -20,7 +20,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "base/meter.h"
+#include "base/usage_meter.h"
 #include "ledger/posting.h"
 
 namespace stoatrun::ledger {
@@ -44,8 +44,8 @@
 
   // An empty name is a missing group. Names beyond `most_strangers`, or not of a name's form, share one row:
   // callers must not buy memory with names.
-  Ticket Begin(Micros now, std::string_view group, std::size_t class_index);
-  void End(Micros now, Ticket& ticket);
+  UsageHandle Begin(Micros now, std::string_view group, std::size_t class_index);
+  void End(Micros now, UsageHandle& ticket);
 
   // Compares the wall clock with what the monotonic one led to expect. A difference over the slack is a step:
   // it is recorded, and the period that holds the new time goes on from here. A smaller one moves the
--- a/src/ledger/io/courier.cpp
+++ b/src/ledger/io/export_client.cpp
@@ -1,4 +1,4 @@
-#include "ledger/io/courier.h"
+#include "ledger/io/export_client.h"
 
 #include <fmt/format.h>
 #include <simdjson.h>
@@ -30,20 +30,20 @@
 
 }  // namespace
 
-Courier::Courier(Loop& loop, Keeper& keeper, const CourierSetup& setup)
+Courier::Courier(EventLoop& loop, Keeper& keeper, const CourierSetup& setup)
     : loop_(loop),
       keeper_(keeper),
       setup_(setup),
       delivery_(setup.delivery),
       random_(setup.seed),
-      due_(loop.deadlines, [this] { Send(); }),
-      patience_(loop.deadlines, [this] { Finish({}); }) {
+      due_(loop.timers, [this] { Send(); }),
+      patience_(loop.timers, [this] { Finish({}); }) {
   http_parser_settings_init(&parser_settings_);
   parser_settings_.on_header_field = OnField;
   parser_settings_.on_header_value = OnValue;
   parser_settings_.on_body = OnBody;
   parser_settings_.on_message_complete = OnComplete;
-  loop_.AddSweeper([this] { calls_.Sweep(); });
+  loop_.AddTurnEndHook([this] { calls_.Reclaim(); });
   keeper_.OnState([this](const StoreState& state) { TakeState(state); });
 }
 
@@ -101,7 +101,7 @@
 void Courier::OnBytes(SlotId id) {
   Call* call = calls_.Find(id);
   if (call == nullptr || id != call_) return;
-  const std::string_view in = call->stream.In();
+  const std::string_view in = call->stream.input();
   const std::size_t used = http_parser_execute(&parser_, &parser_settings_, in.data(), in.size());
   const std::size_t size = in.size();
   call->stream.Consume(size);
@@ -110,7 +110,7 @@
 }
 
 // An answer without a length ends with its connection.
-void Courier::OnEnd(SlotId id, StreamEnd /*end*/) {
+void Courier::OnEnd(SlotId id, ConnectionEnd /*end*/) {
   if (id != call_ || calls_.Find(id) == nullptr) return;
   http_parser_execute(&parser_, &parser_settings_, nullptr, 0);
   Finish(complete_ ? ReadAnswer() : Answer{});
--- a/src/ledger/io/courier.h
+++ b/src/ledger/io/export_client.h
@@ -3,8 +3,8 @@
 // The request: POST PATH, `Content-Type: application/x-ndjson`, `Idempotency-Key: RELAY-BOOK-FROM-TO-HASH`
 // (HASH: of the last line). The answer, 200 or 409: {"seq":N,"hash":"..."}, the last record of this book that
 // the receiver holds durably. Anything else is no receipt.
-#ifndef STOATRUN_LEDGER_IO_COURIER_H_
-#define STOATRUN_LEDGER_IO_COURIER_H_
+#ifndef STOATRUN_LEDGER_IO_EXPORT_CLIENT_H_
+#define STOATRUN_LEDGER_IO_EXPORT_CLIENT_H_
 
 #include <http_parser.h>
 
@@ -13,11 +13,11 @@
 #include <string>
 #include <string_view>
 
-#include "base/deadlines.h"
-#include "base/slots.h"
-#include "base/stream.h"
+#include "base/event_loop.h"
+#include "base/slot_map.h"
+#include "base/tcp_connection.h"
 #include "ledger/delivery.h"
-#include "ledger/io/keeper.h"
+#include "ledger/io/usage_recorder.h"
 
 namespace stoatrun::ledger {
 
@@ -33,9 +33,9 @@
   std::uint64_t requests = 0, records = 0, failures = 0, refused = 0, disagreements = 0;
 };
 
-class Courier : public StreamHandler {
+class Courier : public TcpConnectionHandler {
  public:
-  Courier(Loop& loop, Keeper& keeper, const CourierSetup& setup);
+  Courier(EventLoop& loop, Keeper& keeper, const CourierSetup& setup);
 
   const CourierCounters& Counts() const { return counts_; }
   std::uint64_t Backlog() const { return delivery_.Backlog(); }
@@ -43,13 +43,13 @@
 
   void OnConnected(SlotId id) override;
   void OnBytes(SlotId id) override;
-  void OnEnd(SlotId id, StreamEnd end) override;
+  void OnEnd(SlotId id, ConnectionEnd end) override;
 
  private:
   struct Call {
     Call(SlotId slot, Courier& all) : id(slot), stream(all.loop_, all, slot) {}
     SlotId id;
-    Stream stream;
+    TcpConnection stream;
   };
   void TakeState(const StoreState& state);
   void Wait();
@@ -65,23 +65,23 @@
   static int OnBody(http_parser* p, const char* at, std::size_t size);
   static int OnComplete(http_parser* p);
 
-  Loop& loop_;
+  EventLoop& loop_;
   Keeper& keeper_;
   const CourierSetup setup_;
   Delivery delivery_;
   std::mt19937_64 random_;
   StoreState state_;
-  Deadline due_, patience_;
-  Slots<Call> calls_;
+  Timer due_, patience_;
+  SlotMap<Call> calls_;
   SlotId call_;
   std::string request_, field_, body_, retry_after_;
   bool complete_ = false, begun_ = false;
   http_parser parser_{};
   http_parser_settings parser_settings_{};
   CourierCounters counts_;
-  LogLimit told_;
+  LogRateLimiter told_;
 };
 
 }  // namespace stoatrun::ledger
 
-#endif  // STOATRUN_LEDGER_IO_COURIER_H_
+#endif  // STOATRUN_LEDGER_IO_EXPORT_CLIENT_H_
--- a/src/ledger/io/sqlite.cpp
+++ b/src/ledger/io/sqlite.cpp
@@ -26,12 +26,13 @@
 
 Query::Query(Sql& db, std::string_view sql) : db_(db) {
   sqlite3_stmt* raw = nullptr;
-  const int code = sqlite3_prepare_v2(db.Raw(), sql.data(), static_cast<int>(sql.size()), &raw, nullptr);
+  const int code =
+      sqlite3_prepare_v2(db.native_handle(), sql.data(), static_cast<int>(sql.size()), &raw, nullptr);
   statement_.reset(raw);
   if (code != SQLITE_OK) Fail(code);
 }
 
-void Query::Fail(int code) { throw SqlError(code, sqlite3_errmsg(db_.Raw())); }
+void Query::Fail(int code) { throw SqlError(code, sqlite3_errmsg(db_.native_handle())); }
 
 Query& Query::Bind(std::int64_t value) {
   if (const int code = sqlite3_bind_int64(statement_.get(), ++bound_, value); code != SQLITE_OK) Fail(code);
@@ -66,8 +67,8 @@
 
 Transaction::~Transaction() {
   // After an error SQLite may have rolled back by itself; then there is none to roll back.
-  if (!done_ && sqlite3_get_autocommit(db_.Raw()) == 0) {
-    sqlite3_exec(db_.Raw(), "ROLLBACK", nullptr, nullptr, nullptr);
+  if (!done_ && sqlite3_get_autocommit(db_.native_handle()) == 0) {
+    sqlite3_exec(db_.native_handle(), "ROLLBACK", nullptr, nullptr, nullptr);
   }
 }
 
--- a/src/ledger/io/sqlite.h
+++ b/src/ledger/io/sqlite.h
@@ -24,7 +24,7 @@
   // Throws SqlError. `vfs`: null for the system's.
   Sql(const std::string& path, int flags, const char* vfs);
   void Do(const char* sql);  // Statements without values; throws SqlError.
-  sqlite3* Raw() { return db_.get(); }
+  sqlite3* native_handle() { return db_.get(); }
   std::int64_t Changes() { return sqlite3_changes64(db_.get()); }
 
  private:
--- a/src/ledger/io/store.cpp
+++ b/src/ledger/io/store.cpp
@@ -117,7 +117,7 @@
 void Store::Open(const StoreSetup& setup) {
   const int create = setup.lock_folder ? SQLITE_OPEN_CREATE : 0;
   db_.emplace(path_, SQLITE_OPEN_READWRITE | create, CheckedVfs(setup.vfs));
-  Prepare(db_->Raw());
+  Prepare(db_->native_handle());
   db_->Do("PRAGMA page_size = 4096");
   // A commit is in force when its journal's end is on the disk, the folder's entry included.
   db_->Do(
@@ -206,7 +206,7 @@
         .Bind(wall_us)
         .Bind(wall_us)
         .Run();
-    const std::int64_t run = sqlite3_last_insert_rowid(db_->Raw());
+    const std::int64_t run = sqlite3_last_insert_rowid(db_->native_handle());
     t.Commit();
     run_ = run;
     return run;
@@ -264,7 +264,7 @@
       .Bind(last.Int(0))
       .Bind(posting.period_s)
       .Run();
-  return sqlite3_last_insert_rowid(db_->Raw());
+  return sqlite3_last_insert_rowid(db_->native_handle());
 }
 
 void Store::Apply(const Posting& posting, const OpenCounts& open) {
@@ -506,7 +506,7 @@
     try {
       // Holds the read lock, so that no page changes under the check.
       const std::string head = Meta("head_seq");
-      if (const auto page = FirstBadPage(db_->Raw()))
+      if (const auto page = FirstBadPage(db_->native_handle()))
         wrong.push_back(fmt::format("{}: page {} is damaged", path_, *page));
       Query check(*db_, "PRAGMA integrity_check");
       while (check.Step()) {
--- a/src/ledger/io/keeper.cpp
+++ b/src/ledger/io/usage_recorder.cpp
@@ -1,4 +1,4 @@
-#include "ledger/io/keeper.h"
+#include "ledger/io/usage_recorder.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,25 +12,25 @@
 
 }  // namespace
 
-Keeper::Keeper(Loop& loop, const KeeperSetup& setup, WallClock wall)
+Keeper::Keeper(EventLoop& loop, const KeeperSetup& setup, WallClock wall)
     : loop_(loop),
       setup_(setup),
       wall_(std::move(wall)),
       accounts_(setup.accounts, loop.Now(), wall_()),
       began_{accounts_.WallAt(loop.Now()).count(), accounts_.PeriodStart()},
-      checkpoint_(loop.deadlines, [this] { Due(); }),
-      worker_(loop.Raw(), kJobs) {
+      checkpoint_(loop.timers, [this] { Due(); }),
+      worker_(loop.native_handle(), kJobs) {
   Due();
 }
 
 Keeper::~Keeper() = default;
 
-Ticket Keeper::Begin(std::string_view group, std::size_t class_index) {
+UsageHandle Keeper::Begin(std::string_view group, std::size_t class_index) {
   ++counts_.begun;
   return accounts_.Begin(loop_.Now(), group, class_index);
 }
 
-void Keeper::End(Ticket& ticket) {
+void Keeper::End(UsageHandle& ticket) {
   if (ticket.open) ++counts_.ended;
   accounts_.End(loop_.Now(), ticket);
 }
@@ -97,7 +97,7 @@
   const std::vector<Posting> postings(backlog_.begin(), backlog_.end());
   const std::int64_t wall_us = accounts_.WallAt(loop_.Now()).count();
   const auto job = [this, disk = disk_, setup = setup_.store, postings, open = accounts_.OpenByGroup(),
-                    began = began_, wall_us, ending]() -> Worker::Reply {
+                    began = began_, wall_us, ending]() -> BackgroundWorker::Reply {
     const Result result = KeepOnDisk(*disk, setup, postings, open, began, wall_us, ending);
     return [this, result] { Take(result); };
   };
@@ -157,22 +157,23 @@
 }
 
 bool Keeper::WithStore(std::function<void(Store&)> job, std::function<void(bool ok)> reply) {
-  return worker_.Post([disk = disk_, job = std::move(job), reply = std::move(reply)]() -> Worker::Reply {
-    bool ok = false;
-    std::string why = "there is no store";
-    try {
-      if (disk->store) {
-        job(*disk->store);
-        ok = true;
-      }
-    } catch (const StoreError& e) {
-      why = e.what();
-    }
-    return [reply, ok, why] {
-      if (!ok) LogLine(Level::kWarn, "ledger store call failed").Why(why);
-      reply(ok);
-    };
-  });
+  return worker_.Post(
+      [disk = disk_, job = std::move(job), reply = std::move(reply)]() -> BackgroundWorker::Reply {
+        bool ok = false;
+        std::string why = "there is no store";
+        try {
+          if (disk->store) {
+            job(*disk->store);
+            ok = true;
+          }
+        } catch (const StoreError& e) {
+          why = e.what();
+        }
+        return [reply, ok, why] {
+          if (!ok) LogLine(Level::kWarn, "ledger store call failed").Why(why);
+          reply(ok);
+        };
+      });
 }
 
 bool Keeper::Finish(std::chrono::milliseconds bound) {
--- a/src/ledger/io/keeper.h
+++ b/src/ledger/io/usage_recorder.h
@@ -1,7 +1,7 @@
 // The ledger in the relay: owns the accounting, hands its postings to the store on a worker's thread, and
 // keeps them in memory, within a bound, while the disk does not take them.
-#ifndef STOATRUN_LEDGER_IO_KEEPER_H_
-#define STOATRUN_LEDGER_IO_KEEPER_H_
+#ifndef STOATRUN_LEDGER_IO_USAGE_RECORDER_H_
+#define STOATRUN_LEDGER_IO_USAGE_RECORDER_H_
 
 #include <cstdint>
 #include <deque>
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
-#include "base/deadlines.h"
+#include "base/background_worker.h"
+#include "base/event_loop.h"
 #include "base/log.h"
-#include "base/meter.h"
-#include "base/worker.h"
+#include "base/usage_meter.h"
 #include "ledger/accounts.h"
 #include "ledger/io/store.h"
 
@@ -32,18 +32,18 @@
   std::int64_t unkept_us = 0;
 };
 
-class Keeper : public Meter {
+class Keeper : public UsageMeter {
  public:
   using WallClock = std::function<Micros()>;  // Unix time.
 
-  Keeper(Loop& loop, const KeeperSetup& setup, WallClock wall);
+  Keeper(EventLoop& loop, const KeeperSetup& setup, WallClock wall);
   // Without Finish it is as if the process were killed: what was not kept is lost.
   ~Keeper() override;
   Keeper(const Keeper&) = delete;
   Keeper& operator=(const Keeper&) = delete;
 
-  Ticket Begin(std::string_view group, std::size_t class_index) override;
-  void End(Ticket& ticket) override;
+  UsageHandle Begin(std::string_view group, std::size_t class_index) override;
+  void End(UsageHandle& ticket) override;
 
   // A planned end: all is kept, or `bound` has passed. False: it was given up, and the process should end
   // without clearing up. What could not be kept is logged.
@@ -90,7 +90,7 @@
   static Result KeepOnDisk(Disk& disk, const StoreSetup& setup, const std::vector<Posting>& postings,
                            const OpenCounts& open, const Moment& began, std::int64_t wall_us, bool ending);
 
-  Loop& loop_;
+  EventLoop& loop_;
   const KeeperSetup setup_;
   WallClock wall_;
   Accounts accounts_;
@@ -105,10 +105,10 @@
   Micros fault_told_{0}, next_checkpoint_{0};
   std::function<void(const StoreState&)> on_state_;
   std::shared_ptr<Disk> disk_ = std::make_shared<Disk>();
-  Deadline checkpoint_;
-  Worker worker_;  // Last: its thread ends before what it uses.
+  Timer checkpoint_;
+  BackgroundWorker worker_;  // Last: its thread ends before what it uses.
 };
 
 }  // namespace stoatrun::ledger
 
-#endif  // STOATRUN_LEDGER_IO_KEEPER_H_
+#endif  // STOATRUN_LEDGER_IO_USAGE_RECORDER_H_
--- a/src/net/downstream.cpp
+++ b/src/proxy/downstream.cpp
@@ -1,4 +1,4 @@
-#include "net/downstream.h"
+#include "proxy/downstream.h"
 
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "base/log.h"
-#include "net/config.h"
+#include "config/config.h"
 
 namespace stoatrun {
 namespace {
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-Downstream::Downstream(Loop& loop, DownstreamEvents& events, Counters& counters, std::size_t descriptors)
+Downstream::Downstream(EventLoop& loop, DownstreamEvents& events, Counters& counters, std::size_t descriptors)
     : loop_(loop),
       events_(events),
       counters_(counters),
@@ -61,7 +61,7 @@
       descriptors_(std::max(descriptors, kReserve + 2 * kLeastCallers)) {
   ev_init(&accept_, OnAccept);
   accept_.data = this;
-  loop_.AddSweeper([this] { clients_.Sweep(); });
+  loop_.AddTurnEndHook([this] { clients_.Reclaim(); });
 }
 
 Downstream::~Downstream() {
@@ -86,10 +86,10 @@
   if (listen(fd, SOMAXCONN) != 0) give_up("listen");
   fd_ = fd;
   ev_io_set(&accept_, fd_, EV_READ);
-  ev_io_start(loop_.Raw(), &accept_);
+  ev_io_start(loop_.native_handle(), &accept_);
 }
 
-void Downstream::Inherit(int fd) {
+void Downstream::AdoptListener(int fd) {
   const auto refuse = [fd](std::string_view why) {
     throw ConfigError("PROXY_ACCEPT_FD: descriptor " + std::to_string(fd) + " " + std::string(why));
   };
@@ -111,14 +111,14 @@
   fd_ = fd;
   inherited_ = true;
   ev_io_set(&accept_, fd_, EV_READ);
-  ev_io_start(loop_.Raw(), &accept_);
+  ev_io_start(loop_.native_handle(), &accept_);
 }
 
 void Downstream::StopListening() {
   if (fd_ < 0) return;
   // Who already waits in the queue would be reset; it holds at most so many.
   for (int left = inherited_ ? 0 : SOMAXCONN; left > 0 && Accept();) left -= kAcceptsATurn;
-  ev_io_stop(loop_.Raw(), &accept_);
+  ev_io_stop(loop_.native_handle(), &accept_);
   close(fd_);
   fd_ = -1;
 }
@@ -140,7 +140,7 @@
       if (errno == EINTR || errno == ECONNABORTED) continue;
       if (errno == EAGAIN) return false;
       if ((errno == EMFILE || errno == ENFILE) && spare_fd_ >= 0) {
-        if (TurnAway()) continue;
+        if (RejectForCapacity()) continue;
         return false;  // Nobody waits: the want of a descriptor is told before the queue is looked at.
       }
       ++counters_.accept_failed;
@@ -153,20 +153,20 @@
     c.since = loop_.Now();
     c.deadline.Set(loop_.Now() + kHeadWait);
     c.stream.Adopt(fd);
-    MakeRoom();
+    EvictOldest();
   }
   return true;
 }
 
 // Of the clients that were opened each needs two descriptors, for itself and its attempt.
-bool Downstream::TakesAnother() const {
+bool Downstream::CanAccept() const {
   const std::size_t opened = clients_.Size() - callers_.size() - ending_.size();
   return 2 * (opened + 1) + kReserve + kLeastCallers <= descriptors_;
 }
 
 // Hundreds that connect and say nothing must not take the descriptors that clients, attempts, probes and
 // discovery need. First go those that have their answer, then the oldest without a first line.
-void Downstream::MakeRoom() {
+void Downstream::EvictOldest() {
   const std::size_t opened = clients_.Size() - callers_.size() - ending_.size();
   const std::size_t room =
       std::max(kLeastCallers, descriptors_ - std::min(descriptors_, 2 * opened + kReserve));
@@ -180,7 +180,7 @@
       ++counters_.crowded_out;
       c->stream.Write({kFailureLine});
       c->stream.Finish();
-      c->stream.Drop();
+      c->stream.DiscardInput();
     }
     c->stream.Close();
     Erase(*c);
@@ -196,7 +196,7 @@
 
 // Without a descriptor the queue would stay ready and spin the loop, and who waits in it would get no answer.
 // The spare descriptor takes one caller at a time and tells it to come again.
-bool Downstream::TurnAway() {
+bool Downstream::RejectForCapacity() {
   close(spare_fd_);
   const int surplus = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   if (surplus >= 0) {
@@ -211,7 +211,7 @@
           .Field("told", told)
           .Field("left_out", wants_.TakeLeftOut());
     }
-    ReadAway(surplus);
+    DiscardUnreadInput(surplus);
     close(surplus);
   }
   spare_fd_ = OpenSpare();
@@ -237,11 +237,11 @@
     Client* c = clients_.Find(id);
     if (c == nullptr) continue;  // It went to make room for one before it that asked.
     c->stream.ReadNow();         // Its line may be there.
-    if (c->state == Client::State::kHead && (c->stream.In().empty() || !else_asks)) End(id, kBusyLine);
+    if (c->state == Client::State::kHead && (c->stream.input().empty() || !else_asks)) End(id, kBusyLine);
   }
 }
 
-Stream* Downstream::Find(SlotId client) {
+TcpConnection* Downstream::Find(SlotId client) {
   Client* c = clients_.Find(client);
   return c == nullptr || c->state != Client::State::kOpened ? nullptr : &c->stream;
 }
@@ -268,7 +268,7 @@
     c->stream.Close();
     return Erase(*c);
   }
-  c->stream.Drop();
+  c->stream.DiscardInput();
   c->deadline.Set(loop_.Now() + kEndWait);
 }
 
@@ -299,7 +299,7 @@
   if (bad_lines_.Allows(loop_.Now())) {
     LogLine(Level::kInfo, "bad first line")
         .Why(why)
-        .Field("line", Shown(c.stream.In()))
+        .Field("line", Shown(c.stream.input()))
         .Field("left_out", bad_lines_.TakeLeftOut());
   }
   End(c.id, kFailureLine);
@@ -307,7 +307,7 @@
 
 void Downstream::ReadHead(Client& c) {
   for (;;) {
-    const std::string_view in = c.stream.In();
+    const std::string_view in = c.stream.input();
     const auto size = LineLength(in);
     if (!size) {
       if (in.size() >= kMaxLine) Malformed(c, "too long");
@@ -317,7 +317,7 @@
     const std::string_view line = Stripped(in.substr(0, *size));
     if (line == "PING") {
       ++counters_.pings;
-      if (c.stream.Queued() > Stream::kHighWater) return Malformed(c, "reads no answers");
+      if (c.stream.Queued() > TcpConnection::kHighWater) return Malformed(c, "reads no answers");
       c.stream.Write({says_yes_ ? std::string_view("PONG\r\n") : kFailureLine});
       c.stream.Consume(*size);
       c.deadline.Set(loop_.Now() + kHeadWait);
@@ -326,8 +326,8 @@
     const auto head = ParseOpen(line);
     if (!head) return Malformed(c, "not of the form");
     if (AsksAgain(in.substr(*size))) return Malformed(c, "more than one");
-    if (const auto objection = events_.Objection(*head); !objection.empty()) return Malformed(c, objection);
-    if (!TakesAnother()) {
+    if (const auto objection = events_.Validate(*head); !objection.empty()) return Malformed(c, objection);
+    if (!CanAccept()) {
       ++counters_.no_room;
       events_.OnNoRoom(*head);
       if (wants_.Allows(loop_.Now())) {
@@ -342,7 +342,7 @@
     const SlotId id = c.id;
     const SlotId owner = events_.OnOpen(id, *head);
     if (Client* opened = clients_.Find(id)) opened->owner = owner;
-    MakeRoom();
+    EvictOldest();
     return;
   }
 }
@@ -353,16 +353,16 @@
   if (c->state == Client::State::kHead) {
     ReadHead(*c);
   } else if (c->state == Client::State::kOpened) {
-    if (c->head_size > 0 && AsksAgain(c->stream.In().substr(c->head_size))) {
+    if (c->head_size > 0 && AsksAgain(c->stream.input().substr(c->head_size))) {
       ++counters_.malformed;
-      events_.OnClientEnd(c->owner, StreamEnd::kFinished);
+      events_.OnClientEnd(c->owner, ConnectionEnd::kFinished);
       return;
     }
     events_.OnClientBytes(c->owner);
   }
 }
 
-void Downstream::OnDropped(SlotId id, std::size_t size) {
+void Downstream::OnInputDiscarded(SlotId id, std::size_t size) {
   Client* c = clients_.Find(id);
   if (c == nullptr) return;
   c->dropped += size;
@@ -370,32 +370,32 @@
   c->deadline.Set(std::min(c->since + kDropWait, loop_.Now() + kEndWait));
 }
 
-void Downstream::OnEnd(SlotId id, StreamEnd end) {
+void Downstream::OnEnd(SlotId id, ConnectionEnd end) {
   Client* c = clients_.Find(id);
   if (c == nullptr) return;
   if (c->state == Client::State::kOpened) {
     events_.OnClientEnd(c->owner, end);
     return;
   }
-  if (c->state == Client::State::kHead && end == StreamEnd::kFinished && !c->stream.In().empty()) {
+  if (c->state == Client::State::kHead && end == ConnectionEnd::kFinished && !c->stream.input().empty()) {
     Malformed(*c, "unterminated");
     return;
   }
-  if (c->state == Client::State::kEnding && end == StreamEnd::kFinished && c->stream.Queued() > 0) return;
+  if (c->state == Client::State::kEnding && end == ConnectionEnd::kFinished && c->stream.Queued() > 0) return;
   c->stream.Close();
   Erase(*c);
 }
 
 // A client that stands is owed a passing on of all it sent first; one that waits has left.
-void Downstream::OnLeaving(SlotId id) {
+void Downstream::OnPeerClosing(SlotId id) {
   Client* c = clients_.Find(id);
   if (c == nullptr || c->state != Client::State::kOpened || c->head_size == 0) return;
-  events_.OnClientEnd(c->owner, StreamEnd::kFinished);
+  events_.OnClientEnd(c->owner, ConnectionEnd::kFinished);
 }
 
-void Downstream::OnRoom(SlotId id) {
+void Downstream::OnWritable(SlotId id) {
   Client* c = clients_.Find(id);
-  if (c != nullptr && c->state == Client::State::kOpened) events_.OnClientRoom(c->owner);
+  if (c != nullptr && c->state == Client::State::kOpened) events_.OnClientWritable(c->owner);
 }
 
 }  // namespace stoatrun
--- a/src/drain/plan.cpp
+++ b/src/proxy/drain_schedule.cpp
@@ -1,4 +1,4 @@
-#include "drain/plan.h"
+#include "proxy/drain_schedule.h"
 
 #include <algorithm>
 
--- a/src/drain/plan.h
+++ b/src/proxy/drain_schedule.h
@@ -5,8 +5,8 @@
 // come up for a while after the call; moving begins once a moved client can no longer be sent back here, and
 // all are moved well before the 4 s after which a connection that is still held counts as lost. What comes up
 // later than the spread is moved at the next step.
-#ifndef STOATRUN_DRAIN_PLAN_H_
-#define STOATRUN_DRAIN_PLAN_H_
+#ifndef STOATRUN_PROXY_DRAIN_SCHEDULE_H_
+#define STOATRUN_PROXY_DRAIN_SCHEDULE_H_
 
 #include <chrono>
 #include <cstddef>
@@ -67,4 +67,4 @@
 
 }  // namespace stoatrun::drain
 
-#endif  // STOATRUN_DRAIN_PLAN_H_
+#endif  // STOATRUN_PROXY_DRAIN_SCHEDULE_H_
--- a/src/net/line.cpp
+++ b/src/proxy/line_protocol.cpp
@@ -1,4 +1,4 @@
-#include "net/line.h"
+#include "proxy/line_protocol.h"
 
 #include <algorithm>
 #include <array>
--- a/src/net/line.h
+++ b/src/proxy/line_protocol.h
@@ -1,6 +1,6 @@
 // The line protocol: heads are parsed in place and written out again from the pieces.
-#ifndef STOATRUN_NET_LINE_H_
-#define STOATRUN_NET_LINE_H_
+#ifndef STOATRUN_PROXY_LINE_PROTOCOL_H_
+#define STOATRUN_PROXY_LINE_PROTOCOL_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -51,4 +51,4 @@
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_NET_LINE_H_
+#endif  // STOATRUN_PROXY_LINE_PROTOCOL_H_
--- a/src/net/relay.cpp
+++ b/src/proxy/proxy.cpp
@@ -1,4 +1,4 @@
-#include "net/relay.h"
+#include "proxy/proxy.h"
 
 #include <sys/resource.h>
 
@@ -55,16 +55,17 @@
 
 constexpr std::string_view kErrorLine = "ERR\r\n", kMoveLine = "MOVE\r\n";
 
-Micros ShortestAim(const arrowhatch::Settings& s) {
+Micros ShortestAim(const balancer::Settings& s) {
   Micros shortest{0};
   for (const auto& c : s.classes) {
-    if (c.message_aim.count() > 0 && (shortest.count() == 0 || c.message_aim < shortest))
-      shortest = c.message_aim;
+    if (c.message_latency_objective.count() > 0 &&
+        (shortest.count() == 0 || c.message_latency_objective < shortest))
+      shortest = c.message_latency_objective;
   }
   return shortest;
 }
 
-Upstream::Times TimesOf(const arrowhatch::settings::SiteSettings& site) {
+Upstream::Times TimesOf(const balancer::settings::SiteSettings& site) {
   Upstream::Times times;
   if (site.connect_timeout.count() > 0) times.connect = site.connect_timeout;
   if (site.idle_close.count() > 0) times.idle_close = site.idle_close;
@@ -75,11 +76,11 @@
 // The wait between two calls on discovery. An agent of this machine's own costs nothing, and what it has
 // counts as told whether or not it is asked: the wait is a part of the grace of a drain. A service that all
 // relays share is asked seldom, but an answer is in before the settings count as told who has not asked.
-Micros LongestWait(const arrowhatch::settings::SiteSettings& site) {
+Micros LongestWait(const balancer::settings::SiteSettings& site) {
   const auto part = [](Micros of, double p) {
     return Micros(static_cast<Micros::rep>(static_cast<double>(of.count()) * p));
   };
-  if (site.module.list_mode == arrowhatch::ListMode::kPushed) {
+  if (site.module.list_mode == balancer::ListMode::kPushed) {
     const Micros grace = site.stop_sending_within.count() > 0 ? site.stop_sending_within : kUsualGrace;
     return std::max<Micros>(milliseconds(10), part(grace, kAgentPart));
   }
@@ -95,7 +96,7 @@
 
 }  // namespace
 
-Relay::Relay(Loop& loop, const Config& config, Meter* meter, Peers* peers)
+Proxy::Proxy(EventLoop& loop, const Config& config, UsageMeter* meter, FleetClient* peers)
     : loop_(loop),
       meter_(meter),
       peers_(peers),
@@ -106,22 +107,22 @@
       balancer_(config.site.module),
       downstream_(loop, *this, counters_, DescriptorsOf(config)),
       upstream_(loop, *this, counters_, TimesOf(config.site)),
-      pushed_(config.site.module.list_mode == arrowhatch::ListMode::kPushed),
+      pushed_(config.site.module.list_mode == balancer::ListMode::kPushed),
       discovery_(loop, *this, counters_, config.discovery, config.discovery_text, config.known.revision,
-                 {pushed_ ? 1 : config.site.module.gateways, config.site.module.seed, LongestWait(site_)}),
-      drain_(loop.deadlines, [this] { DrainStep(); }),
-      ask_peers_(loop.deadlines, [this] { AskPeers(); }),
-      plan_step_(loop.deadlines, [this] { PlanStep(); }) {
+                 {pushed_ ? 1 : config.site.module.replicas, config.site.module.seed, LongestWait(site_)}),
+      drain_(loop.timers, [this] { DrainStep(); }),
+      ask_peers_(loop.timers, [this] { AskPeers(); }),
+      plan_step_(loop.timers, [this] { PlanStep(); }) {
   counters_.classes.resize(site_.class_names.size());
-  loop_.AddSweeper([this] {
-    requests_.Sweep();
-    timers_.Sweep();
+  loop_.AddTurnEndHook([this] {
+    requests_.Reclaim();
+    balancer_timers_.Reclaim();
   });
 }
 
-void Relay::Start() {
+void Proxy::Start() {
   if (start_.accept_fd) {
-    downstream_.Inherit(*start_.accept_fd);
+    downstream_.AdoptListener(*start_.accept_fd);
   } else {
     downstream_.Listen(start_.listen);
   }
@@ -133,27 +134,27 @@
   if (peers_ != nullptr) AskPeers();
 }
 
-bool Relay::Ready() const { return started_ && phase_ == Phase::kServing && plan_.SaysYes(); }
+bool Proxy::Ready() const { return started_ && phase_ == Phase::kServing && plan_.SaysYes(); }
 
-void Relay::DrainByCall() {
+void Proxy::DrainByCall() {
   ++counters_.drains_called;
   if (plan_.Draining()) return;
   LogLine(Level::kInfo, "drain called").Field("authorisations", requests_.Size());
   plan_.Drain(loop_.Now());
-  downstream_.SayYes(false);
+  downstream_.SetHealthy(false);
   PlanStep();
 }
 
-void Relay::Activate() {
+void Proxy::Activate() {
   ++counters_.activations;
   if (!plan_.Draining()) return;
   LogLine(Level::kInfo, "activated").Field("authorisations", requests_.Size());
   plan_.Activate();
   plan_step_.Cancel();
-  downstream_.SayYes(phase_ == Phase::kServing);
+  downstream_.SetHealthy(phase_ == Phase::kServing);
 }
 
-void Relay::PlanStep() {
+void Proxy::PlanStep() {
   std::size_t standing = 0;
   requests_.ForEach([&](const Request& a) {
     if (a.state == Request::State::kStanding) ++standing;
@@ -164,7 +165,7 @@
   if (step.next.count() > 0) plan_step_.Set(step.next);
 }
 
-void Relay::MoveQuietest(std::size_t n) {
+void Proxy::MoveQuietest(std::size_t n) {
   if (n == 0) return;
   std::vector<drain::Standing> all;
   requests_.ForEach([&](const Request& a) {
@@ -174,7 +175,7 @@
   for (const std::uint64_t id : drain::Quietest(std::move(all), n)) Move(SlotId::Unpack(id));
 }
 
-void Relay::Reload(const Config& config) {
+void Proxy::Reload(const Config& config) {
   ++counters_.reloads;
   LogLine(Level::kInfo, "reload").Field("discovery", config.discovery_text);
   const auto keeps = [](bool same, std::string_view what) {
@@ -186,7 +187,7 @@
   discovery_.MoveTo(config.discovery, config.discovery_text);
 }
 
-void Relay::ReloadFailed(std::string_view why) {
+void Proxy::ReloadFailed(std::string_view why) {
   ++counters_.reloads_failed;
   LogLine(Level::kError, "reload failed, the old configuration stays").Why(why);
 }
@@ -195,24 +196,24 @@
 
 // Events that arise while actions are carried out wait their turn: all are handled in the order in which they
 // happened, and no action overtakes another.
-void Relay::Tell(arrowhatch::Event event) {
+void Proxy::HandleEvent(balancer::Event event) {
   events_.push_back(std::move(event));
   if (telling_) return;
   telling_ = true;
   while (!events_.empty()) {
-    const arrowhatch::Event next = std::move(events_.front());
+    const balancer::Event next = std::move(events_.front());
     events_.pop_front();
     actions_.clear();
-    balancer_.handle(loop_.Now(), next, actions_);
-    for (const arrowhatch::Action& action : actions_) CarryOut(action, *this);
+    balancer_.Handle(loop_.Now(), next, actions_);
+    for (const balancer::Action& action : actions_) Dispatch(action, *this);
   }
   telling_ = false;
 }
 
-void Relay::OpenAttempt(SlotId request, HostNumber host, Micros wait) {
+void Proxy::OpenAttempt(SlotId request, EndpointIndex host, Micros wait) {
   Request* a = requests_.Find(request);
   if (a == nullptr || a->state != Request::State::kPending || a->attempt) {
-    Tell(AttemptEnded(request, host, AttemptEnd::kNotConnected, true, {}));
+    HandleEvent(AttemptEnded(request, host, AttemptEnd::kNotConnected, true, {}));
     return;
   }
   if (peers_ != nullptr && !FleetAllows(*a, host)) return;
@@ -227,71 +228,72 @@
       .Field("host", upstream_.IdOf(host));
 }
 
-void Relay::AbandonAttempt(SlotId request, std::uint32_t attempt_number) {
+void Proxy::AbandonAttempt(SlotId request, std::uint32_t attempt_number) {
   Request* a = requests_.Find(request);
   if (a == nullptr || a->state != Request::State::kPending || !a->attempt ||
       attempt_number + 1 != a->attempts)
     return;
   upstream_.Close(std::exchange(a->attempt, {}));
-  Tell(AttemptEnded(request, a->host, AttemptEnd::kAbandoned, false, {}));
+  HandleEvent(AttemptEnded(request, a->host, AttemptEnd::kAbandoned, false, {}));
 }
 
-void Relay::Answer(SlotId request, std::string_view line) {
+void Proxy::Answer(SlotId request, std::string_view line) {
   Request* a = requests_.Find(request);
   if (a == nullptr || a->state != Request::State::kPending) return;
   if (a->attempt) {
     upstream_.Close(std::exchange(a->attempt, {}));
-    Tell(AttemptEnded(request, a->host, AttemptEnd::kAbandoned, true, {}));
+    HandleEvent(AttemptEnded(request, a->host, AttemptEnd::kAbandoned, true, {}));
   }
   if (a->opening.class_index < counters_.classes.size()) {
     ClassCounters& c = counters_.classes[a->opening.class_index];
     ++(line.starts_with("BUSY") ? c.declined : c.aborted);
   }
   downstream_.End(a->client, line);
-  if (line.starts_with("BUSY")) a->end = Peers::End::kRefused;
+  if (line.starts_with("BUSY")) a->end = FleetClient::ConnectionOutcome::kRejected;
   Forget(*a);
 }
 
 // ---- the rest of the fleet ----
 
-void Relay::Take(Request& a) {
-  if (peers_ != nullptr) a.account = peers_->Take(a.opening.class_index, a.group);
+void Proxy::Take(Request& a) {
+  if (peers_ != nullptr) a.account = peers_->BeginConnection(a.opening.class_index, a.group);
 }
 
-bool Relay::FleetAllows(Request& a, HostNumber host) {
+bool Proxy::FleetAllows(Request& a, EndpointIndex host) {
   // A further attempt beyond the budget of all relays is held back; the module then gives its final answer.
-  if (a.attempts > 0 && !peers_->MayAttemptAgain()) {
+  if (a.attempts > 0 && !peers_->TryAcquireRetry()) {
     ++counters_.legs_held_back;
-    Tell(AttemptEnded(a.id, host, AttemptEnd::kHeldBack, false, {}));
+    HandleEvent(AttemptEnded(a.id, host, AttemptEnd::kHeldBack, false, {}));
     return false;
   }
   // A cold host that the others have filled meanwhile has, for this relay, turned the client away.
   const auto started = started_at_.find(host);
-  const bool cold = started != started_at_.end() && loop_.Now() < started->second + site_.module.cold_time;
-  if (cold && !peers_->MaySendCold(upstream_.IdOf(host))) {
+  const bool cold =
+      started != started_at_.end() && loop_.Now() < started->second + site_.module.slow_start_duration;
+  if (cold && !peers_->TryAcquireSlowStartSend(upstream_.IdOf(host))) {
     ++counters_.legs_held_back;
-    Tell(AttemptEnded(a.id, host, AttemptEnd::kTurnedAway, false, {}));
+    HandleEvent(AttemptEnded(a.id, host, AttemptEnd::kRejected, false, {}));
     return false;
   }
-  peers_->OnSent(upstream_.IdOf(host));
+  peers_->OnRequestSent(upstream_.IdOf(host));
   return true;
 }
 
 // Each tick: what the others know that the module should, and what this relay holds beyond its quotas.
-void Relay::AskPeers() {
+void Proxy::AskPeers() {
   std::vector<std::string> cold;
   for (const auto& [host, at] : started_at_) {
-    if (loop_.Now() < at + site_.module.cold_time) cold.push_back(upstream_.IdOf(host));
+    if (loop_.Now() < at + site_.module.slow_start_duration) cold.push_back(upstream_.IdOf(host));
   }
-  for (const Peers::Advice& a : peers_->Advise(cold)) {
-    if (const auto host = upstream_.Known(a.host)) Tell(PeersSay(*host, a.unseen, a.cold, a.avoid));
+  for (const FleetClient::EndpointHint& hint : peers_->TakeHints(cold)) {
+    if (const auto host = upstream_.Known(hint.endpoint))
+      HandleEvent(PeersSay(*host, hint.unreported_in_flight, hint.slow_start_tokens, hint.eject));
   }
-  for (const auto& excess : peers_->Excess()) {
-    const std::uint32_t quota = excess.first;
-    const std::size_t n = excess.second;
+  for (const FleetClient::ExcessReservation& excess : peers_->ExcessReservations()) {
     std::vector<SlotId> over;
     requests_.ForEach([&](const Request& a) {
-      if (over.size() < n && a.account.quota == quota && a.state == Request::State::kStanding)
+      if (over.size() < excess.connections && a.account.quota == excess.quota &&
+          a.state == Request::State::kStanding)
         over.push_back(a.id);
     });
     for (const SlotId id : over) Move(id);
@@ -299,76 +301,76 @@
   ask_peers_.Set(loop_.Now() + kAskPeers);
 }
 
-void Relay::NoteOutcome(HostNumber host, AttemptEnd end) {
+void Proxy::NoteOutcome(EndpointIndex host, AttemptEnd end) {
   if (peers_ == nullptr) return;
   switch (end) {
     case AttemptEnd::kServed:
     case AttemptEnd::kSentAway:
-      return peers_->OnSaw(upstream_.IdOf(host), Peers::Saw::kFine);
-    case AttemptEnd::kTurnedAway:
-      return peers_->OnSaw(upstream_.IdOf(host), Peers::Saw::kFull);
+      return peers_->OnEndpointObserved(upstream_.IdOf(host), FleetClient::EndpointCondition::kHealthy);
+    case AttemptEnd::kRejected:
+      return peers_->OnEndpointObserved(upstream_.IdOf(host), FleetClient::EndpointCondition::kOverloaded);
     case AttemptEnd::kError:
     case AttemptEnd::kNotConnected:
     case AttemptEnd::kBroken:
     case AttemptEnd::kTimedOut:
-      return peers_->OnSaw(upstream_.IdOf(host), Peers::Saw::kFailing);
+      return peers_->OnEndpointObserved(upstream_.IdOf(host), FleetClient::EndpointCondition::kFailing);
     case AttemptEnd::kAbandoned:
     case AttemptEnd::kHeldBack:
       return;  // Says nothing of the host.
   }
 }
 
-void Relay::EndUse(Request& a) {
+void Proxy::EndUse(Request& a) {
   if (meter_ != nullptr) meter_->End(a.use);
 }
 
-void Relay::Forget(Request& a) {
+void Proxy::Forget(Request& a) {
   EndUse(a);
-  if (peers_ != nullptr) peers_->Finish(a.account, a.end);
+  if (peers_ != nullptr) peers_->EndConnection(a.account, a.end);
   a.deadline.Cancel();
   open_ids_.erase(a.open_id);
   requests_.Erase(a.id);
 }
 
-void Relay::Reject(SlotId request, Micros come_back) {
+void Proxy::Reject(SlotId request, Micros retry_after) {
   ++counters_.declined;
   std::string line = "BUSY";
-  if (come_back.count() > 0) line += ' ' + std::to_string((come_back.count() + 999) / 1000);
+  if (retry_after.count() > 0) line += ' ' + std::to_string((retry_after.count() + 999) / 1000);
   LogLine(Level::kDebug, "decline").Field("of", request.Packed()).Field("line", line);
   Answer(request, line + "\r\n");
 }
 
-void Relay::Fail(SlotId request) {
+void Proxy::Fail(SlotId request) {
   ++counters_.failed;
   Answer(request, kErrorLine);
 }
 
-void Relay::Move(SlotId request) {
+void Proxy::Move(SlotId request) {
   Request* a = requests_.Find(request);
   if (a == nullptr || a->state != Request::State::kStanding) return;
   ++counters_.moved;
   EndStanding(*a, AttemptEnd::kAbandoned, kMoveLine);
 }
 
-void Relay::Probe(HostNumber host) {
-  if (peers_ != nullptr && !peers_->MayProbe()) {
+void Proxy::Probe(EndpointIndex host) {
+  if (peers_ != nullptr && !peers_->TryAcquireProbe()) {
     // An answer without a report: the module learns nothing, and may ask again.
-    Tell(Probed(host, true, {}));
+    HandleEvent(Probed(host, true, {}));
     return;
   }
   upstream_.Probe(host);
 }
-void Relay::WakeIn(Micros delay) { timers_.Add(*this).deadline.Set(loop_.Now() + delay); }
-void Relay::Watch() { discovery_.Watch(); }
+void Proxy::WakeIn(Micros delay) { balancer_timers_.Add(*this).deadline.Set(loop_.Now() + delay); }
+void Proxy::Watch() { discovery_.Watch(); }
 
-void Relay::OnProbe(HostNumber host, bool ok, std::string_view report) {
+void Proxy::OnProbe(EndpointIndex host, bool ok, std::string_view report) {
   LogLine(Level::kDebug, "probe").Field("host", upstream_.IdOf(host)).Word("ok", ok).Field("report", report);
-  Tell(Probed(host, ok, report));
+  HandleEvent(Probed(host, ok, report));
 }
 
 // ---- the list ----
 
-void Relay::TakeList(const HostList& list, ListSource source) {
+void Proxy::TakeList(const EndpointUpdate& list, ListSource source) {
   upstream_.TakeList(list);
   if (peers_ != nullptr) NoteList(list);
   LogLine(Level::kInfo, "list")
@@ -376,14 +378,14 @@
       .Word("complete", list.complete)
       .Word("changes", !list.complete)
       .Field("entries", list.entries.size());
-  Tell(ListOf(
+  HandleEvent(ListOf(
       list, source, [this](const std::string& id) { return upstream_.NumberOf(id); }, loop_.clock, zones_));
 }
 
-void Relay::NoteList(const HostList& list) {
+void Proxy::NoteList(const EndpointUpdate& list) {
   if (list.complete) listed_.clear();
-  for (const HostEntry& e : list.entries) {
-    if (e.phase != HostPhase::kReady) {
+  for (const Endpoint& e : list.entries) {
+    if (e.phase != EndpointState::kReady) {
       listed_.erase(e.id);
       continue;
     }
@@ -392,24 +394,28 @@
       started_at_[upstream_.NumberOf(e.id)] = at;
   }
   std::erase_if(started_at_, [&](const auto& s) {
-    return !listed_.contains(upstream_.IdOf(s.first)) || loop_.Now() >= s.second + site_.module.cold_time;
+    return !listed_.contains(upstream_.IdOf(s.first)) ||
+           loop_.Now() >= s.second + site_.module.slow_start_duration;
   });
-  peers_->OnListed({listed_.begin(), listed_.end()});
+  std::vector<FleetClient::ListedEndpoint> listed;
+  listed.reserve(listed_.size());
+  for (const auto& [id, started_unix_ms] : listed_) listed.push_back({id, started_unix_ms});
+  peers_->OnEndpointsListed(listed);
 }
 
-void Relay::OnHosts(const HostList& list) { TakeList(list, ListSource::kWatch); }
-void Relay::OnWatchFailed() {
-  if (!pushed_) Tell(ListFailed());  // Only who asked is told; the watch is renewed in any case.
+void Proxy::OnEndpointUpdate(const EndpointUpdate& list) { TakeList(list, ListSource::kWatch); }
+void Proxy::OnWatchFailed() {
+  if (!pushed_) HandleEvent(ListFailed());  // Only who asked is told; the watch is renewed in any case.
 }
 
 // ---- requests until they stand ----
 
-std::size_t Relay::ClassIndex(std::string_view name) const {
+std::size_t Proxy::ClassIndex(std::string_view name) const {
   const auto& names = site_.class_names;
   return static_cast<std::size_t>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
-std::string_view Relay::Objection(const OpenHead& head) {
+std::string_view Proxy::Validate(const OpenHead& head) {
   if (ClassIndex(head.class_name) >= site_.class_names.size()) return "unknown class";
   // Ids are new for every connection. A second one under an id that is open would be told apart by no host.
   if (open_ids_.contains(std::string(head.id))) {
@@ -419,29 +425,29 @@
   return {};
 }
 
-void Relay::OnNoRoom(const OpenHead& head) {
+void Proxy::OnNoRoom(const OpenHead& head) {
   const std::size_t k = ClassIndex(head.class_name);
   if (k < counters_.classes.size()) ++counters_.classes[k].declined;
   if (peers_ != nullptr && k < counters_.classes.size()) {
-    Peers::Ticket t = peers_->Take(k, head.tenant);
-    peers_->Finish(t, Peers::End::kRefused);
+    FleetClient::ConnectionHandle t = peers_->BeginConnection(k, head.tenant);
+    peers_->EndConnection(t, FleetClient::ConnectionOutcome::kRejected);
   }
 }
 
 // A client's end may lie unread in the socket, with the attempt's coming up in the same turn before it.
-void Relay::OnAttemptConnected(SlotId owner) {
+void Proxy::OnAttemptConnected(SlotId owner) {
   const Request* a = requests_.Find(owner);
-  if (Stream* client = a == nullptr ? nullptr : downstream_.Find(a->client)) client->ReadNow();
+  if (TcpConnection* client = a == nullptr ? nullptr : downstream_.Find(a->client)) client->ReadNow();
 }
 
-void Relay::OnAttemptSent(SlotId owner) {
+void Proxy::OnAttemptSent(SlotId owner) {
   const Request* a = requests_.Find(owner);
   if (a != nullptr && a->opening.class_index < counters_.classes.size()) {
     ++counters_.classes[a->opening.class_index].forwards;
   }
 }
 
-SlotId Relay::OnOpen(SlotId client, const OpenHead& head) {
+SlotId Proxy::OnOpen(SlotId client, const OpenHead& head) {
   Request& a = requests_.Add(*this);
   const SlotId id = a.id;
   a.client = client;
@@ -454,10 +460,10 @@
   a.opening.deadline = loop_.Now() + std::max(Micros(0), Micros(milliseconds(head.wait_ms)) - kOnTheWay);
   a.opening.load = head.load;
   a.opening.again = head.again;
-  if (site_.shared_work && !head.group.empty()) a.opening.group = arrowhatch::settings::NumberOf(head.group);
+  if (site_.shared_work && !head.group.empty()) a.opening.group = balancer::settings::NumberOf(head.group);
   Take(a);
   // A quota binds a connection that comes, not one that stood before this process did.
-  const bool within = peers_ == nullptr || peers_->Hold(a.account, a.group) || !head.at.empty();
+  const bool within = peers_ == nullptr || peers_->TryReserveQuota(a.account, a.group) || !head.at.empty();
   if (!head.at.empty()) {
     ++counters_.resumed;
     a.resume_at = head.at;
@@ -467,16 +473,16 @@
   }
   ++counters_.authorisations;
   if (!within) {
-    Reject(id, std::min(kQuotaAdvice, site_.module.longest_advice));
+    Reject(id, std::min(kQuotaAdvice, site_.module.max_retry_after));
     return id;
   }
-  Tell(Arrived(id, a.opening));
+  HandleEvent(Arrived(id, a.opening));
   return id;
 }
 
 // A connection from before the start belongs to its host: there is nothing to decide, and the host may not be
 // in the list yet.
-void Relay::TryResume(Request& a) {
+void Proxy::TryResume(Request& a) {
   const auto host = upstream_.Known(a.resume_at);
   if (!host) {
     a.deadline.Set(loop_.Now() + kResumeRetry);
@@ -488,23 +494,23 @@
   a.attempt = upstream_.Open(a.id, *host, work);
 }
 
-void Relay::OnAttemptUp(SlotId owner, std::string_view line) {
+void Proxy::OnAttemptUp(SlotId owner, std::string_view line) {
   Request* a = requests_.Find(owner);
   if (a == nullptr) return;
   ++counters_.up;
   if (a->opening.class_index < counters_.classes.size())
     ++counters_.classes[a->opening.class_index].succeeded;
   a->state = Request::State::kStanding;
-  a->end = Peers::End::kServed;
+  a->end = FleetClient::ConnectionOutcome::kServed;
   NoteOutcome(a->host, AttemptEnd::kServed);
   a->answered_at = loop_.Now();
   a->deadline.Cancel();
   if (meter_ != nullptr) a->use = meter_->Begin(a->group, a->opening.class_index);
   downstream_.Up(a->client, line);
   if (a->resume_at.empty()) {
-    Tell(AttemptIsUp(owner, a->host));
+    HandleEvent(AttemptIsUp(owner, a->host));
   } else {
-    Tell(Resumed(owner, a->opening, a->host));
+    HandleEvent(Resumed(owner, a->opening, a->host));
   }
   a = requests_.Find(owner);
   if (a == nullptr) return;
@@ -512,7 +518,7 @@
   PumpToClient(owner, false);
 }
 
-void Relay::OnAttemptEnd(SlotId owner, AttemptEnd end, std::string_view line) {
+void Proxy::OnAttemptEnd(SlotId owner, AttemptEnd end, std::string_view line) {
   Request* a = requests_.Find(owner);
   if (a == nullptr) return;
   a->attempt = {};
@@ -531,12 +537,12 @@
   }
   NoteOutcome(a->host, end);
   const bool finished = end == AttemptEnd::kServed;  // The host's own word goes to the client as it is.
-  const HostNumber host = a->host;
+  const EndpointIndex host = a->host;
   if (finished) Answer(owner, line);
-  Tell(AttemptEnded(owner, host, end, finished, SplitWord(Stripped(line)).second));
+  HandleEvent(AttemptEnded(owner, host, end, finished, SplitWord(Stripped(line)).second));
 }
 
-void Relay::OnClientEnd(SlotId owner, StreamEnd end) {
+void Proxy::OnClientEnd(SlotId owner, ConnectionEnd end) {
   Request* a = requests_.Find(owner);
   if (a == nullptr) return;
   const SlotId client = a->client;
@@ -544,69 +550,69 @@
     ++counters_.client_left;
     const bool resumed = !a->resume_at.empty();
     const SlotId attempt = std::exchange(a->attempt, {});
-    const HostNumber host = a->host;
+    const EndpointIndex host = a->host;
     upstream_.Close(attempt);
     // A half-closed client may still listen for its one answer.
-    if (end == StreamEnd::kFinished) {
+    if (end == ConnectionEnd::kFinished) {
       downstream_.End(client, kErrorLine);
     } else {
       downstream_.Reset(client);
     }
     Forget(*a);
     if (resumed) return;
-    Tell(Left(owner));
-    if (attempt) Tell(AttemptEnded(owner, host, AttemptEnd::kAbandoned, true, {}));
+    HandleEvent(Left(owner));
+    if (attempt) HandleEvent(AttemptEnded(owner, host, AttemptEnd::kAbandoned, true, {}));
     return;
   }
   if (a->state == Request::State::kLeaving) return;
   ++counters_.client_left;
   PumpToHost(*a);
-  if (end == StreamEnd::kReset) {
+  if (end == ConnectionEnd::kReset) {
     upstream_.Reset(a->attempt);
     downstream_.Reset(client);
-    Tell(Left(owner));
+    HandleEvent(Left(owner));
     EndStanding(*a, AttemptEnd::kAbandoned, {});
     return;
   }
-  if (Stream* attempt = upstream_.Find(a->attempt)) attempt->Finish();
+  if (TcpConnection* attempt = upstream_.Find(a->attempt)) attempt->Finish();
   EndUse(*a);  // The client is done, whatever its host still has to say.
   a->state = Request::State::kLeaving;
   a->deadline.Set(loop_.Now() + kLeaveWait);
-  Tell(Left(owner));
+  HandleEvent(Left(owner));
 }
 
 // ---- standing connections ----
 
-void Relay::EndStanding(Request& a, AttemptEnd end, std::string_view last_line) {
+void Proxy::EndStanding(Request& a, AttemptEnd end, std::string_view last_line) {
   const SlotId owner = a.id;
   downstream_.End(a.client, last_line);
   upstream_.Close(a.attempt);
   Forget(a);
-  Tell(AttemptEnded(owner, a.host, end, true, {}));
+  HandleEvent(AttemptEnded(owner, a.host, end, true, {}));
 }
 
-void Relay::OnClientBytes(SlotId owner) {
+void Proxy::OnClientBytes(SlotId owner) {
   Request* a = requests_.Find(owner);
   // What comes before UP waits in the client's bounded buffer.
   if (a != nullptr && a->state != Request::State::kPending) PumpToHost(*a);
 }
 
-void Relay::OnAttemptRoom(SlotId owner) {
+void Proxy::OnAttemptWritable(SlotId owner) {
   Request* a = requests_.Find(owner);
   if (a == nullptr) return;
-  if (Stream* client = downstream_.Find(a->client)) client->SetReading(true);
+  if (TcpConnection* client = downstream_.Find(a->client)) client->SetReading(true);
   PumpToHost(*a);
 }
 
-void Relay::PumpToHost(Request& a) {
-  Stream* client = downstream_.Find(a.client);
-  Stream* attempt = upstream_.Find(a.attempt);
-  if (client == nullptr || attempt == nullptr || client->In().empty()) return;
-  if (attempt->Queued() > Stream::kHighWater) {
+void Proxy::PumpToHost(Request& a) {
+  TcpConnection* client = downstream_.Find(a.client);
+  TcpConnection* attempt = upstream_.Find(a.attempt);
+  if (client == nullptr || attempt == nullptr || client->input().empty()) return;
+  if (attempt->Queued() > TcpConnection::kHighWater) {
     client->SetReading(false);
     return;
   }
-  const std::string_view in = client->In();
+  const std::string_view in = client->input();
   attempt->Write({in});
   if (a.asked_at.count() == 0 && in.find('\n') != std::string_view::npos) {
     a.asked_at = loop_.Now();
@@ -615,27 +621,27 @@
   client->Consume(in.size());
 }
 
-void Relay::OnAttemptBytes(SlotId owner) { PumpToClient(owner, false); }
+void Proxy::OnAttemptBytes(SlotId owner) { PumpToClient(owner, false); }
 
-void Relay::OnClientRoom(SlotId owner) {
+void Proxy::OnClientWritable(SlotId owner) {
   Request* a = requests_.Find(owner);
   if (a == nullptr) return;
-  if (Stream* attempt = upstream_.Find(a->attempt)) attempt->SetReading(true);
+  if (TcpConnection* attempt = upstream_.Find(a->attempt)) attempt->SetReading(true);
   PumpToClient(owner, false);
 }
 
 // Only whole lines go on, so that MOVE always falls between two; the part of a line at the very end goes with
 // `all`, and one longer than any line may be goes as it is.
-void Relay::PumpToClient(SlotId owner, bool all) {
+void Proxy::PumpToClient(SlotId owner, bool all) {
   Request* a = requests_.Find(owner);
-  Stream* client = a == nullptr ? nullptr : downstream_.Find(a->client);
-  Stream* attempt = a == nullptr ? nullptr : upstream_.Find(a->attempt);
-  if (client == nullptr || attempt == nullptr || attempt->In().empty()) return;
-  if (client->Queued() > Stream::kHighWater && !all) {
+  TcpConnection* client = a == nullptr ? nullptr : downstream_.Find(a->client);
+  TcpConnection* attempt = a == nullptr ? nullptr : upstream_.Find(a->attempt);
+  if (client == nullptr || attempt == nullptr || attempt->input().empty()) return;
+  if (client->Queued() > TcpConnection::kHighWater && !all) {
     attempt->SetReading(false);
     return;
   }
-  const std::string_view in = attempt->In();
+  const std::string_view in = attempt->input();
   const std::size_t last = in.rfind('\n');
   std::size_t whole = last == std::string_view::npos ? 0 : last + 1;
   if (all || (whole == 0 && in.size() >= kMaxLine)) whole = in.size();
@@ -658,10 +664,10 @@
   }
 }
 
-void Relay::NoteLine(Request& a, std::string_view line) {
+void Proxy::NoteLine(Request& a, std::string_view line) {
   const auto [word, rest] = SplitWord(line);
   if (word == "LOAD") {
-    if (const auto load = Decimal(rest)) Tell(LoadIs(a.id, *load));
+    if (const auto load = Decimal(rest)) HandleEvent(LoadIs(a.id, *load));
     return;
   }
   a.last_word = word == "BYE"    ? AttemptEnd::kServed
@@ -676,7 +682,7 @@
 }
 
 // Told as the simulator tells it: once a second while messages are slow, and once more when they are not.
-void Relay::NoteDelay(HostNumber host, Micros delay) {
+void Proxy::NoteDelay(EndpointIndex host, Micros delay) {
   if (slow_message_.count() == 0) return;
   if (paces_.size() <= host) paces_.resize(host + 1);
   Pace& p = paces_[host];
@@ -685,10 +691,10 @@
   p.slow = slow;
   p.told_at = loop_.Now();
   LogLine(Level::kDebug, "slow messages").Field("host", upstream_.IdOf(host)).Field("take_us", delay.count());
-  Tell(MessageTook(host, delay));
+  HandleEvent(MessageTook(host, delay));
 }
 
-void Relay::OnAttemptFinished(SlotId owner, StreamEnd end) {
+void Proxy::OnAttemptFinished(SlotId owner, ConnectionEnd end) {
   PumpToClient(owner, true);
   Request* a = requests_.Find(owner);
   if (a == nullptr) return;
@@ -699,12 +705,12 @@
   if (how == AttemptEnd::kBroken) {
     ++counters_.legs_cut;
     LogLine(Level::kDebug, "cut").Field("host", upstream_.IdOf(a->host));
-    if (end == StreamEnd::kReset) downstream_.Reset(a->client);
+    if (end == ConnectionEnd::kReset) downstream_.Reset(a->client);
   }
   EndStanding(*a, how, {});
 }
 
-void Relay::Due(SlotId owner) {
+void Proxy::Due(SlotId owner) {
   Request* a = requests_.Find(owner);
   if (a == nullptr) return;
   switch (a->state) {
@@ -729,7 +735,7 @@
 
 // ---- the planned end ----
 
-void Relay::Drain() {
+void Proxy::Drain() {
   if (phase_ != Phase::kServing) return;
   phase_ = Phase::kTaking;
   plan_step_.Cancel();  // The end moves everyone by itself.
@@ -738,7 +744,7 @@
   drain_.Set(drain_at_);
 }
 
-void Relay::DrainStep() {
+void Proxy::DrainStep() {
   // Clients that still come wait in a queue that the platform holds for the next process, if it does.
   if (phase_ == Phase::kTaking && (downstream_.Inherited() || loop_.Now() >= drain_at_ + kTakeFor)) {
     downstream_.StopListening();
@@ -766,7 +772,7 @@
   drain_.Set(loop_.Now() + kMoveStep);
 }
 
-void Relay::MoveStep(std::size_t standing, Micros left) {
+void Proxy::MoveStep(std::size_t standing, Micros left) {
   if (downstream_.Inherited()) {
     // The next process serves already: moved clients find it at once, and go from the start, evenly in time,
     // so that it learns of the hosts from the first of them before the rest come.
--- a/src/net/relay.h
+++ b/src/proxy/proxy.h
@@ -1,7 +1,7 @@
 // The relay: owns the Balancer, turns what happens on sockets into its events and carries its actions out, in
 // order. It never picks a host, retries or sheds by itself.
-#ifndef STOATRUN_NET_RELAY_H_
-#define STOATRUN_NET_RELAY_H_
+#ifndef STOATRUN_PROXY_PROXY_H_
+#define STOATRUN_PROXY_PROXY_H_
 
 #include <cstdint>
 #include <deque>
@@ -12,26 +12,29 @@
 #include <unordered_set>
 #include <vector>
 
-#include "arrowhatch/balancer.h"
+#include "balancer/balancer.h"
 #include "base/counters.h"
-#include "base/deadlines.h"
-#include "base/meter.h"
-#include "base/peers.h"
-#include "base/slots.h"
-#include "drain/plan.h"
-#include "net/config.h"
-#include "net/discovery.h"
-#include "net/downstream.h"
-#include "net/terms.h"
-#include "net/upstream.h"
+#include "base/event_loop.h"
+#include "base/fleet_client.h"
+#include "base/slot_map.h"
+#include "base/usage_meter.h"
+#include "config/config.h"
+#include "endpoint/discovery_client.h"
+#include "proxy/balancer_mapping.h"
+#include "proxy/downstream.h"
+#include "proxy/drain_schedule.h"
+#include "proxy/upstream.h"
 
 namespace stoatrun {
 
-class Relay : private DownstreamEvents, private UpstreamEvents, private DiscoveryEvents, private Orders {
+class Proxy : private DownstreamEvents,
+              private UpstreamEvents,
+              private DiscoveryEvents,
+              private ActionHandler {
  public:
   // `meter`: told of standing connections; outlives the relay; null: nobody is. `peers`: the rest of the
   // fleet, likewise.
-  Relay(Loop& loop, const Config& config, Meter* meter = nullptr, Peers* peers = nullptr);
+  Proxy(EventLoop& loop, const Config& config, UsageMeter* meter = nullptr, FleetClient* peers = nullptr);
 
   void Start();  // Throws std::system_error if the address can't be had.
   // A planned end: still takes and answers for a while, then moves all standing clients and stops the loop.
@@ -50,18 +53,18 @@
   const std::vector<std::string>& ClassNames() const { return site_.class_names; }
   std::size_t Outstanding() const { return requests_.Size(); }  // Taken and not ended.
   std::size_t Discovered() const { return upstream_.Listed(); }
-  std::size_t Ejected() const { return balancer_.avoided(loop_.Now()); }
+  std::size_t Ejected() const { return balancer_.EjectedCount(loop_.Now()); }
 
  private:
   struct Request {
-    Request(SlotId slot, Relay& all)
-        : id(slot), deadline(all.loop_.deadlines, [&all, slot] { all.Due(slot); }) {}
+    Request(SlotId slot, Proxy& all)
+        : id(slot), deadline(all.loop_.timers, [&all, slot] { all.Due(slot); }) {}
     enum class State { kPending, kStanding, kLeaving };  // Leaving: its client has ended its sending.
     SlotId id, client, attempt;
-    Deadline deadline;
+    Timer deadline;
     State state = State::kPending;
-    HostNumber host = 0;
-    Opening opening;
+    EndpointIndex host = 0;
+    ConnectRequest opening;
     std::string_view before_wait, after_wait;  // Of the client's line, there until the attempt is up.
     std::string open_id;                       // As its client named it.
     std::string resume_at;                     // The host that holds the connection already.
@@ -71,29 +74,30 @@
     Micros answered_at{0};  // When the host's last answer went to the client, or the attempt came up.
     AttemptEnd last_word = AttemptEnd::kBroken;
     std::string_view group;  // Of the client's line, as `before_wait`.
-    Ticket use;
-    Peers::Ticket account;
-    Peers::End end = Peers::End::kFailed;  // As it would be booked now.
+    UsageHandle use;
+    FleetClient::ConnectionHandle account;
+    FleetClient::ConnectionOutcome end =
+        FleetClient::ConnectionOutcome::kFailed;  // As it would be booked now.
   };
   struct Pace {  // What a host's messages took.
     Micros told_at{0};
     bool slow = false;
   };
-  struct Timer {
-    Timer(SlotId slot, Relay& all)
-        : deadline(all.loop_.deadlines, [&all, slot] {
-            all.timers_.Erase(slot);
-            all.Tell(arrowhatch::TimerFired{});
+  struct BalancerTimer {
+    BalancerTimer(SlotId slot, Proxy& all)
+        : deadline(all.loop_.timers, [&all, slot] {
+            all.balancer_timers_.Erase(slot);
+            all.HandleEvent(balancer::TimerFired{});
           }) {}
-    Deadline deadline;
+    Timer deadline;
   };
 
   // DownstreamEvents
-  std::string_view Objection(const OpenHead& head) override;
+  std::string_view Validate(const OpenHead& head) override;
   SlotId OnOpen(SlotId client, const OpenHead& head) override;
   void OnClientBytes(SlotId owner) override;
-  void OnClientEnd(SlotId owner, StreamEnd end) override;
-  void OnClientRoom(SlotId owner) override;
+  void OnClientEnd(SlotId owner, ConnectionEnd end) override;
+  void OnClientWritable(SlotId owner) override;
   void OnNoRoom(const OpenHead& head) override;
   // UpstreamEvents
   void OnAttemptUp(SlotId owner, std::string_view line) override;
@@ -101,32 +105,32 @@
   void OnAttemptSent(SlotId owner) override;
   void OnAttemptEnd(SlotId owner, AttemptEnd end, std::string_view line) override;
   void OnAttemptBytes(SlotId owner) override;
-  void OnAttemptFinished(SlotId owner, StreamEnd end) override;
-  void OnAttemptRoom(SlotId owner) override;
-  void OnProbe(HostNumber host, bool ok, std::string_view report) override;
+  void OnAttemptFinished(SlotId owner, ConnectionEnd end) override;
+  void OnAttemptWritable(SlotId owner) override;
+  void OnProbe(EndpointIndex host, bool ok, std::string_view report) override;
   // DiscoveryEvents
-  void OnHosts(const HostList& list) override;
+  void OnEndpointUpdate(const EndpointUpdate& list) override;
   void OnWatchFailed() override;
-  // Orders
-  void OpenAttempt(SlotId request, HostNumber host, Micros wait) override;
+  // ActionHandler
+  void OpenAttempt(SlotId request, EndpointIndex host, Micros wait) override;
   void AbandonAttempt(SlotId request, std::uint32_t attempt_number) override;
-  void Reject(SlotId request, Micros come_back) override;
+  void Reject(SlotId request, Micros retry_after) override;
   void Fail(SlotId request) override;
   void Move(SlotId request) override;
-  void Probe(HostNumber host) override;
+  void Probe(EndpointIndex host) override;
   void WakeIn(Micros delay) override;
   void Watch() override;
 
-  void Tell(arrowhatch::Event event);
-  void TakeList(const HostList& list, ListSource source);
-  void NoteList(const HostList& list);
+  void HandleEvent(balancer::Event event);
+  void TakeList(const EndpointUpdate& list, ListSource source);
+  void NoteList(const EndpointUpdate& list);
   void TryResume(Request& a);
   void Answer(SlotId request, std::string_view line);
   void Take(Request& a);
   // Whether the fleet's budgets allow this attempt; if not, the module has been told.
-  bool FleetAllows(Request& a, HostNumber host);
+  bool FleetAllows(Request& a, EndpointIndex host);
   void AskPeers();
-  void NoteOutcome(HostNumber host, AttemptEnd end);
+  void NoteOutcome(EndpointIndex host, AttemptEnd end);
   void Forget(Request& a);
   void EndUse(Request& a);
   // Ends a standing connection: both sides are closed and the module is told how.
@@ -134,7 +138,7 @@
   void PumpToHost(Request& a);
   void PumpToClient(SlotId owner, bool all);
   void NoteLine(Request& a, std::string_view line);
-  void NoteDelay(HostNumber host, Micros delay);
+  void NoteDelay(EndpointIndex host, Micros delay);
   void Due(SlotId owner);
   void DrainStep();
   void MoveStep(std::size_t standing, Micros left);  // Moves some, so that all are in the time that is left.
@@ -143,39 +147,39 @@
   void MoveQuietest(std::size_t n);
   std::size_t ClassIndex(std::string_view name) const;
 
-  Loop& loop_;
-  Meter* const meter_;
-  Peers* const peers_;
+  EventLoop& loop_;
+  UsageMeter* const meter_;
+  FleetClient* const peers_;
   const Config start_;  // As the relay was started.
-  const arrowhatch::settings::SiteSettings& site_;
+  const balancer::settings::SiteSettings& site_;
   std::vector<std::string> zones_;
   Micros slow_message_{0};  // A message over this is told; 0: never.
   Counters counters_;
-  arrowhatch::Balancer balancer_;
+  balancer::Balancer balancer_;
   Downstream downstream_;
   Upstream upstream_;
   const bool pushed_;  // Lists come unasked.
   Discovery discovery_;
-  Slots<Request> requests_;
+  SlotMap<Request> requests_;
   std::unordered_set<std::string> open_ids_;
-  Slots<Timer> timers_;
+  SlotMap<BalancerTimer> balancer_timers_;
   std::vector<Pace> paces_;
-  std::deque<arrowhatch::Event> events_;
-  std::vector<arrowhatch::Action> actions_;
+  std::deque<balancer::Event> events_;
+  std::vector<balancer::Action> actions_;
   bool telling_ = false;
   enum class Phase { kServing, kTaking, kMoving };
   Phase phase_ = Phase::kServing;
   Micros drain_at_{0};
   double move_carry_ = 0;  // Of moves owed, for an even pace.
-  Deadline drain_;
+  Timer drain_;
   bool started_ = false;
   std::map<std::string, std::int64_t> listed_;  // Hosts that may be used, for the fleet; and their starts.
-  std::map<HostNumber, Micros> started_at_;     // Hosts that may be cold: when their processes started.
-  Deadline ask_peers_;
+  std::map<EndpointIndex, Micros> started_at_;  // Hosts that may be cold: when their processes started.
+  Timer ask_peers_;
   drain::Plan plan_;  // The operators' drain, which is not the end of the process.
-  Deadline plan_step_;
+  Timer plan_step_;
 };
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_NET_RELAY_H_
+#endif  // STOATRUN_PROXY_PROXY_H_
--- a/src/net/upstream.cpp
+++ b/src/proxy/upstream.cpp
@@ -1,4 +1,4 @@
-#include "net/upstream.h"
+#include "proxy/upstream.h"
 
 #include <algorithm>
 #include <array>
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "base/log.h"
-#include "net/line.h"
+#include "proxy/line_protocol.h"
 
 namespace stoatrun {
 namespace {
@@ -21,7 +21,7 @@
 
 // What the first word of a host's first line means.
 AttemptEnd MeaningOf(std::string_view word) {
-  if (word == "BUSY") return AttemptEnd::kTurnedAway;
+  if (word == "BUSY") return AttemptEnd::kRejected;
   if (word == "BYE") return AttemptEnd::kServed;
   if (word == "MOVE") return AttemptEnd::kSentAway;
   return AttemptEnd::kError;
@@ -29,16 +29,16 @@
 
 }  // namespace
 
-Upstream::Upstream(Loop& loop, UpstreamEvents& events, Counters& counters, const Times& times)
+Upstream::Upstream(EventLoop& loop, UpstreamEvents& events, Counters& counters, const Times& times)
     : loop_(loop), events_(events), counters_(counters), times_(times) {
-  loop_.AddSweeper([this] {
-    links_.Sweep();
-    drains_.Sweep();
+  loop_.AddTurnEndHook([this] {
+    links_.Reclaim();
+    drains_.Reclaim();
   });
 }
 
-HostNumber Upstream::NumberOf(const std::string& id) {
-  const auto [it, fresh] = numbers_.try_emplace(id, static_cast<HostNumber>(hosts_.size()));
+EndpointIndex Upstream::NumberOf(const std::string& id) {
+  const auto [it, fresh] = numbers_.try_emplace(id, static_cast<EndpointIndex>(hosts_.size()));
   if (fresh) {
     hosts_.emplace_back();
     hosts_.back().id = id;
@@ -46,24 +46,24 @@
   return it->second;
 }
 
-std::optional<HostNumber> Upstream::Known(const std::string& id) const {
+std::optional<EndpointIndex> Upstream::Known(const std::string& id) const {
   const auto it = numbers_.find(id);
   return it == numbers_.end() ? std::nullopt : std::optional(it->second);
 }
 
-void Upstream::TakeList(const HostList& list) {
+void Upstream::TakeList(const EndpointUpdate& list) {
   std::vector<bool> named(hosts_.size() + list.entries.size());
-  for (const HostEntry& e : list.entries) {
-    const HostNumber n = NumberOf(e.id);
+  for (const Endpoint& e : list.entries) {
+    const EndpointIndex n = NumberOf(e.id);
     named[n] = true;
     Host& h = hosts_[n];
     if (const auto address = Address::Parse(e.address)) h.address = address;
     h.phase = e.phase;
   }
-  for (HostNumber n = 0; n < hosts_.size(); ++n) {
+  for (EndpointIndex n = 0; n < hosts_.size(); ++n) {
     Host& h = hosts_[n];
-    if (list.complete && !named[n]) h.phase = HostPhase::kGone;
-    if (h.phase == HostPhase::kReady) {
+    if (list.complete && !named[n]) h.phase = EndpointState::kGone;
+    if (h.phase == EndpointState::kReady) {
       h.watched_drain = false;
     } else if (!h.watched_drain) {
       // Guards the rule of careful drains: an attempt that still connects would send its first byte too late.
@@ -76,12 +76,12 @@
 }
 
 std::size_t Upstream::Listed() const {
-  return static_cast<std::size_t>(
-      std::count_if(hosts_.begin(), hosts_.end(), [](const Host& h) { return h.phase != HostPhase::kGone; }));
+  return static_cast<std::size_t>(std::count_if(
+      hosts_.begin(), hosts_.end(), [](const Host& h) { return h.phase != EndpointState::kGone; }));
 }
 
-void Upstream::StopSending(HostNumber host) {
-  if (hosts_[host].phase == HostPhase::kReady) return;
+void Upstream::StopSending(EndpointIndex host) {
+  if (hosts_[host].phase == EndpointState::kReady) return;
   std::vector<SlotId> late;
   links_.ForEach([&](Link& l) {
     if (l.host == host && (!l.sent || (l.probe && l.up))) late.push_back(l.id);
@@ -97,7 +97,7 @@
   }
 }
 
-SlotId Upstream::Open(SlotId owner, HostNumber host, const AttemptWork& work) {
+SlotId Upstream::Open(SlotId owner, EndpointIndex host, const AttemptWork& work) {
   ++counters_.legs;
   Link& attempt = links_.Add(*this, host, false);
   attempt.owner = owner;
@@ -113,7 +113,7 @@
   link.deadline.Set(begun ? std::min(link.give_up, loop_.Now() + times_.connect) : loop_.Now() + kStepWait);
 }
 
-void Upstream::Probe(HostNumber host) {
+void Upstream::Probe(EndpointIndex host) {
   ++counters_.probes;
   Host& h = hosts_[host];
   Link* link = links_.Find(h.idle_probe);
@@ -131,7 +131,7 @@
   Start(fresh);
 }
 
-Stream* Upstream::Find(SlotId attempt) {
+TcpConnection* Upstream::Find(SlotId attempt) {
   Link* l = links_.Find(attempt);
   return l == nullptr ? nullptr : &l->stream;
 }
@@ -156,7 +156,7 @@
   if (end == AttemptEnd::kNotConnected) ++counters_.legs_not_connected;
   if (end == AttemptEnd::kBroken) ++counters_.legs_cut;
   if (end == AttemptEnd::kTimedOut) ++counters_.legs_timed_out;
-  if (end == AttemptEnd::kTurnedAway) ++counters_.legs_turned_away;
+  if (end == AttemptEnd::kRejected) ++counters_.legs_turned_away;
   if (end == AttemptEnd::kError) ++counters_.legs_error;
   const std::string said(line);  // Its buffer goes with the attempt.
   // Closed before it is told: what follows may open the next attempt, and two must never be out.
@@ -170,14 +170,15 @@
 }
 
 void Upstream::EndProbe(Link& link, bool ok, std::string_view report, bool keep) {
-  const HostNumber host = link.host;
+  const EndpointIndex host = link.host;
   const bool told = !(link.probe && link.up);  // An idle connection owes no answer.
   Host& h = hosts_[host];
   const std::string said(report);
-  if (keep && h.phase == HostPhase::kReady && links_.Find(h.idle_probe) == nullptr && Idle() < kMostIdle) {
+  if (keep && h.phase == EndpointState::kReady && links_.Find(h.idle_probe) == nullptr &&
+      Idle() < kMostIdle) {
     link.up = true;
     h.idle_probe = link.id;
-    link.stream.Consume(link.stream.In().size());
+    link.stream.Consume(link.stream.input().size());
     link.deadline.Set(loop_.Now() + Micros(static_cast<std::int64_t>(
                                         static_cast<double>(times_.idle_close.count()) * kIdlePart)));
   } else {
@@ -229,11 +230,11 @@
   events_.OnAttemptSent(link.owner);
 }
 
-void Upstream::OnRoom(SlotId id) {
+void Upstream::OnWritable(SlotId id) {
   Link* l = links_.Find(id);
   if (l == nullptr) return;
   Sent(*l);
-  if (!l->probe && l->up) events_.OnAttemptRoom(l->owner);
+  if (!l->probe && l->up) events_.OnAttemptWritable(l->owner);
 }
 
 void Upstream::OnBytes(SlotId id) {
@@ -249,7 +250,7 @@
 }
 
 void Upstream::ReadAttempt(Link& attempt) {
-  const std::string_view in = attempt.stream.In();
+  const std::string_view in = attempt.stream.input();
   const auto size = LineLength(in);
   if (!size) {
     if (in.size() >= kMaxLine) EndAttempt(attempt, AttemptEnd::kError, {});
@@ -269,7 +270,7 @@
 }
 
 void Upstream::ReadProbe(Link& link) {
-  const std::string_view in = link.stream.In();
+  const std::string_view in = link.stream.input();
   const auto size = LineLength(in);
   if (!size) {
     if (in.size() >= kMaxLine) EndProbe(link, false, {}, false);
@@ -280,11 +281,11 @@
   EndProbe(link, ok, report, ok);
 }
 
-void Upstream::OnEnd(SlotId id, StreamEnd end) {
+void Upstream::OnEnd(SlotId id, ConnectionEnd end) {
   Link* l = links_.Find(id);
   if (l == nullptr) return;
-  if (l->probe && l->reused && !l->up && l->stream.In().empty() &&
-      hosts_[l->host].phase == HostPhase::kReady) {
+  if (l->probe && l->reused && !l->up && l->stream.input().empty() &&
+      hosts_[l->host].phase == EndpointState::kReady) {
     // The host closed it while it was idle, just as it was to be used again: that says nothing of the host.
     Link& fresh = links_.Add(*this, l->host, true);
     fresh.give_up = l->give_up;
--- a/src/net/upstream.h
+++ b/src/proxy/upstream.h
@@ -1,6 +1,6 @@
 // The upstream side: the hosts by number, attempts (each with a connection of its own) and probes.
-#ifndef STOATRUN_NET_UPSTREAM_H_
-#define STOATRUN_NET_UPSTREAM_H_
+#ifndef STOATRUN_PROXY_UPSTREAM_H_
+#define STOATRUN_PROXY_UPSTREAM_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -12,14 +12,14 @@
 #include <vector>
 
 #include "base/counters.h"
-#include "base/deadlines.h"
-#include "base/slots.h"
-#include "base/stream.h"
-#include "net/hosts.h"
+#include "base/event_loop.h"
+#include "base/slot_map.h"
+#include "base/tcp_connection.h"
+#include "endpoint/endpoint_update.h"
 
 namespace stoatrun {
 
-using HostNumber = std::uint32_t;
+using EndpointIndex = std::uint32_t;
 
 // How an attempt ended before it was up: one name for each row of the protocol's outcome table, and one for
 // an attempt that was never begun, as a budget of the whole fleet did not allow it.
@@ -27,7 +27,7 @@
   kServed,
   kSentAway,
   kError,
-  kTurnedAway,
+  kRejected,
   kNotConnected,
   kBroken,
   kTimedOut,
@@ -54,12 +54,12 @@
   virtual void OnAttemptEnd(SlotId owner, AttemptEnd end, std::string_view line) = 0;
   // Of an attempt that is up.
   virtual void OnAttemptBytes(SlotId owner) = 0;
-  virtual void OnAttemptFinished(SlotId owner, StreamEnd end) = 0;
-  virtual void OnAttemptRoom(SlotId owner) = 0;
-  virtual void OnProbe(HostNumber host, bool ok, std::string_view report) = 0;
+  virtual void OnAttemptFinished(SlotId owner, ConnectionEnd end) = 0;
+  virtual void OnAttemptWritable(SlotId owner) = 0;
+  virtual void OnProbe(EndpointIndex host, bool ok, std::string_view report) = 0;
 };
 
-class Upstream : public StreamHandler {
+class Upstream : public TcpConnectionHandler {
  public:
   struct Times {
     Micros connect{250'000};
@@ -67,47 +67,47 @@
     Micros stop_sending{250'000};
   };
 
-  Upstream(Loop& loop, UpstreamEvents& events, Counters& counters, const Times& times);
+  Upstream(EventLoop& loop, UpstreamEvents& events, Counters& counters, const Times& times);
 
   // The number of a host, the same for one id for ever.
-  HostNumber NumberOf(const std::string& id);
-  std::optional<HostNumber> Known(const std::string& id) const;
-  const std::string& IdOf(HostNumber host) const { return hosts_[host].id; }
-  void TakeList(const HostList& list);
+  EndpointIndex NumberOf(const std::string& id);
+  std::optional<EndpointIndex> Known(const std::string& id) const;
+  const std::string& IdOf(EndpointIndex host) const { return hosts_[host].id; }
+  void TakeList(const EndpointUpdate& list);
   std::size_t Listed() const;  // Hosts in the list now, ready or draining.
 
   // Starts an attempt. Its end is told later, never from within this call.
-  SlotId Open(SlotId owner, HostNumber host, const AttemptWork& work);
+  SlotId Open(SlotId owner, EndpointIndex host, const AttemptWork& work);
   void Close(SlotId attempt);  // Abandons it, or ends it once up. Nothing more is told.
   void Reset(SlotId attempt);
-  Stream* Find(SlotId attempt);
-  void Probe(HostNumber host);
+  TcpConnection* Find(SlotId attempt);
+  void Probe(EndpointIndex host);
 
   void OnConnected(SlotId id) override;
   void OnBytes(SlotId id) override;
-  void OnEnd(SlotId id, StreamEnd end) override;
-  void OnRoom(SlotId id) override;
+  void OnEnd(SlotId id, ConnectionEnd end) override;
+  void OnWritable(SlotId id) override;
 
  private:
   struct Host {
     std::string id;
     std::optional<Address> address;
-    HostPhase phase = HostPhase::kReady;
+    EndpointState phase = EndpointState::kReady;
     SlotId idle_probe;
     bool watched_drain = false;
   };
   struct Link {  // An attempt or a probe's connection.
-    Link(SlotId slot, Upstream& all, HostNumber to, bool is_probe)
+    Link(SlotId slot, Upstream& all, EndpointIndex to, bool is_probe)
         : id(slot),
           host(to),
           probe(is_probe),
           stream(all.loop_, all, slot),
-          deadline(all.loop_.deadlines, [&all, slot] { all.Due(slot); }) {}
+          deadline(all.loop_.timers, [&all, slot] { all.Due(slot); }) {}
     SlotId id, owner;
-    HostNumber host;
+    EndpointIndex host;
     bool probe;
-    Stream stream;
-    Deadline deadline;
+    TcpConnection stream;
+    Timer deadline;
     AttemptWork work;
     Micros give_up{0};
     bool sent = false;    // The first line's last byte is with the socket.
@@ -122,27 +122,27 @@
   void EndProbe(Link& link, bool ok, std::string_view report, bool keep);
   void ReadAttempt(Link& attempt);
   void ReadProbe(Link& link);
-  void StopSending(HostNumber host);
+  void StopSending(EndpointIndex host);
   std::size_t Idle() const;  // Probes' connections that are kept.
 
-  Loop& loop_;
+  EventLoop& loop_;
   UpstreamEvents& events_;
   Counters& counters_;
   Times times_;
   std::vector<Host> hosts_;
-  std::unordered_map<std::string, HostNumber> numbers_;
-  Slots<Link> links_;
+  std::unordered_map<std::string, EndpointIndex> numbers_;
+  SlotMap<Link> links_;
   struct Drain {
-    Drain(SlotId slot, Upstream& all, HostNumber to)
-        : deadline(all.loop_.deadlines, [&all, slot, to] {
+    Drain(SlotId slot, Upstream& all, EndpointIndex to)
+        : deadline(all.loop_.timers, [&all, slot, to] {
             all.drains_.Erase(slot);
             all.StopSending(to);
           }) {}
-    Deadline deadline;
+    Timer deadline;
   };
-  Slots<Drain> drains_;
+  SlotMap<Drain> drains_;
 };
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_NET_UPSTREAM_H_
+#endif  // STOATRUN_PROXY_UPSTREAM_H_
--- a/src/lab/schedule.cpp
+++ b/src/simulation/schedule.cpp
@@ -1,4 +1,4 @@
-#include "lab/schedule.h"
+#include "simulation/schedule.h"
 
 #include <fmt/format.h>
 
@@ -8,9 +8,9 @@
 #include <map>
 #include <stdexcept>
 
-#include "fleet/random.h"
+#include "base/random.h"
 
-namespace stoatrun::lab {
+namespace stoatrun::simulation {
 namespace {
 
 using fleet::Random;
@@ -223,4 +223,4 @@
   return s;
 }
 
-}  // namespace stoatrun::lab
+}  // namespace stoatrun::simulation
