--- a/src/lab/schedule.h
+++ b/src/simulation/schedule.h
@@ -12,8 +12,8 @@
 //   which it never tried busy A PERCENT              relay A wants so much of every budget by itself
 //
 // A line that begins with # is a comment. `seed N`, `relays N`, `servers N`, `for MS` come first.
-#ifndef STOATRUN_LAB_SCHEDULE_H_
-#define STOATRUN_LAB_SCHEDULE_H_
+#ifndef STOATRUN_SIMULATION_SCHEDULE_H_
+#define STOATRUN_SIMULATION_SCHEDULE_H_
 
 #include <chrono>
 #include <cstddef>
@@ -23,7 +23,7 @@
 #include <string_view>
 #include <vector>
 
-namespace stoatrun::lab {
+namespace stoatrun::simulation {
 
 using Micros = std::chrono::microseconds;
 
@@ -51,6 +51,6 @@
 std::size_t IndexOf(const std::string& name);
 std::set<std::size_t> IndicesOf(std::string_view list);
 
-}  // namespace stoatrun::lab
+}  // namespace stoatrun::simulation
 
-#endif  // STOATRUN_LAB_SCHEDULE_H_
+#endif  // STOATRUN_SIMULATION_SCHEDULE_H_
--- a/src/lab/shrink.cpp
+++ b/src/simulation/shrink.cpp
@@ -1,10 +1,10 @@
-#include "lab/shrink.h"
+#include "simulation/shrink.h"
 
 #include <algorithm>
 #include <cstddef>
 #include <utility>
 
-namespace stoatrun::lab {
+namespace stoatrun::simulation {
 
 Schedule Shrink(Schedule schedule, const std::function<bool(const Schedule&)>& breaks,
                 std::size_t most_plays) {
@@ -34,4 +34,4 @@
   return schedule;
 }
 
-}  // namespace stoatrun::lab
+}  // namespace stoatrun::simulation
--- a/src/lab/fleet_world.cpp
+++ b/src/simulation/simulated_fleet.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet_world.h"
+#include "simulation/simulated_fleet.h"
 
 #include <fmt/format.h>
 
@@ -14,10 +14,10 @@
 #include <utility>
 #include <vector>
 
+#include "base/random.h"
 #include "fleet/node.h"
-#include "fleet/random.h"
 
-namespace stoatrun::lab {
+namespace stoatrun::simulation {
 namespace {
 
 using fleet::Datagram;
@@ -543,4 +543,4 @@
 
 WorldResult Play(const Schedule& schedule, const WorldSetup& setup) { return World(schedule, setup).Run(); }
 
-}  // namespace stoatrun::lab
+}  // namespace stoatrun::simulation
--- a/src/lab/fleet_world.h
+++ b/src/simulation/simulated_fleet.h
@@ -1,7 +1,8 @@
 // A fleet in virtual time: the very modules that the relay runs, on a simulated network, under a schedule of
-// faults. What happens goes into a history (rig/HISTORY.md), the same that the rig writes of real processes.
-#ifndef STOATRUN_LAB_FLEET_WORLD_H_
-#define STOATRUN_LAB_FLEET_WORLD_H_
+// faults. What happens goes into a history (fault_injection/HISTORY.md), the same that the rig writes of real
+// processes.
+#ifndef STOATRUN_SIMULATION_SIMULATED_FLEET_H_
+#define STOATRUN_SIMULATION_SIMULATED_FLEET_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -9,9 +10,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/schedule.h"
+#include "simulation/schedule.h"
 
-namespace stoatrun::lab {
+namespace stoatrun::simulation {
 
 struct WorldSetup {
   bool sharing = true;       // Without, each relay has its static share and its own eyes alone.
@@ -42,6 +43,6 @@
 
 WorldResult Play(const Schedule& schedule, const WorldSetup& setup = {});
 
-}  // namespace stoatrun::lab
+}  // namespace stoatrun::simulation
 
-#endif  // STOATRUN_LAB_FLEET_WORLD_H_
+#endif  // STOATRUN_SIMULATION_SIMULATED_FLEET_H_
--- a/tests/ops/management_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -1,6 +1,6 @@
 // The second address on loopback, under a clock that only the test moves; its routes, figures and the drain's
 // plan alone.
-#include "ops/management.h"
+#include "admin/admin_server.h"
 
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -14,9 +14,9 @@
 #include <string>
 #include <vector>
 
-#include "drain/plan.h"
-#include "ops/figures.h"
-#include "ops/routes.h"
+#include "admin/metrics.h"
+#include "admin/routes.h"
+#include "proxy/drain_schedule.h"
 
 namespace stoatrun {
 namespace {
@@ -182,7 +182,7 @@
     for (int k = 0; k < n; ++k) loop_.Poll();
   }
 
-  Loop loop_{Clock::Mode::kManual};
+  EventLoop loop_{Clock::Mode::kManual};
   Calls calls_;
   Management management_;
 };
--- a/tests/ops/ops_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "base/log.h"
-#include "ops/operator_file.h"
+#include "config/operator_file.h"
 
 namespace stoatrun {
 namespace {
--- a/tests/harness.h
+++ b/tests/balancer/balancer_fixture.h
@@ -1,6 +1,6 @@
 // A fake clock and a list of actions around one Balancer.
-#ifndef ARROWHATCH_TESTS_HARNESS_H_
-#define ARROWHATCH_TESTS_HARNESS_H_
+#ifndef STOATRUN_TESTS_BALANCER_BALANCER_FIXTURE_H_
+#define STOATRUN_TESTS_BALANCER_BALANCER_FIXTURE_H_
 
 #include <cstdint>
 #include <optional>
@@ -8,35 +8,35 @@
 #include <utility>
 #include <vector>
 
-#include "arrowhatch/balancer.h"
+#include "balancer/balancer.h"
 
-namespace arrowhatch {
+namespace balancer {
 
 constexpr Micros Ms(std::int64_t n) { return Micros(n * 1000); }
 constexpr RequestId Rq(std::uint64_t n) { return RequestId(n); }
-constexpr ServerId Sv(std::uint64_t n) { return ServerId(n); }
+constexpr EndpointId Sv(std::uint64_t n) { return EndpointId(n); }
 
 inline Settings PlainSettings() {
   Settings s;
   s.seed = 7;
-  s.reports = ReportMode::kOnProbe;
+  s.report_mode = ReportMode::kOnProbe;
   s.probes_allowed = true;
   s.cancel_allowed = true;
   s.max_attempts = 4;
   ClassSettings c;
-  c.aim = Ms(300);
-  c.effect = Effect::kSafe;
-  c.message_aim = Ms(100);
+  c.setup_latency_objective = Ms(300);
+  c.idempotency = Idempotency::kIdempotent;
+  c.message_latency_objective = Ms(100);
   s.classes = {c};
-  s.cold_share = 0.3;
-  s.cold_time = Ms(9000);
-  s.cold_multiple = 4;
-  s.cold_window = Ms(1000);
+  s.slow_start_share = 0.3;
+  s.slow_start_duration = Ms(9000);
+  s.slow_start_overload_factor = 4;
+  s.slow_start_window = Ms(1000);
   return s;
 }
 
-inline ServerEntry Ready(std::uint64_t id, std::uint32_t zone = 0, std::uint64_t cell = 0) {
-  ServerEntry e;
+inline Endpoint Ready(std::uint64_t id, std::uint32_t zone = 0, std::uint64_t cell = 0) {
+  Endpoint e;
   e.id = Sv(id);
   e.zone = ZoneId(zone);
   e.cell = CellId(cell);
@@ -49,14 +49,14 @@
 
   std::vector<Action> Give(const Event& event) {
     std::vector<Action> actions;
-    balancer_.handle(now, event, actions);
+    balancer_.Handle(now, event, actions);
     Note(actions);
     return actions;
   }
-  std::size_t Avoided() const { return balancer_.avoided(now); }
-  std::vector<Action> List(std::vector<ServerEntry> entries,
-                           ServerList::Kind kind = ServerList::Kind::kCached) {
-    return Give(ServerList{kind, std::move(entries)});
+  std::size_t Avoided() const { return balancer_.EjectedCount(now); }
+  std::vector<Action> List(std::vector<Endpoint> entries,
+                           EndpointUpdate::Kind kind = EndpointUpdate::Kind::kCached) {
+    return Give(EndpointUpdate{kind, std::move(entries)});
   }
   std::vector<Action> Request(std::uint64_t id, Micros patience = Ms(2000), std::optional<double> hint = {}) {
     RequestArrived e;
@@ -69,7 +69,7 @@
     ConnectionResumed e;
     e.request.id = Rq(id);
     e.request.load_hint = hint;
-    e.server = Sv(server);
+    e.endpoint = Sv(server);
     Give(e);
   }
   std::vector<Action> End(std::uint64_t id, std::uint64_t server, Outcome outcome, bool finished = false) {
@@ -79,7 +79,7 @@
     LoadReport r;
     r.load_ratio = load;
     r.outstanding = count;
-    return Give(ProbeAnswered{Sv(server), true, r});
+    return Give(ProbeCompleted{Sv(server), true, r});
   }
   // Lets time pass; timers fire when they are due. Gives all actions of that time.
   std::vector<Action> Pass(Micros span) {
@@ -136,6 +136,6 @@
   return found;
 }
 
-}  // namespace arrowhatch
+}  // namespace balancer
 
-#endif  // ARROWHATCH_TESTS_HARNESS_H_
+#endif  // STOATRUN_TESTS_BALANCER_BALANCER_FIXTURE_H_
--- a/tests/same_actions_program.sh
+++ b/tests/balancer/balancer_replay_program.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
 # The comparison of recorded actions: the same ones pass, a single other one is found, bad files are named.
 set -u
-same_actions=$1
+balancer_replay=$1
 fail() { echo "$1"; exit 1; }
 settings='{"balancers":2,"zone":0,"discovery":"automatic","classes":[{"effect":"idempotent","target":800000}],
  "stats":{"how":"on_probe","fields":["x0"]},"limits":{"probes":true,"sendCap":3}}'
@@ -14,19 +14,19 @@
 >> process 0, 1 bytes
 {"atTime":900,"input":[["ProbeDone",3,7,1500,"pass",[0.4]],["ProbeDone",3,8,1500,"pass",[0.1]]]}
 EOF
-"$same_actions" --write events.txt > recorded.txt || fail "recording failed"
+"$balancer_replay" --write events.txt > recorded.txt || fail "recording failed"
 grep -q '"Send",3,11,8' recorded.txt || fail "no decision in the recording: $(cat recorded.txt)"
-"$same_actions" recorded.txt || fail "the same actions must exit 0"
+"$balancer_replay" recorded.txt || fail "the same actions must exit 0"
 sed 's/"Send",3,11,8/"Send",3,11,7/' recorded.txt > other.txt
-out=$("$same_actions" other.txt); [ $? = 3 ] || fail "another action must exit 3"
+out=$("$balancer_replay" other.txt); [ $? = 3 ] || fail "another action must exit 3"
 echo "$out" | grep -q 'other.txt:6: batch 3 differs' || fail "it must name the place: $out"
 sed '$d' recorded.txt | sed '2d' > cut.txt
-"$same_actions" cut.txt 2>err.txt; [ $? = 2 ] || fail "a batch without its reply must exit 2"
+"$balancer_replay" cut.txt 2>err.txt; [ $? = 2 ] || fail "a batch without its reply must exit 2"
 grep -q 'cut.txt:2: a batch before' err.txt || fail "message: $(cat err.txt)"
 sed '$d' recorded.txt > cut.txt
-"$same_actions" cut.txt 2>err.txt; [ $? = 2 ] || fail "a recording cut short must exit 2"
+"$balancer_replay" cut.txt 2>err.txt; [ $? = 2 ] || fail "a recording cut short must exit 2"
 grep -q 'ends before the reply' err.txt || fail "message: $(cat err.txt)"
-"$same_actions" events.none 2>err.txt; [ $? = 2 ] || fail "a missing file must exit 2"
+"$balancer_replay" events.none 2>err.txt; [ $? = 2 ] || fail "a missing file must exit 2"
 echo "{\"atTime\":5}" > bad.txt
-"$same_actions" bad.txt 2>err.txt; [ $? = 2 ] || fail "a malformed batch must exit 2"
+"$balancer_replay" bad.txt 2>err.txt; [ $? = 2 ] || fail "a malformed batch must exit 2"
 grep -q 'bad.txt:1: input: missing' err.txt || fail "message: $(cat err.txt)"
--- a/tests/deployment_test.cpp
+++ b/tests/balancer/deployment_test.cpp
@@ -8,39 +8,39 @@
 #include <set>
 #include <vector>
 
-#include "harness.h"
+#include "balancer/balancer_fixture.h"
 
-namespace arrowhatch {
+namespace balancer {
 namespace {
 
-ServerEntry Named(std::uint64_t id, std::uint64_t name, double size = 1.0) {
-  ServerEntry e = Ready(id);
-  e.name = name;
+Endpoint Named(std::uint64_t id, std::uint64_t name, double size = 1.0) {
+  Endpoint e = Ready(id);
+  e.name_hash = name;
   e.size = size;
   return e;
 }
 
 // A request of a group; its probes are answered by `loads` (server 1 first), and the server that it is sent
 // to.
-ServerId Place(Harness& h, std::uint64_t id, std::uint64_t group, const std::vector<double>& loads) {
+EndpointId Place(Harness& h, std::uint64_t id, std::uint64_t group, const std::vector<double>& loads) {
   RequestArrived e;
   e.id = Rq(id);
-  e.group = group;
+  e.affinity_group = group;
   e.deadline = h.now + Ms(2000);
   std::vector<Action> actions = h.Give(e);
   for (std::size_t k = 0; k < actions.size(); ++k) {
-    const auto* p = std::get_if<ProbeServer>(&actions[k]);
+    const auto* p = std::get_if<ProbeEndpoint>(&actions[k]);
     if (p == nullptr) continue;
-    const auto server = static_cast<std::uint64_t>(p->server);
+    const auto server = static_cast<std::uint64_t>(p->endpoint);
     const std::vector<Action> more = h.Report(server, loads[server - 1]);
     actions.insert(actions.end(), more.begin(), more.end());
   }
   const std::vector<Action> later = h.Pass(Ms(40));
   actions.insert(actions.end(), later.begin(), later.end());
   const auto sent = Of<SendAttempt>(actions);
-  if (sent.empty()) return ServerId(0);
-  h.Give(AttemptEstablished{Rq(id), sent[0].server});
-  return sent[0].server;
+  if (sent.empty()) return EndpointId(0);
+  h.Give(AttemptEstablished{Rq(id), sent[0].endpoint});
+  return sent[0].endpoint;
 }
 
 // Every server that holds some of a group pays for it: 8 groups on 14 servers once asked for more than their
@@ -51,10 +51,10 @@
     h.List({Named(1, 11), Named(2, 12), Named(3, 13), Named(4, 14)});
     ConnectionResumed standing;
     standing.request.id = Rq(1);
-    standing.request.group = 77;
-    standing.server = Sv(3);
+    standing.request.affinity_group = 77;
+    standing.endpoint = Sv(3);
     h.Give(standing);
-    const ServerId to = Place(h, 2, 77, {0.3, 0.3, held, 0.3});
+    const EndpointId to = Place(h, 2, 77, {0.3, 0.3, held, 0.3});
     EXPECT_EQ(to == Sv(3), held < 0.6) << held;
   }
 }
@@ -82,8 +82,8 @@
 Settings BlindSettings(std::uint64_t seed) {
   Settings s = PlainSettings();
   s.seed = seed;
-  s.gateways = 300;
-  s.reports = ReportMode::kOff;
+  s.replicas = 300;
+  s.report_mode = ReportMode::kOff;
   s.probes_allowed = false;
   return s;
 }
@@ -107,10 +107,10 @@
 TEST(Groups, WithoutReportsManyGatewaysHeedLateMessagesForAWhileAndNoCounts) {
   Harness h(BlindSettings(1));
   h.List({Named(1, 11), Named(2, 12), Named(3, 13), Named(4, 14)});
-  const ServerId home = Place(h, 1, 77, {});
+  const EndpointId home = Place(h, 1, 77, {});
   for (std::uint64_t k = 2; k <= 6; ++k) EXPECT_EQ(Place(h, k, 77, {}), home);
-  EXPECT_TRUE(Of<MoveClient>(h.Pass(Ms(5000))).empty());
-  h.Give(DelayTold{home, Ms(500)});
+  EXPECT_TRUE(Of<MigrateConnection>(h.Pass(Ms(5000))).empty());
+  h.Give(MessageLatencyReported{home, Ms(500)});
   EXPECT_NE(Place(h, 7, 77, {}), home);
   for (std::uint64_t k = 1; k <= 6; ++k) h.Give(AttemptEnded{Rq(k), home, Outcome::kServed, true, {}});
   h.Give(AttemptEnded{Rq(7), Sv(1), Outcome::kServed, true, {}});
@@ -118,15 +118,15 @@
   EXPECT_EQ(Place(h, 8, 77, {}), home);
 }
 
-// 300 gateways, each with one connection on one of eight servers, as a ninth starts.
+// 300 replicas, each with one connection on one of eight servers, as a ninth starts.
 class LargeFleet {
  public:
   explicit LargeFleet(bool reports) : reports_(reports) {
-    std::vector<ServerEntry> servers;
+    std::vector<Endpoint> servers;
     for (std::uint64_t k = 1; k <= 8; ++k) servers.push_back(Named(k, 10 + k));
     for (std::uint64_t k = 0; k < 300; ++k) {
       Settings settings = BlindSettings(k + 1);
-      if (reports) settings.reports = ReportMode::kOnProbe;
+      if (reports) settings.report_mode = ReportMode::kOnProbe;
       settings.probes_allowed = reports;
       gateways_.emplace_back(std::make_unique<Harness>(settings));
       gateways_.back()->List(servers);
@@ -135,11 +135,11 @@
       gateways_.back()->Pass(Ms(2000));
     }
     servers.push_back(Named(9, 19));
-    servers.back().started = gateways_.front()->now;
-    for (auto& g : gateways_) g->List(servers, ServerList::Kind::kFull);
-    while (true) {  // A group that all gateways think of the ninth for, once it is warm.
+    servers.back().started_at = gateways_.front()->now;
+    for (auto& g : gateways_) g->List(servers, EndpointUpdate::Kind::kFull);
+    while (true) {  // A group that all replicas think of the ninth for, once it is warm.
       Harness h(BlindSettings(1));
-      servers.back().started = Micros(0);
+      servers.back().started_at = Micros(0);
       h.List(servers);
       if (Place(h, 1, ++group_, {}) == Sv(9)) break;
     }
@@ -186,7 +186,7 @@
 TEST(Groups, AGroupThatIsGoneFromAServerIsNoReasonToGoThere) {
   Harness h;
   h.List({Named(1, 11), Named(2, 12), Named(3, 13), Named(4, 14)});
-  const ServerId first = Place(h, 1, 77, {0.3, 0.3, 0.3, 0.3});
+  const EndpointId first = Place(h, 1, 77, {0.3, 0.3, 0.3, 0.3});
   h.End(1, static_cast<std::uint64_t>(first), Outcome::kServed, true);
   h.now += Ms(5000);
   std::vector<double> loads(4, 0.3);
@@ -194,21 +194,21 @@
   EXPECT_NE(Place(h, 2, 77, loads), first);
 }
 
-// A hundred gateways with views equally old all sent a group to its one home: on the whole fleet's days more
+// A hundred replicas with views equally old all sent a group to its one home: on the whole fleet's days more
 // was lost by that than groups cost there.
-TEST(Groups, OneOfMoreGatewaysThanServersGoesWhereMostRoomIs) {
-  for (const std::uint32_t gateways : {4U, 5U}) {
+TEST(Groups, OneOfMoreReplicasThanServersGoesWhereMostRoomIs) {
+  for (const std::uint32_t replicas : {4U, 5U}) {
     Settings s = PlainSettings();
-    s.gateways = gateways;
+    s.replicas = replicas;
     Harness h(s);
     h.List({Named(1, 11), Named(2, 12), Named(3, 13), Named(4, 14)});
     ConnectionResumed standing;
     standing.request.id = Rq(1);
-    standing.request.group = 77;
-    standing.server = Sv(3);
+    standing.request.affinity_group = 77;
+    standing.endpoint = Sv(3);
     h.Give(standing);
-    h.Give(LoadTold{Rq(1), 10'000.0});
-    EXPECT_EQ(Place(h, 2, 77, {0.3, 0.3, 0.55, 0.3}) == Sv(3), gateways == 4) << gateways;
+    h.Give(LoadReported{Rq(1), 10'000.0});
+    EXPECT_EQ(Place(h, 2, 77, {0.3, 0.3, 0.55, 0.3}) == Sv(3), replicas == 4) << replicas;
   }
 }
 
@@ -217,16 +217,16 @@
 // declined.
 TEST(Weights, AGatewayThatHasJustStartedDoesNotTakeItsFewConnectionsForTheFleetsLoad) {
   Settings s = PlainSettings();
-  s.gateways = 2;
+  s.replicas = 2;
   Harness h(s);
   h.List({Named(1, 11, 2), Named(2, 12, 2), Named(3, 13, 2), Named(4, 14, 6), Named(5, 15, 2)});
   const std::vector<double> loads{0.3, 0.6, 0.9, 0.55, 0.6};
   int sent = 0;
   for (std::uint64_t id = 1; id <= 12; ++id) {
-    const ServerId to = Place(h, id, 0, loads);
-    if (to == ServerId(0)) continue;
+    const EndpointId to = Place(h, id, 0, loads);
+    if (to == EndpointId(0)) continue;
     ++sent;
-    h.Give(LoadTold{Rq(id), 40'000.0});  // A fiftieth of a server of two cores.
+    h.Give(LoadReported{Rq(id), 40'000.0});  // A fiftieth of a server of two cores.
   }
   EXPECT_GE(sent, 11);  // 9 without this.
 }
@@ -238,7 +238,7 @@
   h.List({Named(1, 11, size), Named(2, 12, size)});
   for (std::uint64_t id = 1; id <= 20; ++id) {
     h.Resume(id, 2);
-    h.Give(LoadTold{Rq(id), size * 25'000.0});
+    h.Give(LoadReported{Rq(id), size * 25'000.0});
   }
   return h;
 }
@@ -250,8 +250,8 @@
   Harness h = HalfFull(2);
   int at_empty = 0;
   for (std::uint64_t id = 101; id <= 116; ++id) {
-    const ServerId to = Place(h, id, 0, {0.2, 0.5});
-    h.Give(LoadTold{Rq(id), 50'000.0});  // 12 fill the difference.
+    const EndpointId to = Place(h, id, 0, {0.2, 0.5});
+    h.Give(LoadReported{Rq(id), 50'000.0});  // 12 fill the difference.
     at_empty += to == Sv(1) ? 1 : 0;
   }
   EXPECT_LE(at_empty, 14);  // All 16 without this.
@@ -263,7 +263,7 @@
   for (const double load : {50'000.0, 800'000.0}) {
     Harness h = HalfFull(2);
     ASSERT_EQ(Place(h, 101, 0, {0.2, 0.4}), Sv(1));
-    h.Give(LoadTold{Rq(101), load});
+    h.Give(LoadReported{Rq(101), load});
     EXPECT_EQ(Place(h, 102, 0, {0.2, 0.4}), load < 100'000 ? Sv(1) : Sv(2));
   }
 }
@@ -273,7 +273,7 @@
   for (const double size : {1.0, 8.0}) {
     Harness h = HalfFull(size);
     ASSERT_EQ(Place(h, 101, 0, {0.40, 0.45}), Sv(1));
-    h.Give(LoadTold{Rq(101), 100'000.0});
+    h.Give(LoadReported{Rq(101), 100'000.0});
     EXPECT_EQ(Place(h, 102, 0, {0.40, 0.45}), size > 2 ? Sv(1) : Sv(2));
   }
 }
@@ -288,13 +288,13 @@
     std::vector<Action> actions = h.RequestThenPass(id, Ms(0));
     for (std::size_t k = 0; k < actions.size(); ++k) {
       std::vector<Action> more;
-      if (const auto* p = std::get_if<ProbeServer>(&actions[k])) {
-        const auto server = static_cast<std::uint64_t>(p->server);
+      if (const auto* p = std::get_if<ProbeEndpoint>(&actions[k])) {
+        const auto server = static_cast<std::uint64_t>(p->endpoint);
         more = h.Report(server, server == 1 ? 0.1 : 0.5);
       } else if (const auto* s = std::get_if<SendAttempt>(&actions[k])) {
-        failed += s->server == Sv(1) ? 1 : 0;
-        more = h.End(id, static_cast<std::uint64_t>(s->server),
-                     s->server == Sv(1) ? Outcome::kError : Outcome::kServed, s->server != Sv(1));
+        failed += s->endpoint == Sv(1) ? 1 : 0;
+        more = h.End(id, static_cast<std::uint64_t>(s->endpoint),
+                     s->endpoint == Sv(1) ? Outcome::kError : Outcome::kServed, s->endpoint != Sv(1));
       }
       actions.insert(actions.end(), more.begin(), more.end());
     }
@@ -304,17 +304,17 @@
 }
 
 // What connections tell of themselves leaves out what their groups cost a server: a cold one was sent 6.4
-// times what it could then do, on a day of ten gateways.
+// times what it could then do, on a day of ten replicas.
 TEST(Cold, ItsBudgetTakesTheLargerOfTheWeightsThatAConnectionMayHave) {
   Settings settings = PlainSettings();
-  settings.gateways = 4;
+  settings.replicas = 4;
   Harness h(settings);
-  ServerEntry cold = Named(2, 12);
-  cold.started = h.now;
+  Endpoint cold = Named(2, 12);
+  cold.started_at = h.now;
   h.List({Named(1, 11), cold});
   for (std::uint64_t k = 1; k <= 10; ++k) {
     h.Resume(k, 1);
-    h.Give(LoadTold{Rq(k), 5000});  // A two-hundredth of a server.
+    h.Give(LoadReported{Rq(k), 5000});  // A two-hundredth of a server.
   }
   h.Report(1, 0.7);  // Of which ten of forty connections are a fiftieth each.
   h.Pass(Ms(1000));
@@ -330,18 +330,18 @@
   std::size_t sent = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Settings settings = PlainSettings();
-    settings.gateways = 300;
+    settings.replicas = 300;
     settings.seed = seed;
     Harness h(settings);
-    std::vector<ServerEntry> servers;
+    std::vector<Endpoint> servers;
     for (std::uint64_t k = 1; k <= 40; ++k) servers.push_back(Named(k, 10 + k));
     h.List(servers);
     h.Resume(1, 1);
     h.Report(1, 0.5);
     h.Pass(Ms(2000));
     servers.push_back(Named(41, 51));
-    servers.back().started = h.now;
-    h.List(servers, ServerList::Kind::kFull);
+    servers.back().started_at = h.now;
+    h.List(servers, EndpointUpdate::Kind::kFull);
     std::vector<double> loads(41, 0.5);
     loads[40] = 0.05;
     for (std::uint64_t k = 2; k <= 11; ++k) {
@@ -349,46 +349,46 @@
       h.Pass(Ms(500));
     }
   }
-  EXPECT_LE(sent, 15U);  // Five seconds of ten gateways' parts, and what they start with.
+  EXPECT_LE(sent, 15U);  // Five seconds of ten replicas' parts, and what they start with.
 }
 
-// ---- what other gateways tell ----
+// ---- what other replicas tell ----
 
 TEST(Peers, WhatOthersSentToAServerCountsThereUntilTheySayOtherwise) {
   Harness h;
   h.List({Named(1, 11), Named(2, 12)});
   for (std::uint64_t k = 1; k <= 10; ++k) h.Resume(k, 1 + k % 2);
   for (const std::uint64_t server : {1, 2}) h.Report(server, server == 1 ? 0.4 : 0.45, 20.0);
-  h.Give(PeersTold{Sv(1), 20, -1, false});
+  h.Give(FleetHint{Sv(1), 20, -1, false});
   EXPECT_EQ(Place(h, 100, 0, {0.4, 0.45}), Sv(2));
-  h.Give(PeersTold{Sv(1), 0, -1, false});
+  h.Give(FleetHint{Sv(1), 0, -1, false});
   EXPECT_EQ(Place(h, 101, 0, {0.2, 0.45}), Sv(1));
 }
 
 TEST(Peers, AServerThatTheyFoundFailingIsLeftAloneForAWhileAndNoLonger) {
   Harness h;
   h.List({Named(1, 11), Named(2, 12)});
-  h.Give(PeersTold{Sv(1), 0, -1, true});
+  h.Give(FleetHint{Sv(1), 0, -1, true});
   EXPECT_EQ(h.Avoided(), 1U);
   EXPECT_EQ(Place(h, 1, 0, {0.1, 0.5}), Sv(2));
   h.Pass(Ms(600));
   EXPECT_EQ(h.Avoided(), 0U);
-  h.Give(PeersTold{Sv(9), 5, 5, true});  // Not in the list: passed by.
+  h.Give(FleetHint{Sv(9), 5, 5, true});  // Not in the list: passed by.
   EXPECT_EQ(h.Avoided(), 0U);
 }
 
 TEST(Peers, AColdServerIsSentWhatTheySayItMayBeSent) {
   Harness h;
-  ServerEntry cold = Named(1, 11);
-  cold.started = h.now - Ms(10);
+  Endpoint cold = Named(1, 11);
+  cold.started_at = h.now - Ms(10);
   h.List({cold, Named(2, 12)});
-  h.Give(PeersTold{Sv(1), 0, 0, false});
+  h.Give(FleetHint{Sv(1), 0, 0, false});
   for (std::uint64_t k = 1; k <= 3; ++k) EXPECT_EQ(Place(h, k, 0, {0.0, 0.5}), Sv(2)) << k;
-  h.Give(PeersTold{Sv(1), 0, 2, false});
+  h.Give(FleetHint{Sv(1), 0, 2, false});
   EXPECT_EQ(Place(h, 10, 0, {0.0, 0.5}), Sv(1));
   EXPECT_EQ(Place(h, 11, 0, {0.0, 0.5}), Sv(1));
   EXPECT_EQ(Place(h, 12, 0, {0.0, 0.5}), Sv(2));
 }
 
 }  // namespace
-}  // namespace arrowhatch
+}  // namespace balancer
--- a/tests/fleet_test.cpp
+++ b/tests/balancer/large_fleet_test.cpp
@@ -1,4 +1,4 @@
-// A hundred gateways side by side that share nothing: what is harmless at one and harmful when all do it.
+// A hundred replicas side by side that share nothing: what is harmless at one and harmful when all do it.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -7,9 +7,9 @@
 #include <variant>
 #include <vector>
 
-#include "harness.h"
+#include "balancer/balancer_fixture.h"
 
-namespace arrowhatch {
+namespace balancer {
 namespace {
 
 constexpr std::size_t kGateways = 100;
@@ -21,12 +21,12 @@
 
 class Fleet {
  public:
-  explicit Fleet(const std::vector<ServerEntry>& list, std::map<std::uint64_t, Told> told)
+  explicit Fleet(const std::vector<Endpoint>& list, std::map<std::uint64_t, Told> told)
       : told_(std::move(told)) {
     for (std::size_t k = 0; k < kGateways; ++k) {
       Settings s = PlainSettings();
       s.seed = 1000 + k;
-      s.gateways = kGateways;
+      s.replicas = kGateways;
       all_.push_back(std::make_unique<Harness>(s));
       all_.back()->now = Ms(10'000);
       all_.back()->List(list);
@@ -36,17 +36,17 @@
     for (auto& g : all_) Play(*g, g->Pass(span));
   }
   // A client that comes back to each gateway.
-  void ComeBack(std::uint64_t id) {
+  void RetryAfter(std::uint64_t id) {
     for (std::size_t k = 0; k < kGateways; ++k) {
       RequestArrived e;
       e.id = Rq(id);
       e.deadline = all_[k]->now + Ms(2000);
-      e.came_back = true;
+      e.is_reconnect = true;
       Play(*all_[k], all_[k]->Give(e));
     }
   }
-  void List(const std::vector<ServerEntry>& list) {
-    for (auto& g : all_) Play(*g, g->List(list, ServerList::Kind::kFull));
+  void List(const std::vector<Endpoint>& list) {
+    for (auto& g : all_) Play(*g, g->List(list, EndpointUpdate::Kind::kFull));
   }
   int SentTo(std::uint64_t server) const {
     const auto at = sent_.find(Sv(server));
@@ -58,13 +58,13 @@
   void Play(Harness& g, std::vector<Action> actions) {
     for (std::size_t k = 0; k < actions.size(); ++k) {
       std::vector<Action> more;
-      if (const auto* p = std::get_if<ProbeServer>(&actions[k])) {
-        const Told& t = told_.at(static_cast<std::uint64_t>(p->server));
-        more = g.Report(static_cast<std::uint64_t>(p->server), t.load, t.count);
+      if (const auto* p = std::get_if<ProbeEndpoint>(&actions[k])) {
+        const Told& t = told_.at(static_cast<std::uint64_t>(p->endpoint));
+        more = g.Report(static_cast<std::uint64_t>(p->endpoint), t.load, t.count);
       } else if (const auto* s = std::get_if<SendAttempt>(&actions[k])) {
-        ++sent_[s->server];
-        more = g.Give(AttemptEstablished{s->id, s->server});
-      } else if (std::holds_alternative<RefuseRequest>(actions[k])) {
+        ++sent_[s->endpoint];
+        more = g.Give(AttemptEstablished{s->id, s->endpoint});
+      } else if (std::holds_alternative<RejectRequest>(actions[k])) {
         ++refused;
       }
       actions.insert(actions.end(), more.begin(), more.end());
@@ -73,20 +73,20 @@
 
   std::vector<std::unique_ptr<Harness>> all_;
   std::map<std::uint64_t, Told> told_;
-  std::map<ServerId, int> sent_;
+  std::map<EndpointId, int> sent_;
 };
 
-// Clients of a lost server come back to all gateways at once. Each sees the same reports; when each took the
+// Clients of a lost server come back to all replicas at once. Each sees the same reports; when each took the
 // least utilised server that one was asked for twice what it can do before it had told anything new.
 TEST(Fleet, EqualViewsDoNotLeadToEqualChoices) {
-  std::vector<ServerEntry> list;
+  std::vector<Endpoint> list;
   std::map<std::uint64_t, Told> told;
   for (std::uint64_t id = 1; id <= 4; ++id) {
     list.push_back(Ready(id));
     told[id] = {0.25 + 0.05 * static_cast<double>(id), 20};
   }
   Fleet fleet(list, told);
-  fleet.ComeBack(1);
+  fleet.RetryAfter(1);
   int most = 0, all = 0;
   for (std::uint64_t id = 1; id <= 4; ++id) {
     most = std::max(most, fleet.SentTo(id));
@@ -98,21 +98,21 @@
 
 // A hundred that each see room for a few more would fill a server many times over.
 TEST(Fleet, AFleetNearlyFullTakesNoHerd) {
-  std::vector<ServerEntry> list;
+  std::vector<Endpoint> list;
   std::map<std::uint64_t, Told> told;
   for (std::uint64_t id = 1; id <= 4; ++id) {
     list.push_back(Ready(id));
     told[id] = {0.75, 20};
   }
   Fleet fleet(list, told);
-  fleet.ComeBack(1);
+  fleet.RetryAfter(1);
   EXPECT_GE(fleet.refused, 90);
 }
 
 // Each gateway has a hundredth of a cold server's budget. Looked at like any other server it was used by few:
 // new servers stayed empty through their warm-up while the old ones were full.
 TEST(Fleet, AColdServersBudgetIsUsedWhileTheOthersAreFull) {
-  std::vector<ServerEntry> list;
+  std::vector<Endpoint> list;
   std::map<std::uint64_t, Told> told;
   for (std::uint64_t id = 1; id <= 12; ++id) {
     list.push_back(Ready(id));
@@ -121,16 +121,16 @@
   told[13] = {0.1, 3};
   Fleet fleet(list, told);
   for (int k = 0; k < 4; ++k) {  // They learn what a full server carries.
-    fleet.ComeBack(static_cast<std::uint64_t>(10 + k));
+    fleet.RetryAfter(static_cast<std::uint64_t>(10 + k));
     fleet.Pass(Ms(1500));
   }
-  ServerEntry cold = Ready(13);
-  cold.started = Ms(16'000);
+  Endpoint cold = Ready(13);
+  cold.started_at = Ms(16'000);
   list.push_back(cold);
   fleet.List(list);
   for (int k = 0; k < 9; ++k) {
     const int before = fleet.SentTo(13);
-    fleet.ComeBack(static_cast<std::uint64_t>(100 + k));
+    fleet.RetryAfter(static_cast<std::uint64_t>(100 + k));
     fleet.Pass(Ms(1000));
     EXPECT_LE(fleet.SentTo(13) - before, 4 * (0.3 + 0.7 * k / 9) * 30);  // What would make it fall.
   }
@@ -143,19 +143,19 @@
     Settings s = PlainSettings();
     s.seed = seed;
     Harness h(s);
-    std::vector<ServerEntry> list;
+    std::vector<Endpoint> list;
     for (std::uint64_t id = 1; id <= 12; ++id) list.push_back(Ready(id));
     h.List(list);
     for (std::uint64_t id = 1; id <= 12; ++id) h.Report(id, 0.9, 27);
     h.Pass(Ms(1000));
-    list[6].started = h.now;
-    h.List({list[6]}, ServerList::Kind::kChanges);
+    list[6].started_at = h.now;
+    h.List({list[6]}, EndpointUpdate::Kind::kChanges);
     h.Pass(Ms(1000));
     const auto actions = h.Request(1);
     const auto first = std::find_if(actions.begin(), actions.end(),
-                                    [](const Action& a) { return std::holds_alternative<ProbeServer>(a); });
+                                    [](const Action& a) { return std::holds_alternative<ProbeEndpoint>(a); });
     ASSERT_NE(first, actions.end());
-    EXPECT_EQ(std::get<ProbeServer>(*first).server, Sv(7)) << "seed " << seed;
+    EXPECT_EQ(std::get<ProbeEndpoint>(*first).endpoint, Sv(7)) << "seed " << seed;
   }
 }
 
@@ -164,13 +164,13 @@
   int probes = 0;
   for (std::size_t k = 0; k < kGateways; ++k) {
     Settings s = PlainSettings();
-    s.gateways = kGateways;
+    s.replicas = kGateways;
     s.seed = k;
     Harness h(s);
     h.List({Ready(1), Ready(2), Ready(3), Ready(4)});
     for (std::uint64_t id = 1; id <= 4; ++id) h.Resume(id, id);
-    for (const Action& a : h.Pass(Ms(500))) probes += std::holds_alternative<ProbeServer>(a) ? 1 : 0;
-    for (const Action& a : h.Request(9)) probes += std::holds_alternative<ProbeServer>(a) ? 1 : 0;
+    for (const Action& a : h.Pass(Ms(500))) probes += std::holds_alternative<ProbeEndpoint>(a) ? 1 : 0;
+    for (const Action& a : h.Request(9)) probes += std::holds_alternative<ProbeEndpoint>(a) ? 1 : 0;
   }
   EXPECT_LE(probes, 320);  // Three for each landing; each gateway looked at all four besides.
 }
@@ -180,7 +180,7 @@
 TEST(Fleet, AGatewayWithoutArrivalsLooksOftenerAtAFullServer) {
   const auto probes_of = [](double load) {
     Settings s = PlainSettings();
-    s.gateways = kGateways;
+    s.replicas = kGateways;
     Harness h(s);
     h.List({Ready(1), Ready(2)});
     h.Resume(1, 1);
@@ -189,7 +189,7 @@
     int probes = 0;
     for (int k = 0; k < 100; ++k) {
       for (const Action& a : h.Pass(Ms(100))) {
-        if (!std::holds_alternative<ProbeServer>(a)) continue;
+        if (!std::holds_alternative<ProbeEndpoint>(a)) continue;
         ++probes;
         h.Report(1, load);
       }
@@ -201,4 +201,4 @@
 }
 
 }  // namespace
-}  // namespace arrowhatch
+}  // namespace balancer
--- a/tests/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -1,22 +1,22 @@
-// The four rules: one final answer in time, no effect twice, drains kept, cold servers not pushed over.
+// The four rules: one final answer in time, no idempotency twice, drains kept, cold servers not pushed over.
 #include <gtest/gtest.h>
 
-#include "harness.h"
+#include "balancer/balancer_fixture.h"
 
-namespace arrowhatch {
+namespace balancer {
 namespace {
 
-Settings WithoutProbes(Effect effect, RepeatGroup group = RepeatGroup::kAll) {
+Settings WithoutProbes(Idempotency idempotency, DeduplicationScope group = DeduplicationScope::kAll) {
   Settings s = PlainSettings();
   s.probes_allowed = false;
-  s.classes[0].effect = effect;
-  s.classes[0].group = group;
-  s.classes[0].repeat_window = Ms(800);
+  s.classes[0].idempotency = idempotency;
+  s.classes[0].deduplication_scope = group;
+  s.classes[0].deduplication_window = Ms(800);
   return s;
 }
 
 std::size_t Answers(const std::vector<Action>& a) {
-  return Of<RefuseRequest>(a).size() + Of<FailRequest>(a).size();
+  return Of<RejectRequest>(a).size() + Of<FailRequest>(a).size();
 }
 
 TEST(OneAnswer, HeldWithoutAnyServerIsAnsweredAtTheDeadline) {
@@ -29,15 +29,15 @@
 }
 
 TEST(OneAnswer, HeldRequestGoesToAServerThatAppears) {
-  Harness h(WithoutProbes(Effect::kSafe));
+  Harness h(WithoutProbes(Idempotency::kIdempotent));
   h.List({});
   h.Request(1);
-  h.List({Ready(5)}, ServerList::Kind::kChanges);
+  h.List({Ready(5)}, EndpointUpdate::Kind::kChanges);
   EXPECT_EQ(Of<SendAttempt>(h.Pass(Ms(400))).size(), 1U);
 }
 
 TEST(OneAnswer, AttemptOutAtTheDeadlineIsCancelledAndAnsweredOnce) {
-  Harness h(WithoutProbes(Effect::kSafe));
+  Harness h(WithoutProbes(Idempotency::kIdempotent));
   h.List({Ready(5)});
   ASSERT_EQ(Of<SendAttempt>(h.Request(1, Ms(500))).size(), 1U);
   const auto a = h.Pass(Ms(520));
@@ -49,31 +49,31 @@
 }
 
 TEST(OneAnswer, AttemptLimitEndsInAnAnswer) {
-  Settings s = WithoutProbes(Effect::kSafe);
+  Settings s = WithoutProbes(Idempotency::kIdempotent);
   s.max_attempts = 2;
   Harness h(s);
   h.List({Ready(5), Ready(6), Ready(7)});
   const auto first = Of<SendAttempt>(h.Request(1));
   ASSERT_EQ(first.size(), 1U);
   const auto second =
-      Of<SendAttempt>(h.Give(AttemptEnded{Rq(1), first[0].server, Outcome::kTurnedAway, false, {}}));
+      Of<SendAttempt>(h.Give(AttemptEnded{Rq(1), first[0].endpoint, Outcome::kRejected, false, {}}));
   ASSERT_EQ(second.size(), 1U);
-  EXPECT_NE(second[0].server, first[0].server);  // Other servers first.
-  EXPECT_EQ(Answers(h.Give(AttemptEnded{Rq(1), second[0].server, Outcome::kTurnedAway, false, {}})), 1U);
+  EXPECT_NE(second[0].endpoint, first[0].endpoint);  // Other servers first.
+  EXPECT_EQ(Answers(h.Give(AttemptEnded{Rq(1), second[0].endpoint, Outcome::kRejected, false, {}})), 1U);
 }
 
 TEST(OneAnswer, NoneIsOwedForAServedOrLostClient) {
-  Harness h(WithoutProbes(Effect::kSafe));
+  Harness h(WithoutProbes(Idempotency::kIdempotent));
   h.List({Ready(5)});
   h.Request(1, Ms(500));
   h.End(1, 5, Outcome::kServed, true);
   h.Request(2, Ms(500));
-  h.Give(ClientLeft{Rq(2)});
+  h.Give(ClientDisconnected{Rq(2)});
   EXPECT_EQ(Answers(h.Pass(Ms(1000))), 0U);
 }
 
 TEST(OneAnswer, EstablishedConnectionHasNoDeadline) {
-  Harness h(WithoutProbes(Effect::kSafe));
+  Harness h(WithoutProbes(Idempotency::kIdempotent));
   h.List({Ready(5)});
   h.Request(1, Ms(500));
   h.Give(AttemptEstablished{Rq(1), Sv(5)});
@@ -81,7 +81,7 @@
 }
 
 TEST(OneAnswer, AttemptTimeOutLeavesRoomForAnother) {
-  Harness h(WithoutProbes(Effect::kSafe));
+  Harness h(WithoutProbes(Idempotency::kIdempotent));
   h.List({Ready(5)});
   const auto sent = Of<SendAttempt>(h.Request(1, Ms(2000)));
   ASSERT_EQ(sent.size(), 1U);
@@ -90,119 +90,119 @@
 }
 
 TEST(NoEffectTwice, UnsafeIsSentAgainOnlyIfItNeverRan) {
-  for (const Outcome o : {Outcome::kTurnedAway, Outcome::kNotConnected}) {
-    Harness h(WithoutProbes(Effect::kUnsafe));
+  for (const Outcome o : {Outcome::kRejected, Outcome::kNotConnected}) {
+    Harness h(WithoutProbes(Idempotency::kNotIdempotent));
     h.List({Ready(5), Ready(6)});
     const auto first = Of<SendAttempt>(h.Request(1));
-    EXPECT_EQ(Of<SendAttempt>(h.Give(AttemptEnded{Rq(1), first[0].server, o, false, {}})).size(), 1U);
+    EXPECT_EQ(Of<SendAttempt>(h.Give(AttemptEnded{Rq(1), first[0].endpoint, o, false, {}})).size(), 1U);
   }
-  for (const Outcome o :
-       {Outcome::kError, Outcome::kTimedOut, Outcome::kCut, Outcome::kCancelled, Outcome::kUnknown}) {
-    Harness h(WithoutProbes(Effect::kUnsafe));
+  for (const Outcome o : {Outcome::kError, Outcome::kTimedOut, Outcome::kConnectionLost, Outcome::kCancelled,
+                          Outcome::kUnknown}) {
+    Harness h(WithoutProbes(Idempotency::kNotIdempotent));
     h.List({Ready(5), Ready(6)});
     const auto first = Of<SendAttempt>(h.Request(1));
-    const auto a = h.Give(AttemptEnded{Rq(1), first[0].server, o, false, {}});
+    const auto a = h.Give(AttemptEnded{Rq(1), first[0].endpoint, o, false, {}});
     EXPECT_TRUE(Of<SendAttempt>(a).empty());
-    EXPECT_TRUE(Of<RefuseRequest>(a).empty());  // A refusal would call a repeat harmless.
+    EXPECT_TRUE(Of<RejectRequest>(a).empty());  // A refusal would call a repeat harmless.
     EXPECT_EQ(Of<FailRequest>(a).size(), 1U);
   }
 }
 
 TEST(NoEffectTwice, UnsafeOutAtTheDeadlineFailsAndUnsentIsRefused) {
-  Harness h(WithoutProbes(Effect::kUnsafe));
+  Harness h(WithoutProbes(Idempotency::kNotIdempotent));
   h.List({});
   h.Request(1, Ms(100));
-  EXPECT_EQ(Of<RefuseRequest>(h.Pass(Ms(120))).size(), 1U);
-  h.List({Ready(5)}, ServerList::Kind::kFull);
+  EXPECT_EQ(Of<RejectRequest>(h.Pass(Ms(120))).size(), 1U);
+  h.List({Ready(5)}, EndpointUpdate::Kind::kFull);
   h.Request(2, Ms(100));
   EXPECT_EQ(Of<FailRequest>(h.Pass(Ms(120))).size(), 1U);
 }
 
 TEST(NoEffectTwice, KeyedStaysInItsGroup) {
-  for (const RepeatGroup group : {RepeatGroup::kZone, RepeatGroup::kCell}) {
-    Harness h(WithoutProbes(Effect::kKeyed, group));
+  for (const DeduplicationScope group : {DeduplicationScope::kZone, DeduplicationScope::kCell}) {
+    Harness h(WithoutProbes(Idempotency::kIdempotencyKey, group));
     // Servers 5 and 6 share zone and cell, the others share neither.
     h.List({Ready(5, 0, 1), Ready(6, 0, 1), Ready(7, 1, 2), Ready(8, 1, 2)});
     const auto first = Of<SendAttempt>(h.Request(1));
-    const std::uint64_t at = static_cast<std::uint64_t>(first[0].server);
+    const std::uint64_t at = static_cast<std::uint64_t>(first[0].endpoint);
     const auto next = Of<SendAttempt>(h.EndThenPass(1, at, Outcome::kTimedOut, Ms(600)));
     ASSERT_EQ(next.size(), 1U);
-    EXPECT_EQ(at <= 6, static_cast<std::uint64_t>(next[0].server) <= 6);
+    EXPECT_EQ(at <= 6, static_cast<std::uint64_t>(next[0].endpoint) <= 6);
   }
 }
 
 TEST(NoEffectTwice, KeyedIsNotRepeatedAfterItsWindow) {
-  Harness h(WithoutProbes(Effect::kKeyed, RepeatGroup::kCell));
+  Harness h(WithoutProbes(Idempotency::kIdempotencyKey, DeduplicationScope::kCell));
   h.List({Ready(5), Ready(6)});
   const auto first = Of<SendAttempt>(h.Request(1, Ms(3000)));
   h.now += Ms(801);  // Measured from the send, not from the outcome.
-  const auto a = h.Give(AttemptEnded{Rq(1), first[0].server, Outcome::kTimedOut, false, {}});
+  const auto a = h.Give(AttemptEnded{Rq(1), first[0].endpoint, Outcome::kTimedOut, false, {}});
   EXPECT_TRUE(Of<SendAttempt>(a).empty());
   EXPECT_EQ(Of<FailRequest>(a).size(), 1U);
 }
 
 TEST(NoEffectTwice, KeyedThatMayHaveRunIsRefusedOnlyWithinAGroupOfAll) {
-  for (const RepeatGroup group : {RepeatGroup::kAll, RepeatGroup::kCell}) {
-    Harness h(WithoutProbes(Effect::kKeyed, group));
+  for (const DeduplicationScope group : {DeduplicationScope::kAll, DeduplicationScope::kCell}) {
+    Harness h(WithoutProbes(Idempotency::kIdempotencyKey, group));
     h.List({Ready(5)});
     h.Request(1, Ms(400));
     const auto a = h.Pass(Ms(420));
-    EXPECT_EQ(Of<RefuseRequest>(a).size(), group == RepeatGroup::kAll ? 1U : 0U);
+    EXPECT_EQ(Of<RejectRequest>(a).size(), group == DeduplicationScope::kAll ? 1U : 0U);
     EXPECT_EQ(Answers(a), 1U);
   }
 }
 
 TEST(NoEffectTwice, NeverTwoAttemptsOut) {
-  Harness h(WithoutProbes(Effect::kSafe));
+  Harness h(WithoutProbes(Idempotency::kIdempotent));
   h.List({Ready(5), Ready(6)});
   ASSERT_EQ(Of<SendAttempt>(h.Request(1)).size(), 1U);
   EXPECT_TRUE(Of<SendAttempt>(h.Pass(Ms(1900))).empty());
 }
 
 TEST(Drains, NothingGoesToADrainingGoneOrAbsentServer) {
-  Harness h(WithoutProbes(Effect::kSafe));
+  Harness h(WithoutProbes(Idempotency::kIdempotent));
   h.List({Ready(5), Ready(6), Ready(7), Ready(8)});
-  ServerEntry draining = Ready(5), gone = Ready(6);
-  draining.state = ServerState::kDraining;
-  gone.state = ServerState::kGone;
-  h.List({draining, gone}, ServerList::Kind::kChanges);
+  Endpoint draining = Ready(5), gone = Ready(6);
+  draining.state = EndpointState::kDraining;
+  gone.state = EndpointState::kGone;
+  h.List({draining, gone}, EndpointUpdate::Kind::kChanges);
   for (std::uint64_t id = 1; id <= 50; ++id) {
     for (const SendAttempt& s : Of<SendAttempt>(h.Request(id)))
-      EXPECT_TRUE(s.server == Sv(7) || s.server == Sv(8));
+      EXPECT_TRUE(s.endpoint == Sv(7) || s.endpoint == Sv(8));
   }
-  h.List({Ready(8)}, ServerList::Kind::kFull);  // 7 is absent from a full list.
+  h.List({Ready(8)}, EndpointUpdate::Kind::kFull);  // 7 is absent from a full list.
   for (std::uint64_t id = 51; id <= 100; ++id) {
-    for (const SendAttempt& s : Of<SendAttempt>(h.Request(id))) EXPECT_EQ(s.server, Sv(8));
+    for (const SendAttempt& s : Of<SendAttempt>(h.Request(id))) EXPECT_EQ(s.endpoint, Sv(8));
   }
 }
 
 TEST(Drains, AServerMayComeBack) {
-  Harness h(WithoutProbes(Effect::kSafe));
+  Harness h(WithoutProbes(Idempotency::kIdempotent));
   h.List({Ready(5)});
-  h.List({}, ServerList::Kind::kFull);
+  h.List({}, EndpointUpdate::Kind::kFull);
   EXPECT_TRUE(Of<SendAttempt>(h.Request(1)).empty());
-  h.List({Ready(5)}, ServerList::Kind::kFull);
+  h.List({Ready(5)}, EndpointUpdate::Kind::kFull);
   EXPECT_EQ(Of<SendAttempt>(h.Request(2)).size(), 1U);
 }
 
 TEST(Drains, FailedWatchKeepsTheListAndIsRenewed) {
-  Settings s = WithoutProbes(Effect::kSafe);
+  Settings s = WithoutProbes(Idempotency::kIdempotent);
   s.list_mode = ListMode::kSubscribed;
   Harness h(s);
-  EXPECT_EQ(Of<WatchServers>(h.List({Ready(5)})).size(), 1U);
-  h.List({}, ServerList::Kind::kFailed);
+  EXPECT_EQ(Of<WatchEndpoints>(h.List({Ready(5)})).size(), 1U);
+  h.List({}, EndpointUpdate::Kind::kFailed);
   EXPECT_EQ(Of<SendAttempt>(h.Request(1)).size(), 1U);
-  EXPECT_EQ(Of<WatchServers>(h.Pass(Ms(1600))).size(), 1U);
-  h.List({Ready(6)}, ServerList::Kind::kChanges);  // Stands.
-  EXPECT_TRUE(Of<WatchServers>(h.Pass(Ms(20000))).empty());
+  EXPECT_EQ(Of<WatchEndpoints>(h.Pass(Ms(1600))).size(), 1U);
+  h.List({Ready(6)}, EndpointUpdate::Kind::kChanges);  // Stands.
+  EXPECT_TRUE(Of<WatchEndpoints>(h.Pass(Ms(20000))).empty());
 }
 
 TEST(Drains, WatchWithoutAnyAnswerIsMadeAgain) {
-  Settings s = WithoutProbes(Effect::kSafe);
+  Settings s = WithoutProbes(Idempotency::kIdempotent);
   s.list_mode = ListMode::kSubscribed;
   Harness h(s);
   h.List({Ready(5)});
-  EXPECT_EQ(Of<WatchServers>(h.Pass(Ms(7000))).size(), 1U);
+  EXPECT_EQ(Of<WatchEndpoints>(h.Pass(Ms(7000))).size(), 1U);
 }
 
 // One warm fleet, one cold server that reports hardly any load: the pool would send everything there.
@@ -211,11 +211,11 @@
   std::uint64_t next = 1;
   static Settings Make() {
     Settings s = PlainSettings();
-    s.gateways = 1;
+    s.replicas = 1;
     return s;
   }
   ColdFleet() : h(Make()) {
-    std::vector<ServerEntry> list;
+    std::vector<Endpoint> list;
     for (std::uint64_t k = 1; k <= 20; ++k) list.push_back(Ready(k));
     h.List(list);
   }
@@ -227,11 +227,11 @@
       auto actions = h.Request(next++);
       for (std::size_t k = 0; k < actions.size(); ++k) {
         std::vector<Action> more;
-        if (const auto* p = std::get_if<ProbeServer>(&actions[k])) {
-          more = h.Report(static_cast<std::uint64_t>(p->server), p->server == Sv(watched) ? 0.1 : 0.6);
+        if (const auto* p = std::get_if<ProbeEndpoint>(&actions[k])) {
+          more = h.Report(static_cast<std::uint64_t>(p->endpoint), p->endpoint == Sv(watched) ? 0.1 : 0.6);
         } else if (const auto* s = std::get_if<SendAttempt>(&actions[k])) {
-          if (s->server == Sv(watched)) sends.push_back(h.now);
-          more = h.Give(AttemptEstablished{s->id, s->server});
+          if (s->endpoint == Sv(watched)) sends.push_back(h.now);
+          more = h.Give(AttemptEstablished{s->id, s->endpoint});
         }
         actions.insert(actions.end(), more.begin(), more.end());
       }
@@ -245,9 +245,9 @@
   ColdFleet f;
   f.Run(40, Ms(20000),
         99);  // 40 connections a server at a load of 0.6: about 67 fill one.
-  ServerEntry cold = Ready(99);
-  cold.started = f.h.now;
-  f.h.List({cold}, ServerList::Kind::kChanges);
+  Endpoint cold = Ready(99);
+  cold.started_at = f.h.now;
+  f.h.List({cold}, EndpointUpdate::Kind::kChanges);
   const Micros start = f.h.now;
   const auto sends = f.Run(100, Ms(9000), 99);
   EXPECT_GT(sends.size(), 100U);  // It is used, though.
@@ -263,9 +263,9 @@
 TEST(ColdServers, ARestartIsColdAgain) {
   ColdFleet f;
   f.Run(40, Ms(10000), 3);
-  ServerEntry again = Ready(3);
-  again.started = f.h.now;
-  f.h.List({again}, ServerList::Kind::kChanges);
+  Endpoint again = Ready(3);
+  again.started_at = f.h.now;
+  f.h.List({again}, EndpointUpdate::Kind::kChanges);
   // 20 held a server: 33 fill one, and a third of four times that would make it fall.
   EXPECT_LE(f.Run(200, Ms(1000), 3).size(), 20U);
 }
@@ -274,30 +274,30 @@
   // Two servers hold 20 connections each at 0.8: 25 fill one. Eighteen new ones that carry nothing yet must
   // not lower that: a start seen later still gets 0.5 * 4 * 0.3 * 25 / 60 s = 0.25 connections a second.
   Settings settings = PlainSettings();
-  settings.cold_time = Ms(60000);
+  settings.slow_start_duration = Ms(60000);
   Harness h(settings);
   h.List({Ready(1), Ready(2)});
   for (std::uint64_t k = 1; k <= 40; ++k) h.Resume(k, 1 + k % 2);
   h.Report(1, 0.8);
   h.Report(2, 0.8);
   h.Pass(Ms(1000));
-  std::vector<ServerEntry> fresh;
+  std::vector<Endpoint> fresh;
   for (std::uint64_t k = 3; k <= 20; ++k) {
     fresh.push_back(Ready(k));
-    fresh.back().started = h.now;
+    fresh.back().started_at = h.now;
   }
-  h.List(fresh, ServerList::Kind::kChanges);
+  h.List(fresh, EndpointUpdate::Kind::kChanges);
   h.Pass(Ms(20000));
-  ServerEntry late = Ready(99);
-  late.started = h.now;
-  h.List({late}, ServerList::Kind::kChanges);
+  Endpoint late = Ready(99);
+  late.started_at = h.now;
+  h.List({late}, EndpointUpdate::Kind::kChanges);
   std::size_t sends = 0;
   for (std::uint64_t id = 1000; id < 1400; ++id) {  // Ten seconds in which only the late one has room.
     h.Report(99, 0.2);
     const auto actions = h.RequestThenPass(id, Ms(40));
     for (const SendAttempt& a : Of<SendAttempt>(actions)) {
-      sends += a.server == Sv(99) ? 1 : 0;
-      h.Give(AttemptEstablished{a.id, a.server});
+      sends += a.endpoint == Sv(99) ? 1 : 0;
+      h.Give(AttemptEstablished{a.id, a.endpoint});
     }
   }
   EXPECT_GE(sends, 2U);
@@ -308,14 +308,14 @@
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Settings s = PlainSettings();
     s.probes_allowed = false;
-    s.gateways = 40;
+    s.replicas = 40;
     s.seed = seed;
     Harness h(s);
-    ServerEntry cold = Ready(9);
-    cold.started = h.now;
+    Endpoint cold = Ready(9);
+    cold.started_at = h.now;
     h.List({Ready(1), Ready(2), cold});
     for (std::uint64_t id = 1; id <= 30; ++id) {
-      for (const SendAttempt& a : Of<SendAttempt>(h.Request(id))) sent += a.server == Sv(9) ? 1 : 0;
+      for (const SendAttempt& a : Of<SendAttempt>(h.Request(id))) sent += a.endpoint == Sv(9) ? 1 : 0;
       h.Pass(Ms(20));
     }
   }
@@ -323,18 +323,18 @@
 }
 
 TEST(BadCalls, UnknownIdsAreIgnored) {
-  Harness h(WithoutProbes(Effect::kSafe));
+  Harness h(WithoutProbes(Idempotency::kIdempotent));
   h.List({Ready(5)});
-  EXPECT_TRUE(Of<SendAttempt>(h.End(77, 5, Outcome::kTurnedAway)).empty());
-  h.Give(ClientLeft{Rq(77)});
+  EXPECT_TRUE(Of<SendAttempt>(h.End(77, 5, Outcome::kRejected)).empty());
+  h.Give(ClientDisconnected{Rq(77)});
   h.Give(AttemptEstablished{Rq(77), Sv(5)});
-  h.Give(LoadTold{Rq(77), 3});
-  h.Give(DelayTold{Sv(77), Ms(500)});
-  h.Give(ProbeAnswered{Sv(77), false, {}});
+  h.Give(LoadReported{Rq(77), 3});
+  h.Give(MessageLatencyReported{Sv(77), Ms(500)});
+  h.Give(ProbeCompleted{Sv(77), false, {}});
   h.Resume(78, 66);
   h.Request(1);
   EXPECT_TRUE(Of<SendAttempt>(h.Request(1)).empty());  // An id is used once.
 }
 
 }  // namespace
-}  // namespace arrowhatch
+}  // namespace balancer
--- a/tests/net/discovery_test.cpp
+++ b/tests/endpoint/discovery_client_test.cpp
@@ -2,8 +2,8 @@
 #include <catch2/catch.hpp>
 #include <string>
 
-#include "net/object_frames.h"
-#include "net/world.h"
+#include "endpoint/json_framing.h"
+#include "proxy/loopback_fixture.h"
 
 namespace stoatrun {
 namespace {
--- a/tests/fleet/modules_test.cpp
+++ b/tests/fleet/modules_test.cpp
@@ -4,13 +4,13 @@
 #include <variant>
 #include <vector>
 
-#include "fleet/budget.h"
-#include "fleet/counts.h"
+#include "base/random.h"
+#include "fleet/connection_counts.h"
 #include "fleet/io/codec.h"
-#include "fleet/judgement.h"
 #include "fleet/membership.h"
 #include "fleet/node.h"
-#include "fleet/random.h"
+#include "fleet/outlier_consensus.h"
+#include "fleet/quota_leases.h"
 
 namespace stoatrun::fleet {
 namespace {
--- a/tests/ledger/accounts_test.cpp
+++ b/tests/ledger/accounts_test.cpp
@@ -89,7 +89,7 @@
     Accounts accounts(Setup(), kStart, kWall);
     Naive naive;
     Books books;
-    std::vector<Ticket> tickets;
+    std::vector<UsageHandle> tickets;
     Micros now = kStart;
     std::int64_t offset = (kWall - kStart).count();
     const std::vector<std::string> groups{"wetland", "coast", "garden", "(missing)"};
@@ -148,7 +148,7 @@
 
 TEST_CASE("a connection across borders is cut at them, to the microsecond") {
   Accounts accounts(Setup(), kStart, kWall + seconds(30));
-  Ticket t = accounts.Begin(kStart, "garden", 0);
+  UsageHandle t = accounts.Begin(kStart, "garden", 0);
   accounts.End(kStart + seconds(100) + Micros(7), t);
   const auto postings = accounts.Take(kStart + seconds(100) + Micros(7), false);
   REQUIRE(postings.size() == 3);
@@ -163,7 +163,7 @@
 TEST_CASE("a clock that is stepped neither loses nor doubles, and is recorded") {
   const auto by = GENERATE(hours(3), hours(-3), hours(24 * 400));
   Accounts accounts(Setup(), kStart, kWall + seconds(10));
-  Ticket t = accounts.Begin(kStart, "garden", 1);
+  UsageHandle t = accounts.Begin(kStart, "garden", 1);
   accounts.Tick(kStart + seconds(20), kWall + seconds(30) + by);
   accounts.End(kStart + seconds(25), t);
   const auto postings = accounts.Take(kStart + seconds(25), false);
@@ -178,7 +178,7 @@
 
 TEST_CASE("a clock that drifts moves the borders and is no step") {
   Accounts accounts(Setup(), kStart, kWall);
-  Ticket t = accounts.Begin(kStart, "garden", 0);
+  UsageHandle t = accounts.Begin(kStart, "garden", 0);
   for (int k = 1; k <= 600; ++k) accounts.Tick(kStart + milliseconds(100 * k), kWall + milliseconds(99 * k));
   accounts.End(kStart + seconds(60), t);
   Books books;
@@ -190,7 +190,7 @@
 
 TEST_CASE("groups that nobody named get rows of their own, within a bound, and none is dropped") {
   Accounts accounts(Setup(), kStart, kWall);
-  std::vector<Ticket> tickets;
+  std::vector<UsageHandle> tickets;
   const std::string endless(500, 'x');
   for (const char* name : {"raptor", "", "bad name", "owls", "third", "fourth"}) {
     tickets.push_back(accounts.Begin(kStart, name, 0));
@@ -207,12 +207,12 @@
 
 TEST_CASE("the check tells what broke") {
   Accounts accounts(Setup(), kStart, kWall);
-  Ticket t = accounts.Begin(kStart, "garden", 0);
-  Ticket copy = t;
+  UsageHandle t = accounts.Begin(kStart, "garden", 0);
+  UsageHandle copy = t;
   accounts.End(kStart + seconds(1), t);
   accounts.End(kStart + seconds(2), t);  // A ticket that is not open is passed by.
   CHECK(accounts.Check(kStart + seconds(3)).Balance());
-  Ticket other = accounts.Begin(kStart + seconds(3), "garden", 1);
+  UsageHandle other = accounts.Begin(kStart + seconds(3), "garden", 1);
   accounts.End(kStart + seconds(5), copy);  // Ended twice, by way of a copy.
   accounts.End(kStart + seconds(6), other);
   CHECK_FALSE(accounts.Check(kStart + seconds(7)).Balance());
--- a/tests/ledger/keeper_test.cpp
+++ b/tests/ledger/usage_recorder_test.cpp
@@ -1,5 +1,5 @@
 // The ledger in the relay: disks that fail, receivers that fail, relays that are killed.
-#include "ledger/io/keeper.h"
+#include "ledger/io/usage_recorder.h"
 
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -16,7 +16,7 @@
 #include <random>
 #include <thread>
 
-#include "ledger/io/courier.h"
+#include "ledger/io/export_client.h"
 #include "ledger/io/export_file.h"
 #include "standin/mem_disk.h"
 #include "standin/receiver.h"
@@ -122,7 +122,7 @@
 
   Micros mono{0}, wall_off{0};
   std::size_t most_cells = 1000;
-  std::optional<Loop> loop;
+  std::optional<EventLoop> loop;
   std::optional<Keeper> keeper;
   std::optional<Courier> courier;
   const std::string& Folder() const { return folder_; }
@@ -138,11 +138,11 @@
   const int code = GENERATE(SQLITE_FULL, SQLITE_IOERR_WRITE, SQLITE_READONLY);
   MemDisk disk("keeper-" + std::to_string(code));
   Desk desk(&disk);
-  Ticket t = desk.keeper->Begin("wetland", 0);
+  UsageHandle t = desk.keeper->Begin("wetland", 0);
   desk.Wait(seconds(5));
   CHECK(desk.keeper->Counts().store_failures == 0);
   disk.RefuseWith(code);
-  Ticket u = desk.keeper->Begin("wetland", 0);
+  UsageHandle u = desk.keeper->Begin("wetland", 0);
   desk.Wait(seconds(130));  // Over two borders.
   CHECK(desk.keeper->Counts().store_failures > 10);
   desk.keeper->End(t);
@@ -164,7 +164,7 @@
   desk.most_cells = 8;
   desk.Start();
   disk.RefuseWith(SQLITE_FULL);
-  Ticket t = desk.keeper->Begin("wetland", 0);
+  UsageHandle t = desk.keeper->Begin("wetland", 0);
   desk.Wait(seconds(1200));
   CHECK(desk.keeper->BacklogCells() <= 10);
   disk.RefuseWith(SQLITE_OK);
@@ -182,7 +182,7 @@
   Desk desk(&disk);
   desk.Settle();
   disk.Stall();
-  Ticket t = desk.keeper->Begin("wetland", 0);
+  UsageHandle t = desk.keeper->Begin("wetland", 0);
   for (int k = 0; k < 50; ++k) {
     desk.mono += seconds(1);
     desk.loop->clock.Advance(seconds(1));
@@ -207,7 +207,7 @@
 TEST_CASE("a killed relay leaves at most a checkpoint unattested, recorded with its bound") {
   MemDisk disk("killed");
   Desk desk(&disk);
-  Ticket t = desk.keeper->Begin("wetland", 0);
+  UsageHandle t = desk.keeper->Begin("wetland", 0);
   desk.Wait(milliseconds(10'500));
   desk.Kill();
   desk.mono += seconds(3);
@@ -232,12 +232,12 @@
   KeeperSetup setup;
   setup.accounts = {seconds(60), {}, {"feed"}, 8};
   setup.store = {desk.Folder(), "n0", "other", disk.Vfs(), true, 1000};
-  Loop loop(Clock::Mode::kManual);
+  EventLoop loop(Clock::Mode::kManual);
   Keeper second(loop, setup, [] { return kWallStart; });
   while (!second.Idle()) loop.Poll();
   loop.Poll();
   CHECK(second.Counts().store_failures == 1);
-  Ticket t = second.Begin("wetland", 0);
+  UsageHandle t = second.Begin("wetland", 0);
   second.End(t);
   CHECK(second.Counts().ended == 1);
 }
@@ -245,7 +245,7 @@
 TEST_CASE("a stepped clock under a keeper loses nothing and is recorded") {
   MemDisk disk("steps");
   Desk desk(&disk);
-  Ticket t = desk.keeper->Begin("wetland", 0);
+  UsageHandle t = desk.keeper->Begin("wetland", 0);
   desk.Wait(seconds(30));
   desk.wall_off = std::chrono::hours(-2);
   desk.Wait(seconds(30));
@@ -270,8 +270,8 @@
                std::vector<P>{P::kTake, P::kLose}, std::vector<P>{P::kForge}, std::vector<P>{P::kAhead},
                std::vector<P>{P::kTake, P::kCutAfter, P::kSilent, P::kLose, P::kError, P::kTwice});
   for (const P p : plays) receiver.Next({p});
-  Ticket t = desk.keeper->Begin("wetland", 0);
-  Ticket u = desk.keeper->Begin("raptor", 0);
+  UsageHandle t = desk.keeper->Begin("wetland", 0);
+  UsageHandle u = desk.keeper->Begin("raptor", 0);
   desk.Wait(seconds(250), &receiver);
   desk.keeper->End(t);
   desk.keeper->End(u);
@@ -294,7 +294,7 @@
   receiver.Down();
   MemDisk disk("hours");
   Desk desk(&disk, "n0", &receiver);
-  Ticket t = desk.keeper->Begin("wetland", 0);
+  UsageHandle t = desk.keeper->Begin("wetland", 0);
   desk.Wait(seconds(1800), &receiver);
   const std::uint64_t asked = desk.courier->Counts().requests;
   CHECK(asked >= 1800 / 60);
@@ -312,8 +312,8 @@
     Receiver receiver;
     MemDisk disk("export-" + std::to_string(turns));
     Desk desk(&disk, "n0", &receiver);
-    Ticket t = desk.keeper->Begin("wetland", 0);
-    Ticket u = desk.keeper->Begin("raptor", 0);
+    UsageHandle t = desk.keeper->Begin("wetland", 0);
+    UsageHandle u = desk.keeper->Begin("raptor", 0);
     desk.Wait(seconds(59), &receiver);
     desk.keeper->End(t);
     desk.keeper->End(u);
@@ -339,7 +339,7 @@
 
 TEST_CASE("an export file is whole or the old one, wherever its writing is killed") {
   Desk desk(nullptr);
-  Ticket t = desk.keeper->Begin("wetland", 0);
+  UsageHandle t = desk.keeper->Begin("wetland", 0);
   desk.Wait(seconds(200));
   desk.keeper->End(t);
   REQUIRE(desk.keeper->Finish(seconds(5)));
@@ -387,7 +387,7 @@
   }
   struct Client {
     int relay;
-    Ticket ticket;
+    UsageHandle ticket;
     Micros since;
   };
   std::vector<Client> clients;
@@ -470,7 +470,7 @@
   Desk desk(&disk);
   std::int64_t served_us = 0;
   for (int life = 0; life < 5; ++life) {
-    std::vector<std::pair<Ticket, Micros>> open;
+    std::vector<std::pair<UsageHandle, Micros>> open;
     for (int step = 0; step < 60; ++step) {
       if (random() % 2 == 0) open.emplace_back(desk.keeper->Begin("wetland", 0), desk.mono);
       if (!open.empty() && random() % 3 == 0) {
--- a/tests/net/operators_test.cpp
+++ b/tests/proxy/drain_test.cpp
@@ -7,9 +7,9 @@
 #include <catch2/catch.hpp>
 #include <string>
 
-#include "net/config.h"
-#include "net/downstream.h"
-#include "net/world.h"
+#include "config/config.h"
+#include "proxy/downstream.h"
+#include "proxy/loopback_fixture.h"
 
 namespace stoatrun {
 namespace {
@@ -179,14 +179,14 @@
 }
 
 TEST_CASE("a descriptor that is no listening IPv4 TCP socket is refused with its number") {
-  Loop loop(Clock::Mode::kManual);
+  EventLoop loop(Clock::Mode::kManual);
   Counters counters;
   struct Nobody : DownstreamEvents {
-    std::string_view Objection(const OpenHead& /*head*/) override { return {}; }
+    std::string_view Validate(const OpenHead& /*head*/) override { return {}; }
     SlotId OnOpen(SlotId client, const OpenHead& /*head*/) override { return client; }
     void OnClientBytes(SlotId /*owner*/) override {}
-    void OnClientEnd(SlotId /*owner*/, StreamEnd /*end*/) override {}
-    void OnClientRoom(SlotId /*owner*/) override {}
+    void OnClientEnd(SlotId /*owner*/, ConnectionEnd /*end*/) override {}
+    void OnClientWritable(SlotId /*owner*/) override {}
   } nobody;
   Downstream downstream(loop, nobody, counters, 256);
   const int file = open("/dev/null", O_RDONLY);
@@ -194,9 +194,9 @@
   const int datagram = socket(AF_INET, SOCK_DGRAM, 0);
   const auto refused = [&](int fd, const std::string& why) {
     INFO(why);
-    REQUIRE_THROWS_AS(downstream.Inherit(fd), ConfigError);
+    REQUIRE_THROWS_AS(downstream.AdoptListener(fd), ConfigError);
     try {
-      downstream.Inherit(fd);
+      downstream.AdoptListener(fd);
     } catch (const ConfigError& e) {
       CHECK_THAT(e.what(), Catch::Contains("PROXY_ACCEPT_FD: descriptor " + std::to_string(fd) + " " + why));
     }
--- a/tests/net/endings_test.cpp
+++ b/tests/proxy/endings_test.cpp
@@ -11,10 +11,10 @@
 #include <string_view>
 #include <vector>
 
-#include "net/downstream.h"
-#include "net/fleet_told.h"
-#include "net/upstream.h"
-#include "net/world.h"
+#include "proxy/downstream.h"
+#include "proxy/fleet_client_recorder.h"
+#include "proxy/loopback_fixture.h"
+#include "proxy/upstream.h"
 
 namespace stoatrun {
 namespace {
@@ -50,11 +50,11 @@
   const std::string behind = GENERATE("nothing", "part of a line", "a full buffer");
   const std::string place = GENERATE("queue", "between attempts", "connecting", "budget");
   INFO(way << ", " << behind << ", " << place);
-  FleetTold fleet;
+  FleetClientRecorder fleet;
   World world({"s-1"}, 0, 1, -1, "subscribe", &fleet);
   if (place == "queue") world.Play(kDrained);
   if (place == "budget") {
-    fleet.cold = 0;
+    fleet.slow_start_sends = 0;
     world.Play(kReady);
   }
   if (place == "connecting") world.Play("s-1 full");
@@ -70,7 +70,7 @@
   CHECK(world.Counts().client_left == 1);
   CHECK(world.Relayed().Outstanding() == 0);
   const auto attempts = world.Counts().legs;
-  fleet.cold = 100;
+  fleet.slow_start_sends = 100;
   if (place == "queue") world.Play(kReady);
   world.Play("wait 2000");
   CHECK(world.Counts().legs == attempts);
@@ -153,13 +153,13 @@
     void OnAttemptSent(SlotId /*owner*/) override { sent = true; }
     void OnAttemptEnd(SlotId /*owner*/, AttemptEnd how, std::string_view /*line*/) override { end = how; }
     void OnAttemptBytes(SlotId /*owner*/) override {}
-    void OnAttemptFinished(SlotId /*owner*/, StreamEnd /*how*/) override {}
-    void OnAttemptRoom(SlotId /*owner*/) override {}
-    void OnProbe(HostNumber /*host*/, bool /*ok*/, std::string_view /*report*/) override {}
+    void OnAttemptFinished(SlotId /*owner*/, ConnectionEnd /*how*/) override {}
+    void OnAttemptWritable(SlotId /*owner*/) override {}
+    void OnProbe(EndpointIndex /*host*/, bool /*ok*/, std::string_view /*report*/) override {}
   } cut;
   const Door door;
   cut.listener = door.fd;
-  Loop loop(Clock::Mode::kManual);
+  EventLoop loop(Clock::Mode::kManual);
   Counters counters;
   Upstream upstream(loop, cut, counters, {});
   upstream.TakeList({1, true, {{.id = "s-1", .address = door.address, .locality = ""}}});
@@ -176,12 +176,12 @@
     void OnAttemptUp(SlotId /*owner*/, std::string_view /*line*/) override {}
     void OnAttemptEnd(SlotId /*owner*/, AttemptEnd how, std::string_view /*line*/) override { end = how; }
     void OnAttemptBytes(SlotId /*owner*/) override {}
-    void OnAttemptFinished(SlotId /*owner*/, StreamEnd /*how*/) override {}
-    void OnAttemptRoom(SlotId /*owner*/) override {}
-    void OnProbe(HostNumber /*host*/, bool /*ok*/, std::string_view /*report*/) override {}
+    void OnAttemptFinished(SlotId /*owner*/, ConnectionEnd /*how*/) override {}
+    void OnAttemptWritable(SlotId /*owner*/) override {}
+    void OnProbe(EndpointIndex /*host*/, bool /*ok*/, std::string_view /*report*/) override {}
   } late;
   const Door door;
-  Loop loop(Clock::Mode::kManual);
+  EventLoop loop(Clock::Mode::kManual);
   Counters counters;
   Upstream upstream(loop, late, counters, {});
   upstream.TakeList({1, true, {{.id = "s-1", .address = door.address, .locality = ""}}});
@@ -203,24 +203,24 @@
     void OnAttemptUp(SlotId /*owner*/, std::string_view /*line*/) override {}
     void OnAttemptEnd(SlotId /*owner*/, AttemptEnd /*how*/, std::string_view /*line*/) override {}
     void OnAttemptBytes(SlotId /*owner*/) override {}
-    void OnAttemptFinished(SlotId /*owner*/, StreamEnd /*how*/) override {}
-    void OnAttemptRoom(SlotId /*owner*/) override {}
-    void OnProbe(HostNumber /*host*/, bool ok, std::string_view /*report*/) override {
+    void OnAttemptFinished(SlotId /*owner*/, ConnectionEnd /*how*/) override {}
+    void OnAttemptWritable(SlotId /*owner*/) override {}
+    void OnProbe(EndpointIndex /*host*/, bool ok, std::string_view /*report*/) override {
       answers += ok ? 1 : 0;
     }
   } asked;
   const Door door;
-  Loop loop(Clock::Mode::kManual);
+  EventLoop loop(Clock::Mode::kManual);
   Counters counters;
   Upstream upstream(loop, asked, counters, {});
-  HostList list{1, true, {}};
+  EndpointUpdate list{1, true, {}};
   for (int k = 0; k < 90; ++k) {
     list.entries.push_back({.id = "s-" + std::to_string(k), .address = door.address, .locality = ""});
   }
   upstream.TakeList(list);
   std::vector<int> open;
   for (int round = 1; round <= 3; ++round) {
-    for (HostNumber h = 0; h < 90; ++h) {
+    for (EndpointIndex h = 0; h < 90; ++h) {
       upstream.Probe(h);
       while (asked.answers < static_cast<int>(round * 90 - 89 + h)) {
         loop.Poll();
@@ -323,13 +323,13 @@
 TEST_CASE("a planned end ends those that rest, though room is made among them meanwhile") {
   struct Taken : DownstreamEvents {
     int opened = 0;
-    std::string_view Objection(const OpenHead& /*head*/) override { return {}; }
+    std::string_view Validate(const OpenHead& /*head*/) override { return {}; }
     SlotId OnOpen(SlotId /*client*/, const OpenHead& /*head*/) override { return ++opened, SlotId{}; }
     void OnClientBytes(SlotId /*owner*/) override {}
-    void OnClientEnd(SlotId /*owner*/, StreamEnd /*end*/) override {}
-    void OnClientRoom(SlotId /*owner*/) override {}
+    void OnClientEnd(SlotId /*owner*/, ConnectionEnd /*end*/) override {}
+    void OnClientWritable(SlotId /*owner*/) override {}
   } taken;
-  Loop loop(Clock::Mode::kManual);
+  EventLoop loop(Clock::Mode::kManual);
   Counters counters;
   Downstream downstream(loop, taken, counters, 96);
   downstream.Listen(*Address::Parse("127.0.0.1:0"));
--- a/tests/net/peers_test.cpp
+++ b/tests/proxy/fleet_client_test.cpp
@@ -4,14 +4,14 @@
 #include <utility>
 #include <vector>
 
-#include "net/fleet_told.h"
-#include "net/world.h"
+#include "proxy/fleet_client_recorder.h"
+#include "proxy/loopback_fixture.h"
 
 namespace stoatrun {
 namespace {
 
 TEST_CASE("every connection is told to the fleet once, with its end") {
-  FleetTold fleet;
+  FleetClientRecorder fleet;
   World world({"s-1"}, 0, 1, -1, "subscribe", &fleet);
   world.Play(R"(
     a send OPEN 1 k c=watch,t=wetland,d=2000
@@ -26,18 +26,18 @@
     s-1 expect-end
     wait 1000
   )");
-  CHECK(fleet.taken == 2);
+  CHECK(fleet.begun == 2);
   CHECK(fleet.groups == std::vector<std::string>{"wetland", ""});
-  CHECK(fleet.ends[Peers::End::kServed] == 1);
-  CHECK(fleet.ends[Peers::End::kFailed] == 1);
+  CHECK(fleet.outcomes[FleetClient::ConnectionOutcome::kServed] == 1);
+  CHECK(fleet.outcomes[FleetClient::ConnectionOutcome::kFailed] == 1);
   CHECK(fleet.sent["s-1"] == 2);
   CHECK(fleet.listed == 1);
-  REQUIRE(!fleet.saws.empty());
-  CHECK(fleet.saws[0] == std::pair(std::string("s-1"), Peers::Saw::kFine));
+  REQUIRE(!fleet.observed.empty());
+  CHECK(fleet.observed[0] == std::pair(std::string("s-1"), FleetClient::EndpointCondition::kHealthy));
 }
 
 TEST_CASE("a connection beyond its group's quota is declined at once, with advice, and not sent on") {
-  FleetTold fleet;
+  FleetClientRecorder fleet;
   fleet.quota = 1;
   World world({"s-1"}, 0, 1, -1, "subscribe", &fleet);
   world.Play(R"(
@@ -50,8 +50,8 @@
     b expect-end
     s-1 legs 1
   )");
-  CHECK(fleet.ends[Peers::End::kRefused] == 1);
-  CHECK(fleet.held == 1);
+  CHECK(fleet.outcomes[FleetClient::ConnectionOutcome::kRejected] == 1);
+  CHECK(fleet.reserved == 1);
   // What is over the quota later, as a loan ended, is moved away.
   fleet.quota = 0;
   world.Play(R"(
@@ -59,21 +59,21 @@
     a expect MOVE
     a expect-end
   )");
-  CHECK(fleet.held == 0);
+  CHECK(fleet.reserved == 0);
 }
 
 TEST_CASE("a further attempt that the fleet's budget does not allow ends in the final answer at once") {
-  FleetTold fleet;
-  fleet.attempts = 0;
+  FleetClientRecorder fleet;
+  fleet.retries = 0;
   World world({"s-1", "s-2"}, 0, 1, -1, "subscribe", &fleet);
   world.Play(
       "s-1 down\ns-2 down\na send OPEN 1 k c=watch,d=2000\nwait 100\nwait 300\nwait 300\na expect BUSY*\n");
   CHECK(world.Counts().legs_held_back == 1);
-  CHECK(fleet.ends[Peers::End::kRefused] == 1);
+  CHECK(fleet.outcomes[FleetClient::ConnectionOutcome::kRejected] == 1);
 }
 
 TEST_CASE("a look that the fleet's budget does not allow tells the module nothing, and placement goes on") {
-  FleetTold fleet;
+  FleetClientRecorder fleet;
   fleet.probes = 0;
   World world({"s-1"}, 0, 1, -1, "subscribe", &fleet);
   world.Play(R"(
@@ -87,9 +87,9 @@
 }
 
 TEST_CASE("hosts that the others found failing are left alone") {
-  FleetTold fleet;
+  FleetClientRecorder fleet;
   World world({"s-1", "s-2"}, 0, 1, -1, "subscribe", &fleet);
-  fleet.advice = {{"s-1", 0, -1, true}, {"s-unknown", 3, 3, true}};
+  fleet.hints = {{"s-1", 0, -1, true}, {"s-unknown", 3, 3, true}};
   world.Play(R"(
     wait 260
     a send OPEN 1 k c=watch,d=2000
--- a/tests/net/world.cpp
+++ b/tests/proxy/loopback_fixture.cpp
@@ -1,4 +1,4 @@
-#include "net/world.h"
+#include "proxy/loopback_fixture.h"
 
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -12,7 +12,7 @@
 #include <sstream>
 #include <utility>
 
-#include "net/config.h"
+#include "config/config.h"
 
 namespace stoatrun {
 namespace {
@@ -91,12 +91,12 @@
 }
 
 World::World(const std::vector<std::string>& hosts, int descriptors, int relays, int accept_fd,
-             std::string discovery, Peers* peers)
+             std::string discovery, FleetClient* peers)
     : descriptors_(descriptors), relays_(relays), accept_fd_(accept_fd), mode_(std::move(discovery)) {
   SetLogLevel(Level::kError);
   for (const char* name : {"discovery", "discovery2"}) Listen(discoveries_[name]);
   for (const std::string& id : hosts) Listen(hosts_[id]);
-  relay_ = std::make_unique<Relay>(loop_, ConfigWith(discoveries_["discovery"]), nullptr, peers);
+  relay_ = std::make_unique<Proxy>(loop_, ConfigWith(discoveries_["discovery"]), nullptr, peers);
   relay_->Start();
 }
 
@@ -398,7 +398,7 @@
       const std::size_t size = peer.in.rfind("MOVE\r\n");
       REQUIRE(size + 6 == peer.in.size());
       CHECK(peer.in.substr(0, size) == flood_.substr(0, size));
-      CHECK((size > Stream::kHighWater && flood_[size - 1] == '\n'));
+      CHECK((size > TcpConnection::kHighWater && flood_[size - 1] == '\n'));
     } else if (verb == "half") {
       shutdown(peer.fd, SHUT_WR);
     } else {
--- a/tests/net/world.h
+++ b/tests/proxy/loopback_fixture.h
@@ -25,8 +25,8 @@
 //   wait MS | drain | stopped           drain: SIGTERM's planned end
 //   drain-call | activate               the operators' calls at the second address
 // clang-format on
-#ifndef STOATRUN_TESTS_NET_WORLD_H_
-#define STOATRUN_TESTS_NET_WORLD_H_
+#ifndef STOATRUN_TESTS_PROXY_LOOPBACK_FIXTURE_H_
+#define STOATRUN_TESTS_PROXY_LOOPBACK_FIXTURE_H_
 
 #include <cstddef>
 #include <map>
@@ -35,8 +35,8 @@
 #include <string_view>
 #include <vector>
 
-#include "base/deadlines.h"
-#include "net/relay.h"
+#include "base/event_loop.h"
+#include "proxy/proxy.h"
 
 namespace stoatrun {
 
@@ -47,14 +47,14 @@
   // `accept_fd`: a listening socket that the relay is handed, as the platform hands one down; -1: it binds.
   // `discovery`: how lists come, as the settings say it. `fellows`: the rest of the fleet, if there is one.
   explicit World(const std::vector<std::string>& hosts, int descriptors = 0, int relays = 1,
-                 int accept_fd = -1, std::string discovery = "subscribe", Peers* peers = nullptr);
+                 int accept_fd = -1, std::string discovery = "subscribe", FleetClient* peers = nullptr);
   ~World();
   World(const World&) = delete;
   World& operator=(const World&) = delete;
 
   void Play(std::string_view script);  // Fails the test at the first step that does not hold.
   const Counters& Counts() const { return relay_->Counts(); }
-  const Relay& Relayed() const { return *relay_; }
+  const Proxy& Relayed() const { return *relay_; }
   std::size_t Discovered() const {
     return discoveries_.at("discovery").attempts.size();
   }  // Calls that it took.
@@ -91,14 +91,14 @@
 
   static void Listen(Server& s);
 
-  Loop loop_{Clock::Mode::kManual};
+  EventLoop loop_{Clock::Mode::kManual};
   std::map<std::string, Server> hosts_;
   std::map<std::string, Server> discoveries_;  // discovery, and discovery2 that a reload may name.
   bool discovery_refuses_ = false, discovery_mute_ = false;
   std::string flood_;
   int turns_ = 3;  // After a step.
   std::map<std::string, std::unique_ptr<Peer>> clients_;
-  std::unique_ptr<Relay> relay_;
+  std::unique_ptr<Proxy> relay_;
 };
 
 // Plays a script in a world of the hosts s-1 and s-2 of its own.
@@ -120,4 +120,4 @@
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_TESTS_NET_WORLD_H_
+#endif  // STOATRUN_TESTS_PROXY_LOOPBACK_FIXTURE_H_
--- a/tests/net/parts_test.cpp
+++ b/tests/proxy/parts_test.cpp
@@ -6,11 +6,11 @@
 #include <vector>
 
 #include "base/backoff.h"
-#include "base/deadlines.h"
+#include "base/event_loop.h"
 #include "base/log.h"
-#include "base/slots.h"
-#include "net/config.h"
-#include "net/line.h"
+#include "base/slot_map.h"
+#include "config/config.h"
+#include "proxy/line_protocol.h"
 
 namespace stoatrun {
 namespace {
@@ -21,7 +21,7 @@
 };
 
 TEST_CASE("a number finds nothing once its use has ended, though the slot is used again") {
-  Slots<Thing> slots;
+  SlotMap<Thing> slots;
   const SlotId first = slots.Add().id;
   slots.Erase(first);
   const SlotId second = slots.Add().id;
@@ -33,33 +33,33 @@
 }
 
 TEST_CASE("deadlines run in order, once, and not when taken back") {
-  Deadlines all;
+  TimerQueue all;
   std::string ran;
-  Deadline late(all, [&] { ran += 'l'; });
-  Deadline early(all, [&] { ran += 'e'; });
-  Deadline back(all, [&] { ran += 'b'; });
+  Timer late(all, [&] { ran += 'l'; });
+  Timer early(all, [&] { ran += 'e'; });
+  Timer back(all, [&] { ran += 'b'; });
   late.Set(Micros(20));
   early.Set(Micros(10));
   back.Set(Micros(5));
   back.Cancel();
-  all.RunDue(Micros(9));
+  all.RunExpired(Micros(9));
   CHECK(ran.empty());
-  all.RunDue(Micros(20));
-  all.RunDue(Micros(30));
+  all.RunExpired(Micros(20));
+  all.RunExpired(Micros(30));
   CHECK(ran == "el");
 }
 
 TEST_CASE("a deadline set anew by itself waits for the next call") {
-  Deadlines all;
+  TimerQueue all;
   int runs = 0;
-  Deadline again(all, [&] {
+  Timer again(all, [&] {
     ++runs;
     again.Set(Micros(1));
   });
   again.Set(Micros(1));
-  all.RunDue(Micros(5));
+  all.RunExpired(Micros(5));
   CHECK(runs == 1);
-  all.RunDue(Micros(5));
+  all.RunExpired(Micros(5));
   CHECK(runs == 2);
 }
 
@@ -144,7 +144,7 @@
 }
 
 TEST_CASE("of what is logged at full speed a few a second are written and the rest is counted") {
-  LogLimit limit;
+  LogRateLimiter limit;
   int written = 0;
   for (int k = 0; k < 100; ++k) written += limit.Allows(Micros(2'000'000 + k)) ? 1 : 0;
   CHECK(written == 5);
--- a/tests/net/relay_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 #include <string>
 
-#include "net/world.h"
+#include "proxy/loopback_fixture.h"
 
 namespace stoatrun {
 namespace {
--- a/tests/fleet/schedules_test.cpp
+++ b/tests/simulation/schedules_test.cpp
@@ -8,18 +8,18 @@
 #include <string>
 #include <vector>
 
-#include "check/checker.h"
-#include "fleet/planted.h"
-#include "lab/fleet_world.h"
-#include "lab/schedule.h"
-#include "lab/shrink.h"
+#include "fleet/injected_fault.h"
+#include "history/history_checker.h"
+#include "simulation/schedule.h"
+#include "simulation/shrink.h"
+#include "simulation/simulated_fleet.h"
 
-namespace stoatrun::lab {
+namespace stoatrun::simulation {
 namespace {
 
 using fleet::Fault;
 
-rig::Findings Played(const Schedule& s) { return rig::Check(Play(s).history); }
+history::Findings Played(const Schedule& s) { return history::Check(Play(s).history); }
 
 TEST_CASE("no bound breaks in drawn schedules of three, five and nine relays") {
   fleet::planted = Fault::kNone;
@@ -28,7 +28,7 @@
     const std::size_t relays = seed % 3 == 0 ? 3 : seed % 3 == 1 ? 5 : 9;
     const Schedule s = Schedule::Draw(seed, relays, std::chrono::seconds(25));
     const auto result = Play(s);
-    const auto found = rig::Check(result.history);
+    const auto found = history::Check(result.history);
     if (!found.Sound())
       FAIL("seed " << seed << ": " << found.breaches[0].bound << ": " << found.breaches[0].what);
     CHECK(result.figures.oversized == 0);
@@ -171,13 +171,13 @@
 )";
 
 std::string FirstBreach(const std::string& rest) {
-  const auto found = rig::Check(kBegin + rest);
+  const auto found = history::Check(kBegin + rest);
   return found.Sound() ? "" : found.breaches[0].bound;
 }
 
 TEST_CASE("the checker tells a history that holds from one that does not") {
   CHECK(FirstBreach("").empty());
-  CHECK(rig::Check("").breaches[0].bound == "form");
+  CHECK(history::Check("").breaches[0].bound == "form");
   CHECK(FirstBreach("nonsense\n") == "form");
   CHECK(FirstBreach(R"({"t":1,"e":"spend","r":"x","b":"w"})") == "form");
   const std::string two = R"({"t":10,"e":"spend","r":"a","b":"w"}
@@ -232,4 +232,4 @@
 }
 
 }  // namespace
-}  // namespace stoatrun::lab
+}  // namespace stoatrun::simulation
--- a/tests/adapter_test.cpp
+++ b/tests/simulator_adapter/adapter_test.cpp
@@ -3,7 +3,7 @@
 
 #include "wire.h"
 
-namespace arrowhatch::adapter {
+namespace balancer::adapter {
 namespace {
 
 const char* const kFacts =
@@ -23,41 +23,41 @@
 }
 std::string Failure(Adapter& adapter, const std::string& line) {
   try {
-    adapter.handle_line(line);
+    adapter.HandleLine(line);
   } catch (const WireError& e) {
     return e.what();
   }
   return "";
 }
 
-TEST(Wire, EmptyBatch) { EXPECT_EQ(Adapter().handle_line(Batch("")), R"({"cmds":[]})"); }
+TEST(Wire, EmptyBatch) { EXPECT_EQ(Adapter().HandleLine(Batch("")), R"({"cmds":[]})"); }
 
 TEST(Wire, RequestIsSentWithItsFullId) {
   Adapter a;
-  a.handle_line(Batch(Start(3)));
-  const std::string reply = a.handle_line(
+  a.HandleLine(Batch(Start(3)));
+  const std::string reply = a.HandleLine(
       Batch(R"(["Incoming",3,9007199254740993,0,null,"s-k",2000000,null,null,false,false,false])"));
   EXPECT_NE(reply.find(R"(["Send",3,9007199254740993,4294967295,)"), std::string::npos) << reply;
 }
 
 TEST(Wire, KillAndRestartInOneBatchForgetsTheOldList) {
   Adapter a;
-  a.handle_line(Batch(Start(3)));
+  a.HandleLine(Batch(Start(3)));
   const std::string request = R"(["Incoming",3,7,0,null,null,2000000,null,null,false,false,false])";
   const std::string attach =
       std::string(R"(["CrashNow",3],["Attach",3,6,)") + kFacts + R"(],["Members",3,2,1,[]],)";
-  EXPECT_EQ(a.handle_line(Batch(attach + request)).find("Send"), std::string::npos);
+  EXPECT_EQ(a.HandleLine(Batch(attach + request)).find("Send"), std::string::npos);
 }
 
 TEST(Wire, EventsForInstancesThatAreNotAttachedAreIgnored) {
   Adapter a;
-  EXPECT_EQ(a.handle_line(Batch(R"(["Gone",5,2928369074121497],["Due",5,77])")), R"({"cmds":[]})");
+  EXPECT_EQ(a.HandleLine(Batch(R"(["Gone",5,2928369074121497],["Due",5,77])")), R"({"cmds":[]})");
 }
 
 TEST(Wire, ReportsWithNullsAndUnknownOutcomesAreTaken) {
   Adapter a;
-  a.handle_line(Batch(Start(3) + R"(,["Incoming",3,7,0,null,null,2000000,null,null,false,false,false])"));
-  const std::string reply = a.handle_line(Batch(
+  a.HandleLine(Batch(Start(3) + R"(,["Incoming",3,7,0,null,null,2000000,null,null,false,false,false])"));
+  const std::string reply = a.HandleLine(Batch(
       R"(["ProbeDone",3,4294967295,1500,"pass",[null]],["ProbeDone",3,4294967295,1500,"no_route",null],)"
       R"(["Result",3,7,18500,"never_heard_of",false,0,4294967295,null],["PeerData",3,1,"00ff"],)"
       R"(["Notice",3,7,0,4294967295,1,12.5],["Notice",3,7,0,4294967295,9,1])"));
@@ -66,7 +66,7 @@
 
 TEST(Wire, MalformedInputNamesTheField) {
   Adapter a;
-  a.handle_line(Batch(Start(3)));
+  a.HandleLine(Batch(Start(3)));
   EXPECT_NE(Failure(a, "{").find("not JSON"), std::string::npos);
   EXPECT_EQ(Failure(a, "[]"), "line: expected an object");
   EXPECT_EQ(Failure(a, R"({"input":[]})"), "atTime: missing");
@@ -88,17 +88,17 @@
     return text;
   };
   Adapter together, first, second;
-  together.handle_line(Batch(Start(1) + "," + Start(2)));
-  first.handle_line(Batch(Start(1)));
-  second.handle_line(Batch(Start(2)));
+  together.HandleLine(Batch(Start(1) + "," + Start(2)));
+  first.HandleLine(Batch(Start(1)));
+  second.HandleLine(Batch(Start(2)));
   for (const std::string& r : requests) {
-    const std::string both = together.handle_line(Batch(fill(r, 1) + "," + fill(r, 2)));
-    std::string one = first.handle_line(Batch(fill(r, 1)));
-    const std::string two = second.handle_line(Batch(fill(r, 2)));
+    const std::string both = together.HandleLine(Batch(fill(r, 1) + "," + fill(r, 2)));
+    std::string one = first.HandleLine(Batch(fill(r, 1)));
+    const std::string two = second.HandleLine(Batch(fill(r, 2)));
     one.replace(one.size() - 2, 2, "," + two.substr(9));
     EXPECT_EQ(both, one);
   }
 }
 
 }  // namespace
-}  // namespace arrowhatch::adapter
+}  // namespace balancer::adapter
--- a/tools/same_actions.cpp
+++ b/tools/balancer_replay.cpp
@@ -1,7 +1,7 @@
 // Does the decision module still take the same actions? Plays recorded event streams through it and compares.
 //
-//     same_actions FILE...            each file's events, against the replies recorded beside them
-//     same_actions --write FILE       the file's events with the replies of now: a recording
+//     balancer_replay FILE...            each file's events, against the replies recorded beside them
+//     balancer_replay --write FILE       the file's events with the replies of now: a recording
 //
 // A recording is what passes on the simulator's wire, one JSON value a line: `{"atTime":...` goes in,
 // `{"cmds":...` came back. Lines of other forms are skipped, but `process N` in one tells of which of several
@@ -26,7 +26,7 @@
 constexpr std::size_t kShown = 400;  // Characters of a reply that differs.
 
 struct Player {
-  arrowhatch::adapter::Adapter adapter;
+  balancer::adapter::Adapter adapter;
   std::string reply;     // Of the batch that was played last.
   bool compared = true;  // With what was recorded.
 };
@@ -44,7 +44,7 @@
       ++line_number_;
       if (line.starts_with(kEvents)) {
         if (!write_ && !player->compared) return Bad("a batch before the reply to the last one");
-        player->reply = player->adapter.handle_line(line);
+        player->reply = player->adapter.HandleLine(line);
         player->compared = false;
         ++batches_;
         if (write_) std::cout << line << '\n' << player->reply << '\n';
@@ -65,7 +65,7 @@
     return kSame;
   }
   int Bad(std::string_view why) const {
-    std::cerr << "same_actions: " << path_ << ':' << line_number_ << ": " << why << '\n';
+    std::cerr << "balancer_replay: " << path_ << ':' << line_number_ << ": " << why << '\n';
     return kBadFile;
   }
 
--- a/tools/fleet_measure.cpp
+++ b/tools/fleet_measure.cpp
@@ -14,18 +14,18 @@
 #include <thread>
 #include <vector>
 
-#include "check/checker.h"
-#include "lab/fleet_world.h"
-#include "lab/schedule.h"
+#include "history/history_checker.h"
+#include "simulation/schedule.h"
+#include "simulation/simulated_fleet.h"
 
 namespace {
 
-using stoatrun::lab::Play;
-using stoatrun::lab::RelayName;
-using stoatrun::lab::Schedule;
-using stoatrun::lab::Step;
-using stoatrun::lab::WorldResult;
-using stoatrun::lab::WorldSetup;
+using stoatrun::simulation::Play;
+using stoatrun::simulation::RelayName;
+using stoatrun::simulation::Schedule;
+using stoatrun::simulation::Step;
+using stoatrun::simulation::WorldResult;
+using stoatrun::simulation::WorldSetup;
 using Figures = std::map<std::string, double>;
 
 struct Experiment {
@@ -92,7 +92,7 @@
     return s;
   };
   e.read = [relays](const WorldResult& r, Figures& f) {
-    const auto found = stoatrun::rig::Check(r.history);
+    const auto found = stoatrun::history::Check(r.history);
     f["age of the oldest part, s"] = static_cast<double>(found.sum_age_us) / 1e6;
     f["width of open"] = found.sum_width;
     f["width of open for each relay"] = found.sum_width / static_cast<double>(relays);
--- a/tools/fleet_schedules.cpp
+++ b/tools/fleet_schedules.cpp
@@ -15,14 +15,14 @@
 #include <thread>
 #include <vector>
 
-#include "check/checker.h"
-#include "lab/fleet_world.h"
-#include "lab/schedule.h"
-#include "lab/shrink.h"
+#include "history/history_checker.h"
+#include "simulation/schedule.h"
+#include "simulation/shrink.h"
+#include "simulation/simulated_fleet.h"
 
 namespace {
 
-using stoatrun::lab::Schedule;
+using stoatrun::simulation::Schedule;
 
 struct Sums {
   std::size_t played = 0, broken = 0, spends = 0, holds = 0, sums = 0, hearsays = 0, oversized = 0,
@@ -48,9 +48,9 @@
     std::ifstream in(file);
     std::ostringstream text;
     if (!in || !(text << in.rdbuf())) throw std::runtime_error(file + ": can't be read");
-    const auto result = stoatrun::lab::Play(Schedule::Parse(text.str(), file));
+    const auto result = stoatrun::simulation::Play(Schedule::Parse(text.str(), file));
     std::cout << result.history;
-    const auto found = stoatrun::rig::Check(result.history);
+    const auto found = stoatrun::history::Check(result.history);
     for (const auto& b : found.breaches) std::cerr << b.at_us << ' ' << b.bound << ": " << b.what << '\n';
     return found.Sound() ? 0 : 3;
   }
@@ -60,12 +60,12 @@
   const auto work = [&] {
     for (std::uint64_t seed = next++; seed < first + seeds; seed = next++) {
       const Schedule schedule = Schedule::Draw(seed, relays, std::chrono::seconds(seconds));
-      const auto result = stoatrun::lab::Play(schedule);
-      const auto found = stoatrun::rig::Check(result.history);
+      const auto result = stoatrun::simulation::Play(schedule);
+      const auto found = stoatrun::history::Check(result.history);
       Schedule shrunk;
       if (!found.Sound()) {
-        shrunk = stoatrun::lab::Shrink(schedule, [](const Schedule& s) {
-          return !stoatrun::rig::Check(stoatrun::lab::Play(s).history).Sound();
+        shrunk = stoatrun::simulation::Shrink(schedule, [](const Schedule& s) {
+          return !stoatrun::history::Check(stoatrun::simulation::Play(s).history).Sound();
         });
       }
       const std::lock_guard<std::mutex> hold(lock);
