--- /dev/null
+++ b/tests/golden_actions_test.cpp
@@ -0,0 +1,346 @@
+// A seeded sequence of events of every kind against the actions that the Balancer took when the golden files
+// were made. With GOLDEN_WRITE set in the environment the files are written instead of compared.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cstdint>
+#include <cstdlib>
+#include <fstream>
+#include <iterator>
+#include <map>
+#include <optional>
+#include <sstream>
+#include <string>
+#include <utility>
+#include <variant>
+#include <vector>
+
+#include "arrowhatch/balancer.h"
+#include "harness.h"
+
+namespace arrowhatch {
+namespace {
+
+class Generator {  // SplitMix64, so that the sequence is the same with every standard library.
+ public:
+  explicit Generator(std::uint64_t seed) : state_(seed) {}
+  std::uint64_t Below(std::uint64_t n) {
+    std::uint64_t z = (state_ += 0x9e3779b97f4a7c15ULL);
+    z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
+    z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
+    return (z ^ (z >> 31)) % n;
+  }
+  bool OneIn(std::uint64_t n) { return Below(n) == 0; }
+  double Part() { return static_cast<double>(Below(1000)) / 1000; }
+
+ private:
+  std::uint64_t state_;
+};
+
+std::string TextOf(const Action& action) {
+  std::ostringstream out;
+  const auto number = [](auto id) { return static_cast<std::uint64_t>(id); };
+  if (const auto* send = std::get_if<SendAttempt>(&action)) {
+    out << "send " << number(send->id) << ' ' << number(send->server) << ' ' << send->timeout.count();
+  } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
+    out << "cancel " << number(cancel->id) << ' ' << cancel->attempt;
+  } else if (const auto* refuse = std::get_if<RefuseRequest>(&action)) {
+    out << "refuse " << number(refuse->id) << ' ' << refuse->come_back.count();
+  } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
+    out << "fail " << number(fail->id);
+  } else if (const auto* move = std::get_if<MoveClient>(&action)) {
+    out << "move " << number(move->id);
+  } else if (const auto* probe = std::get_if<ProbeServer>(&action)) {
+    out << "probe " << number(probe->server);
+  } else if (const auto* timer = std::get_if<StartTimer>(&action)) {
+    out << "timer " << timer->delay.count();
+  } else {
+    out << "watch";
+  }
+  return out.str();
+}
+
+// Raises events at random and answers the actions, as the interface demands.
+class Play {
+ public:
+  Play(const Settings& settings, std::uint64_t seed)
+      : generator_(seed),
+        balancer_(settings),
+        classes_(settings.classes.size()),
+        subscribed_(settings.list_mode == ListMode::kSubscribed) {}
+
+  std::string Run(int events) {
+    Begin();
+    for (int k = 0; k < events; ++k) {
+      Pass(Micros(static_cast<std::int64_t>(generator_.Below(60'000))));
+      Step();
+    }
+    return dump_.str();
+  }
+
+ private:
+  struct Attempt {
+    std::uint64_t server = 0;
+    bool established = false;
+  };
+
+  void Give(const std::string& what, const Event& event) {
+    std::vector<Action> actions;
+    balancer_.handle(now_, event, actions);
+    dump_ << now_.count() << ' ' << what << '\n';
+    for (const Action& action : actions) {
+      dump_ << "  " << TextOf(action) << '\n';
+      Note(action);
+    }
+    const std::size_t avoided = balancer_.avoided(now_);
+    if (avoided != avoided_) dump_ << "  avoided: " << avoided << '\n';
+    avoided_ = avoided;
+  }
+  void Note(const Action& action) {
+    if (const auto* send = std::get_if<SendAttempt>(&action)) {
+      attempts_[static_cast<std::uint64_t>(send->id)] = {static_cast<std::uint64_t>(send->server), false};
+    } else if (const auto* probe = std::get_if<ProbeServer>(&action)) {
+      probes_.push_back(static_cast<std::uint64_t>(probe->server));
+    } else if (const auto* timer = std::get_if<StartTimer>(&action)) {
+      timers_.push_back(now_ + timer->delay);
+    } else if (std::holds_alternative<WatchServers>(action)) {
+      watching_ = true;
+    }
+  }
+
+  void Pass(Micros span) {
+    const Micros end = now_ + span;
+    for (;;) {
+      std::optional<std::size_t> next;
+      for (std::size_t k = 0; k < timers_.size(); ++k) {
+        if (timers_[k] <= end && (!next || timers_[k] < timers_[*next])) next = k;
+      }
+      if (!next) break;
+      now_ = std::max(now_, timers_[*next]);
+      timers_.erase(timers_.begin() + static_cast<std::ptrdiff_t>(*next));
+      Give("timer", TimerFired{});
+    }
+    now_ = end;
+  }
+
+  std::vector<ServerEntry> Entries() {
+    std::vector<ServerEntry> entries;
+    for (std::uint64_t id = 1; id <= kServers; ++id) {
+      ServerEntry entry = Ready(id, static_cast<std::uint32_t>(id % 2), id % 3);
+      entry.size = 1.0 + static_cast<double>(id % 4);
+      entry.name = 100 + id;
+      entry.started = started_[id];
+      entry.state = states_[id];
+      entries.push_back(entry);
+    }
+    return entries;
+  }
+  void Begin() {
+    states_[kServers] = ServerState::kDraining;
+    Give("cached list", ServerList{ServerList::Kind::kCached, Entries()});
+    for (std::uint64_t k = 0; k < 30; ++k) {
+      ConnectionResumed event;
+      event.request = NewRequest();
+      event.server = Sv(1 + k % 4);
+      attempts_[static_cast<std::uint64_t>(event.request.id)] = {1 + k % 4, true};
+      Give("resumed", event);
+    }
+  }
+  RequestArrived NewRequest() {
+    RequestArrived request;
+    request.id = Rq(++last_request_);
+    request.class_id = ClassId(static_cast<std::uint32_t>(generator_.Below(classes_)));
+    request.deadline = now_ + Ms(static_cast<std::int64_t>(100 + generator_.Below(1500)));
+    if (generator_.OneIn(2)) request.load_hint = 4000 * generator_.Part();
+    request.came_back = generator_.OneIn(4);
+    request.group = generator_.OneIn(2) ? 0 : 1 + generator_.Below(5);
+    return request;
+  }
+  std::optional<LoadReport> NewReport() {
+    if (generator_.OneIn(8)) return std::nullopt;
+    LoadReport report;
+    const double top = hot_ ? 1.4 : 0.8;
+    if (!generator_.OneIn(6)) report.load_ratio = top * generator_.Part();
+    if (generator_.OneIn(2)) report.utilisation = std::min(1.0, top * generator_.Part());
+    if (generator_.OneIn(2)) report.outstanding = static_cast<double>(generator_.Below(40));
+    return report;
+  }
+  std::uint64_t AnyServer() { return 1 + generator_.Below(kServers); }
+  std::pair<std::uint64_t, Attempt> AnyAttempt() {
+    return *std::next(attempts_.begin(), static_cast<std::ptrdiff_t>(generator_.Below(attempts_.size())));
+  }
+  std::uint64_t AnyRequest() { return 1 + generator_.Below(last_request_); }
+  std::string Named(const char* what, std::uint64_t id) { return std::string(what) + std::to_string(id); }
+
+  void Step() {
+    if (generator_.OneIn(60)) hot_ = !hot_;
+    if (!probes_.empty() && !generator_.OneIn(3)) return AnswerProbe();
+    switch (generator_.Below(12)) {
+      case 0:
+        return ChangeList();
+      case 1:
+        return TellLoad();
+      case 2:
+        return Give("delay", DelayTold{Sv(AnyServer()),
+                                       Ms(static_cast<std::int64_t>(generator_.Below(hot_ ? 250 : 60)))});
+      case 3:
+        return TellPeers();
+      case 4:
+        return Leave();
+      case 5:
+      case 6:
+      case 7:
+      case 8:
+        return ProgressAttempt();
+      default:
+        const RequestArrived request = NewRequest();
+        return Give(Named("request ", last_request_), request);
+    }
+  }
+  void AnswerProbe() {
+    const std::uint64_t server = probes_.front();
+    probes_.erase(probes_.begin());
+    const bool ok = !generator_.OneIn(10);
+    Give(Named(ok ? "probe answered " : "probe failed ", server),
+         ProbeAnswered{Sv(server), ok, ok ? NewReport() : std::nullopt});
+  }
+  void ChangeList() {
+    if (subscribed_ && !watching_) return;
+    if (subscribed_ && generator_.OneIn(4)) {
+      watching_ = false;
+      return Give("failed list", ServerList{ServerList::Kind::kFailed, {}});
+    }
+    const std::uint64_t id = AnyServer();
+    const auto state = static_cast<ServerState>(generator_.Below(3));
+    states_[id] = generator_.OneIn(2) ? ServerState::kReady : state;
+    if (states_[id] == ServerState::kReady && generator_.OneIn(2)) started_[id] = now_;
+    const bool whole = generator_.OneIn(3);
+    ServerList list{whole ? ServerList::Kind::kFull : ServerList::Kind::kChanges, Entries()};
+    if (!whole) list.entries = {list.entries[id - 1]};
+    Give(Named(whole ? "full list " : "changes ", id), list);
+  }
+  void TellLoad() {  // Of an open connection, as the interface has it.
+    if (attempts_.empty()) return;
+    const auto [id, attempt] = AnyAttempt();
+    if (attempt.established) Give(Named("load ", id), LoadTold{Rq(id), 6000 * generator_.Part()});
+  }
+  void TellPeers() {
+    PeersTold told;
+    told.server = Sv(AnyServer());
+    told.unseen = 4 * generator_.Part();
+    told.cold = generator_.OneIn(2) ? -1 : 3 * generator_.Part();
+    told.avoid = generator_.OneIn(4);
+    Give(Named("peers ", static_cast<std::uint64_t>(told.server)), told);
+  }
+  void Leave() {
+    const std::uint64_t id = AnyRequest();
+    Give(Named("client left ", id), ClientLeft{Rq(id)});
+  }
+  void ProgressAttempt() {
+    if (attempts_.empty()) return;
+    const auto [id, attempt] = AnyAttempt();
+    if (!attempt.established && !generator_.OneIn(hot_ ? 2 : 4)) {
+      attempts_[id].established = true;
+      return Give(Named("established ", id), AttemptEstablished{Rq(id), Sv(attempt.server)});
+    }
+    if (attempt.established && generator_.OneIn(2)) return;  // Connections last.
+    attempts_.erase(id);
+    AttemptEnded event{Rq(id), Sv(attempt.server), Outcome::kServed, false, NewReport()};
+    if (!attempt.established || generator_.OneIn(3)) {
+      event.outcome = static_cast<Outcome>(1 + generator_.Below(8));
+    }
+    event.request_finished = event.outcome == Outcome::kServed || generator_.OneIn(4);
+    Give(Named("ended ", id) + Named(" outcome ", static_cast<std::uint64_t>(event.outcome)), event);
+  }
+
+  static constexpr std::uint64_t kServers = 8;
+  Generator generator_;
+  Balancer balancer_;
+  std::size_t classes_;
+  std::ostringstream dump_;
+  Micros now_{10'000'000};
+  std::map<std::uint64_t, ServerState> states_;
+  std::map<std::uint64_t, Micros> started_;
+  std::map<std::uint64_t, Attempt> attempts_;
+  std::vector<std::uint64_t> probes_;
+  std::vector<Micros> timers_;
+  bool subscribed_, watching_ = false;
+  std::size_t avoided_ = 0;
+  std::uint64_t last_request_ = 0;
+  bool hot_ = false;
+};
+
+// Every setting other than as it stands by itself.
+Settings AllSettings() {
+  Settings s = PlainSettings();
+  s.gateways = 3;
+  s.zone = ZoneId(1);
+  s.list_mode = ListMode::kSubscribed;
+  s.longest_advice = Ms(2000);
+  s.zone_price = 0.02;
+  ClassSettings keyed;
+  keyed.aim = Ms(500);
+  keyed.effect = Effect::kKeyed;
+  keyed.group = RepeatGroup::kCell;
+  keyed.repeat_window = Ms(700);
+  keyed.message_aim = Ms(80);
+  ClassSettings zoned = keyed;
+  zoned.group = RepeatGroup::kZone;
+  ClassSettings unsafe;
+  unsafe.aim = Ms(400);
+  s.classes.insert(s.classes.end(), {keyed, zoned, unsafe});
+  return s;
+}
+
+Settings WithAnswers() {
+  Settings s = AllSettings();
+  s.list_mode = ListMode::kPushed;
+  s.reports = ReportMode::kWithAnswers;
+  s.probes_allowed = false;
+  return s;
+}
+
+std::string ReadFile(const std::string& path) {
+  std::ifstream in(path);
+  std::ostringstream text;
+  text << in.rdbuf();
+  return text.str();
+}
+
+// Compared line by line: the first one that differs is shown, with its number.
+void ExpectGolden(const std::string& name, const std::string& now) {
+  const std::string path = std::string(GOLDEN_DIR) + "/actions/" + name;
+  if (std::getenv("GOLDEN_WRITE") != nullptr) std::ofstream(path) << now;
+  const std::string golden = ReadFile(path);
+  ASSERT_FALSE(golden.empty()) << path;
+  std::istringstream expected_lines(golden), actual_lines(now);
+  std::string expected, actual;
+  for (int number = 1; std::getline(expected_lines, expected); ++number) {
+    ASSERT_TRUE(std::getline(actual_lines, actual)) << path << ':' << number;
+    ASSERT_EQ(actual, expected) << path << ':' << number;
+  }
+  EXPECT_EQ(now, golden);
+}
+
+TEST(GoldenActions, AreTheSameForEveryKindOfEvent) {
+  const std::string plain = Play(PlainSettings(), 1).Run(1200);
+  const std::string all = Play(AllSettings(), 2).Run(1200);
+  const std::string answers = Play(WithAnswers(), 3).Run(800);
+  ExpectGolden("plain.txt", plain);
+  ExpectGolden("all-settings.txt", all);
+  ExpectGolden("reports-with-answers.txt", answers);
+  // The sequences reach every kind of event and of action.
+  const std::string dump = plain + all + answers;
+  for (const char* event :
+       {"cached list", "full list", "changes", "failed list", "request", "resumed", "established", "ended",
+        "load", "delay", "probe answered", "probe failed", "client left", "peers", "timer"}) {
+    EXPECT_NE(dump.find(std::string(" ") + event), std::string::npos) << event;
+  }
+  for (const char* action :
+       {"send", "cancel", "refuse", "fail", "move", "probe", "timer", "watch", "avoided:"}) {
+    EXPECT_NE(dump.find(std::string("\n  ") + action), std::string::npos) << action;
+  }
+}
+
+}  // namespace
+}  // namespace arrowhatch
