--- a/tests/golden_actions_test.cpp
+++ b/tests/golden_actions_test.cpp
@@ -1,11 +1,9 @@
 // A seeded sequence of events of every kind against the actions that the Balancer took when the golden files
-// were made. With GOLDEN_WRITE set in the environment the files are written instead of compared.
+// were made.
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <cstdint>
-#include <cstdlib>
-#include <fstream>
 #include <iterator>
 #include <map>
 #include <optional>
@@ -16,6 +14,7 @@
 #include <vector>
 
 #include "arrowhatch/balancer.h"
+#include "golden.h"
 #include "harness.h"
 
 namespace arrowhatch {
@@ -300,18 +299,10 @@
   return s;
 }
 
-std::string ReadFile(const std::string& path) {
-  std::ifstream in(path);
-  std::ostringstream text;
-  text << in.rdbuf();
-  return text.str();
-}
-
 // Compared line by line: the first one that differs is shown, with its number.
 void ExpectGolden(const std::string& name, const std::string& now) {
-  const std::string path = std::string(GOLDEN_DIR) + "/actions/" + name;
-  if (std::getenv("GOLDEN_WRITE") != nullptr) std::ofstream(path) << now;
-  const std::string golden = ReadFile(path);
+  const std::string path = "actions/" + name;
+  const std::string golden = stoatrun::tests::GoldenText(path, now);
   ASSERT_FALSE(golden.empty()) << path;
   std::istringstream expected_lines(golden), actual_lines(now);
   std::string expected, actual;
