--- /dev/null
+++ b/tests/ledger/golden_test.cpp
@@ -0,0 +1,106 @@
+// What the store writes against golden exports: the same postings give the same records, to the byte.
+#include "golden.h"
+
+#include <unistd.h>
+
+#include <catch2/catch.hpp>
+#include <cstdint>
+#include <filesystem>
+#include <fstream>
+#include <iterator>
+#include <string>
+
+#include "ledger/io/export_file.h"
+#include "ledger/io/store.h"
+
+namespace stoatrun::ledger {
+namespace {
+
+constexpr std::int64_t kHour = 1'800'000'000;
+
+class Folder {
+ public:
+  Folder() {
+    std::string name = std::filesystem::temp_directory_path() / "stoatrun-XXXXXX";
+    path_ = mkdtemp(name.data());
+  }
+  ~Folder() { std::filesystem::remove_all(path_); }
+  Folder(const Folder&) = delete;
+  Folder& operator=(const Folder&) = delete;
+  const std::string& Path() const { return path_; }
+
+ private:
+  std::string path_;
+};
+
+Posting PostingOf(std::uint64_t number, std::int64_t start_s, std::int64_t use_us, bool left) {
+  Posting p;
+  p.number = number;
+  p.period_start_s = start_s;
+  p.period_s = 3600;
+  p.wall_us = start_s * 1'000'000 + static_cast<std::int64_t>(number) * 10'000'000 + 5;
+  p.left = left;
+  p.groups.push_back(
+      {"coast", use_us, use_us / 3, 1500, 2, {{"feed", use_us / 4, 1}, {"watch", use_us - use_us / 4, 3}}});
+  p.groups.push_back({"wetland", 2 * use_us + 1, 2 * use_us + 1, -1, 7, {{"feed", 2 * use_us + 1, 4}}});
+  p.lives_us = 3 * use_us + 1;
+  return p;
+}
+
+std::string ExportOf(Store& store, const Folder& folder) {
+  const std::string path = folder.Path() + "/export.jsonl";
+  WriteExport(store, 1, path);
+  std::ifstream in(path, std::ios::binary);
+  return {std::istreambuf_iterator<char>(in), {}};
+}
+
+// Closed periods, a step of the clock, supplements, corrections, use that was not kept, a kill, an open
+// period.
+TEST_CASE("a day with every kind of record is exported as the golden file has it") {
+  const Folder folder;
+  const StoreSetup setup{folder.Path(), "n0", "b0", nullptr, true, 5000};
+  {
+    Store store(setup);
+    store.BeginRun(kHour * 1'000'000, kHour);
+    store.Apply(PostingOf(1, kHour, 1'000'000, false), {{"coast", 1}});
+    Posting unnamed = PostingOf(2, kHour, 2'000'001, true);
+    unnamed.groups.push_back({kMissingGroup, 17, 17, -1, 1, {{"feed", 17, 1}}});
+    unnamed.groups.push_back({kOtherGroups, 19, 19, -1, 1, {{"watch", 19, 1}}});
+    unnamed.lives_us += 36;
+    store.Apply(unnamed, {});
+    Posting stepped = PostingOf(3, kHour + 3600, 500, false);
+    stepped.steps.push_back({stepped.wall_us, stepped.wall_us - 3'600'000'000});
+    store.Apply(stepped, {{"coast", 1}});
+    store.Apply(PostingOf(4, kHour, 77, false), {{"coast", 1}});
+    store.Apply(PostingOf(5, kHour + 3600, 30'000'000, true), {{"coast", 1}, {"wetland", 2}});
+    store.Enter({"coast", kHour, -30, "double count", "ann", "ref-1", (kHour + 7000) * 1'000'000});
+    store.Enter({"reef", kHour + 3600, 12, "was \"missed\", wrongly", "bo", "", (kHour + 7001) * 1'000'000});
+    Posting unkept = PostingOf(6, kHour + 7200, 9'000'000, false);
+    unkept.unkept_us = 4'000'000;
+    unkept.unkept_from_wall_us = unkept.wall_us - 60'000'000;
+    store.Apply(unkept, {{"coast", 3}, {"wetland", 1}});
+  }  // As if it were killed.
+  Store store(setup);
+  store.BeginRun((kHour + 7300) * 1'000'000, kHour + 7200);
+  CHECK(store.Acknowledge(2, store.Records(2, 1).at(0).hash));
+  store.Apply(PostingOf(1, kHour + 7200, 1'234'567, false), {{"coast", 2}});
+  store.EndRun((kHour + 7400) * 1'000'000);
+  const std::string text = ExportOf(store, folder);
+  CHECK(text == tests::GoldenText("ledger/outputs/n0.jsonl", text));
+}
+
+TEST_CASE("sums that do not agree are exported as the golden file has it") {
+  const Folder folder;
+  Store store({folder.Path(), "n1", "b1", nullptr, true, 250});
+  store.BeginRun(kHour * 1'000'000, kHour);
+  Posting one = PostingOf(1, kHour, 5'000'000, true);
+  one.lives_us += 3;
+  store.Apply(one, {});
+  store.Apply(PostingOf(2, kHour + 3600, 6'000'000, true), {});
+  store.EndRun((kHour + 7300) * 1'000'000);
+  const std::string text = ExportOf(store, folder);
+  CHECK(text == tests::GoldenText("ledger/outputs/n1.jsonl", text));
+}
+
+}  // namespace
+}  // namespace stoatrun::ledger
