--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -126,7 +126,7 @@
   }
 }
 
-void Management::OnBytes(SlotId id) {
+void Management::OnData(SlotId id) {
   Caller* c = callers_.Find(id);
   if (c == nullptr) return;
   const std::string_view in = c->stream.input();
@@ -238,13 +238,13 @@
     Answer(*c, 400, "request ended before its head");
     return;
   }
-  if (c->answered && end == ConnectionEnd::kFinished && c->stream.Queued() > 0) return;
+  if (c->answered && end == ConnectionEnd::kFinished && c->stream.QueuedBytes() > 0) return;
   Drop(*c);
 }
 
 void Management::OnWritable(SlotId id) {
   Caller* c = callers_.Find(id);
-  if (c != nullptr && c->answered && c->stream.PeerEnded()) Drop(*c);
+  if (c != nullptr && c->answered && c->stream.PeerFinished()) Drop(*c);
 }
 
 }  // namespace stoatrun
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -57,7 +57,7 @@
   int Port() const;
   const ManagementCounts& Counts() const { return counts_; }
 
-  void OnBytes(SlotId id) override;
+  void OnData(SlotId id) override;
   void OnEnd(SlotId id, ConnectionEnd end) override;
   void OnWritable(SlotId id) override;
 
--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -13,7 +13,7 @@
     const std::string& name = f.class_names[k];
     const ClassCounters& c = f.classes[k];
     fmt::format_to(add, "edge_proxy.results.{}.succeeded={}\n", name, c.succeeded);
-    fmt::format_to(add, "edge_proxy.results.{}.declined={}\n", name, c.declined);
+    fmt::format_to(add, "edge_proxy.results.{}.declined={}\n", name, c.rejected);
     fmt::format_to(add, "edge_proxy.results.{}.aborted={}\n", name, c.aborted);
     fmt::format_to(add, "edge_proxy.results.{}.forwards={}\n", name, c.forwards);
   }
--- a/src/base/background_worker.cpp
+++ b/src/base/background_worker.cpp
@@ -79,19 +79,19 @@
   return true;
 }
 
-bool BackgroundWorker::Idle() const {
+bool BackgroundWorker::IsIdle() const {
   const std::scoped_lock lock(shared_->guard);
   return shared_->jobs.empty() && !shared_->running && shared_->replies.empty();
 }
 
-bool BackgroundWorker::Resting() const {
+bool BackgroundWorker::HasNoJobs() const {
   const std::scoped_lock lock(shared_->guard);
   return shared_->jobs.empty() && !shared_->running;
 }
 
 bool BackgroundWorker::Finish(std::chrono::milliseconds bound) {
   const auto end = std::chrono::steady_clock::now() + bound;
-  while (!Idle()) {
+  while (!IsIdle()) {
     {
       std::unique_lock lock(shared_->guard);
       const bool rested = shared_->rest.wait_until(lock, end, [this] {
--- a/src/base/background_worker.h
+++ b/src/base/background_worker.h
@@ -27,9 +27,9 @@
   // False: the queue is full and nothing was taken; the caller keeps its data and comes again.
   bool Post(Job job);
   // Nothing waits or runs, and all replies were run.
-  bool Idle() const;
+  bool IsIdle() const;
   // No job waits or runs; replies may wait.
-  bool Resting() const;
+  bool HasNoJobs() const;
   // Runs what is queued, its replies included, here and now. False: it took longer than `bound` and is given
   // up; its thread may still be in a call that blocks, so the process should end without clearing up.
   bool Finish(std::chrono::milliseconds bound);
--- a/src/base/backoff.h
+++ b/src/base/backoff.h
@@ -1,8 +1,10 @@
-// Waits between calls on a service that many relays share and that serves them one after another.
+// Retry delays for calls to a service that many proxies share and that serves its callers one after another.
 //
-// A hundred relays that fail together must not come again together: such a service goes on with calls whose
-// callers have given up, and then has time for none in time. So the waits grow, are drawn at random, and are
-// longer the more relays there are: all together ask about as often as two do.
+// Exponential backoff with jitter, scaled by the number of callers: together they call about as often as two
+// callers would. A hundred proxies that fail at once must not retry at once, because such a service goes on
+// with calls whose callers have given up and then serves none of them in time.
+//
+// Not thread-safe. The delays depend on the seed alone.
 #ifndef STOATRUN_BASE_BACKOFF_H_
 #define STOATRUN_BASE_BACKOFF_H_
 
@@ -11,44 +13,46 @@
 #include <cstdint>
 #include <random>
 
+#include "base/clock.h"
+
 namespace stoatrun {
 
 class Backoff {
  public:
-  using Micros = std::chrono::microseconds;
-
-  // `callers`: of the service, this one included. `most`: no wait is longer, however many there are.
-  Backoff(unsigned callers, Micros most, std::uint64_t seed)
-      : first_(std::min(most, kFirst * std::max(2U, callers) / 2)),
-        last_(std::min(most, kLast * std::max(2U, callers) / 2)),
-        spread_(std::min(most, kSpread * (std::max(1U, callers) - 1))),
-        step_(first_),
+  // `callers`: the number of callers of the service, this one included. `max_delay` bounds every delay,
+  // however many callers there are.
+  Backoff(unsigned callers, Micros max_delay, std::uint64_t seed)
+      : first_step_(std::min(max_delay, kFirstStep * std::max(2U, callers) / 2)),
+        last_step_(std::min(max_delay, kLastStep * std::max(2U, callers) / 2)),
+        initial_spread_(std::min(max_delay, kSpreadPerCaller * (std::max(1U, callers) - 1))),
+        step_(first_step_),
         random_(seed) {}
 
-  // The wait before a first call, for callers that start at one moment: uniform up to 40 ms a further caller.
-  Micros Start() { return Draw(Micros(0), spread_); }
-  // The wait after a failure: half of the present step up to the whole. The step doubles each time.
-  Micros Next() {
-    const Micros wait = Draw(step_ / 2, step_);
-    step_ = std::min(step_ * 2, last_);
-    return wait;
+  // The delay before a first call, where all callers start at one moment: uniform from 0 to 40 ms for each
+  // other caller.
+  Micros InitialDelay() { return Draw(Micros(0), initial_spread_); }
+  // The delay after a failure: uniform from half of the current step to the whole. The step then doubles.
+  Micros NextDelay() {
+    const Micros delay = Draw(step_ / 2, step_);
+    step_ = std::min(step_ * 2, last_step_);
+    return delay;
   }
-  // A wait of at most so long, for a call that must not come later.
-  Micros Within(Micros most) { return Draw(Micros(0), most); }
-  // After a success, or where another service is called.
-  void Reset() { step_ = first_; }
+  // A delay uniform from 0 to `max_delay`, for a call that must not come later. It leaves the step as it is.
+  Micros DelayWithin(Micros max_delay) { return Draw(Micros(0), max_delay); }
+  // Starts over, after a success or when another service is called from now on.
+  void Reset() { step_ = first_step_; }
 
  private:
-  // For two callers.
-  static constexpr Micros kFirst = std::chrono::milliseconds(50);
-  static constexpr Micros kLast = std::chrono::milliseconds(800);
-  static constexpr Micros kSpread = std::chrono::milliseconds(40);
+  // The steps of two callers.
+  static constexpr Micros kFirstStep = std::chrono::milliseconds(50);
+  static constexpr Micros kLastStep = std::chrono::milliseconds(800);
+  static constexpr Micros kSpreadPerCaller = std::chrono::milliseconds(40);
 
-  Micros Draw(Micros from, Micros to) {
-    return Micros(std::uniform_int_distribution<Micros::rep>(from.count(), to.count())(random_));
+  Micros Draw(Micros min, Micros max) {
+    return Micros(std::uniform_int_distribution<Micros::rep>(min.count(), max.count())(random_));
   }
 
-  Micros first_, last_, spread_, step_;
+  Micros first_step_, last_step_, initial_spread_, step_;
   std::mt19937_64 random_;
 };
 
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,4 +1,5 @@
-// Time of the relay: whole microseconds on the monotonic clock, read once a turn of the loop.
+// The proxy's time: whole microseconds on the monotonic clock, read once a turn of the event loop, so that
+// all decisions of a turn see the same time. Not thread-safe.
 #ifndef STOATRUN_BASE_CLOCK_H_
 #define STOATRUN_BASE_CLOCK_H_
 
@@ -12,38 +13,48 @@
 
 class Clock {
  public:
-  enum class Mode { kMonotonic, kManual };  // Manual: time moves by Advance alone (tests).
+  // The source of time. kManual: only Advance moves the time (for tests).
+  enum class Mode { kMonotonic, kManual };
 
+  // Starts at the present time, or at a fixed time in manual mode.
   explicit Clock(Mode mode = Mode::kMonotonic) : mode_(mode) {
-    now_ = mode == Mode::kManual ? Micros(1'000'000'000) : Monotonic();
-    const auto unix_now =
-        mode == Mode::kManual
-            ? Micros(2'000'000'000)
-            : std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch());
-    unix_origin_ = unix_now - now_;
+    const bool manual = mode == Mode::kManual;
+    now_ = manual ? kManualStart : ReadMonotonic();
+    unix_origin_ = (manual ? kManualUnixStart : ReadUnix()) - now_;
   }
 
+  // Reads the monotonic clock. Time never goes back.
   void Read() {
-    if (mode_ == Mode::kMonotonic) now_ = std::max(now_, Monotonic());
+    if (mode_ == Mode::kMonotonic) now_ = std::max(now_, ReadMonotonic());
   }
-  void Advance(Micros span) { now_ += span; }
+  // Moves the time, in manual mode.
+  void Advance(Micros duration) { now_ += duration; }
+  // The time of the last reading.
   Micros Now() const { return now_; }
 
-  // The difference between both clocks is taken once, so that one start is one time for ever. A start from
-  // before the monotonic clock's origin is still a start: 0 would say "long ago".
+  // Converts Unix time in milliseconds to this clock's time; 0 or less ("long ago") gives 0. The offset of
+  // both clocks is taken once, so the same Unix time always gives the same result. A time before this clock's
+  // origin gives 1, as 0 would mean "long ago".
   Micros FromUnixMs(std::int64_t unix_ms) const {
     if (unix_ms <= 0) return Micros(0);
-    return std::max(Micros(1),
-                    std::chrono::duration_cast<Micros>(std::chrono::milliseconds(unix_ms)) - unix_origin_);
+    const auto unix_time = std::chrono::duration_cast<Micros>(std::chrono::milliseconds(unix_ms));
+    return std::max(Micros(1), unix_time - unix_origin_);
   }
 
  private:
-  static Micros Monotonic() {
+  static constexpr Micros kManualStart{1'000'000'000};
+  static constexpr Micros kManualUnixStart{2'000'000'000};
+
+  static Micros ReadMonotonic() {
     return std::chrono::duration_cast<Micros>(std::chrono::steady_clock::now().time_since_epoch());
   }
+  static Micros ReadUnix() {
+    return std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch());
+  }
 
   Mode mode_;
-  Micros now_{0}, unix_origin_{0};
+  Micros now_{0};
+  Micros unix_origin_{0};  // The Unix time at this clock's origin.
 };
 
 }  // namespace stoatrun
--- a/src/base/event_loop.cpp
+++ b/src/base/event_loop.cpp
@@ -1,39 +1,15 @@
 #include "base/event_loop.h"
 
 #include <algorithm>
-#include <stdexcept>
 
-namespace stoatrun {
-
-void TimerQueue::RunExpired(Micros now) {
-  const std::uint64_t limit = next_;
-  while (!order_.empty()) {
-    const auto first = order_.begin();
-    if (first->first.first > now || first->first.second >= limit) return;
-    Timer* due = first->second;
-    order_.erase(first);
-    due->set_ = false;
-    due->due_();
-  }
-}
+#include "base/error.h"
 
-void Timer::Set(Micros at) {
-  Cancel();
-  key_ = {at, all_.next_++};
-  all_.order_.emplace(key_, this);
-  set_ = true;
-}
-
-void Timer::Cancel() {
-  if (!set_) return;
-  all_.order_.erase(key_);
-  set_ = false;
-}
+namespace stoatrun {
 
 EventLoop::EventLoop(Clock::Mode mode) : clock(mode), loop_(ev_loop_new(EVFLAG_AUTO)) {
-  if (loop_ == nullptr) throw std::runtime_error("no event loop to be had");
+  if (loop_ == nullptr) throw Error(ErrorCode::kUnavailable, "no event loop to be had");
   ev_check_init(&check_, OnCheck);
-  ev_set_priority(&check_, EV_MAXPRI);  // Before every callback of the turn.
+  ev_set_priority(&check_, EV_MAXPRI);  // Before every other callback of the turn.
   check_.data = this;
   ev_check_start(loop_, &check_);
   ev_prepare_init(&prepare_, OnPrepare);
@@ -50,22 +26,22 @@
   timers.RunExpired(Now());
 }
 
-void EventLoop::OnCheck(struct ev_loop* /*loop*/, ev_check* w, int /*events*/) {
-  static_cast<EventLoop*>(w->data)->clock.Read();
+void EventLoop::OnCheck(struct ev_loop* /*loop*/, ev_check* watcher, int /*events*/) {
+  static_cast<EventLoop*>(watcher->data)->clock.Read();
 }
 
-void EventLoop::OnPrepare(struct ev_loop* loop, ev_prepare* w, int /*events*/) {
-  auto* self = static_cast<EventLoop*>(w->data);
-  for (const auto& sweep : self->turn_end_hooks_) sweep();
+void EventLoop::OnPrepare(struct ev_loop* loop, ev_prepare* watcher, int /*events*/) {
+  auto* self = static_cast<EventLoop*>(watcher->data);
+  for (const auto& hook : self->turn_end_hooks_) hook();
   ev_timer_stop(loop, &self->timer_);
   if (self->timers.Empty()) return;
-  const Micros left = std::max(Micros(0), self->timers.Next() - self->Now());
-  ev_timer_set(&self->timer_, static_cast<double>(left.count()) / 1e6, 0.);
+  const Micros remaining = std::max(Micros(0), self->timers.Next() - self->Now());
+  ev_timer_set(&self->timer_, static_cast<double>(remaining.count()) / 1e6, 0.);
   ev_timer_start(loop, &self->timer_);
 }
 
-void EventLoop::OnTimer(struct ev_loop* /*loop*/, ev_timer* w, int /*events*/) {
-  auto* self = static_cast<EventLoop*>(w->data);
+void EventLoop::OnTimer(struct ev_loop* /*loop*/, ev_timer* watcher, int /*events*/) {
+  auto* self = static_cast<EventLoop*>(watcher->data);
   self->timers.RunExpired(self->Now());
 }
 
--- a/src/base/event_loop.h
+++ b/src/base/event_loop.h
@@ -1,92 +1,64 @@
-// All deadlines of the relay in one ordered structure, and the loop that drives them with one libev timer.
+// The event loop: libev for descriptors, with a clock that is read once a turn and a timer queue driven by
+// one libev timer.
+//
+// A turn: read the clock, run the callbacks of descriptors and expired timers, run the turn-end hooks.
+// Everything on the loop runs on the one thread that calls Run; only BackgroundWorker passes work in from
+// another thread.
 #ifndef STOATRUN_BASE_EVENT_LOOP_H_
 #define STOATRUN_BASE_EVENT_LOOP_H_
 
 #include <ev.h>
 
-#include <cstddef>
-#include <cstdint>
 #include <functional>
-#include <map>
 #include <utility>
 #include <vector>
 
 #include "base/clock.h"
+#include "base/timer_queue.h"
 
 namespace stoatrun {
 
-class Timer;
-
-class TimerQueue {
- public:
-  // Runs what is due. What a callback sets anew waits for the next call, even if it is due at once.
-  void RunExpired(Micros now);
-  // Of the earliest; valid only if not empty.
-  Micros Next() const { return order_.begin()->first.first; }
-  bool Empty() const { return order_.empty(); }
-
- private:
-  friend class Timer;
-  using Key = std::pair<Micros, std::uint64_t>;
-  std::map<Key, Timer*> order_;
-  std::uint64_t next_ = 0;
-};
-
-// One deadline, owned by what it guards; taken back when its owner goes.
-class Timer {
- public:
-  Timer(TimerQueue& all, std::function<void()> due) : all_(all), due_(std::move(due)) {}
-  ~Timer() { Cancel(); }
-  Timer(const Timer&) = delete;
-  Timer& operator=(const Timer&) = delete;
-
-  void Set(Micros at);
-  void Cancel();
-  bool IsSet() const { return set_; }
-
- private:
-  friend class TimerQueue;
-  TimerQueue& all_;
-  std::function<void()> due_;
-  TimerQueue::Key key_{};
-  bool set_ = false;
-};
-
-// One libev loop with the clock and the timers. A turn: read the clock, serve the sockets and what is due,
-// then run the sweepers.
 class EventLoop {
  public:
+  // Throws Error (kUnavailable) if the system provides no event mechanism.
   explicit EventLoop(Clock::Mode mode = Clock::Mode::kMonotonic);
   ~EventLoop();
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
+  // The libev loop, for watchers of descriptors and signals.
   struct ev_loop* native_handle() {
     return loop_;
   }
+  // The time of this turn.
   Micros Now() const { return clock.Now(); }
+  // Runs `hook` at the end of each turn, before the loop waits; hooks run in the order in which they were
+  // added. It can't be removed: what it refers to must outlive the loop's last turn.
   void AddTurnEndHook(std::function<void()> hook) { turn_end_hooks_.push_back(std::move(hook)); }
+  // Turns until Stop.
   void Run() { ev_run(loop_, 0); }
+  // Ends Run after the current turn.
   void Stop() {
     stopped_ = true;
     ev_break(loop_, EVBREAK_ALL);
   }
+  // Has Stop been called?
   bool Stopped() const { return stopped_; }
-  // One turn that does not block (tests).
+  // One turn that doesn't wait (for tests).
   void Poll();
 
   Clock clock;
   TimerQueue timers;
 
  private:
-  static void OnCheck(struct ev_loop* loop, ev_check* w, int events);
-  static void OnPrepare(struct ev_loop* loop, ev_prepare* w, int events);
-  static void OnTimer(struct ev_loop* loop, ev_timer* w, int events);
+  static void OnCheck(struct ev_loop* loop, ev_check* watcher, int events);
+  static void OnPrepare(struct ev_loop* loop, ev_prepare* watcher, int events);
+  static void OnTimer(struct ev_loop* loop, ev_timer* watcher, int events);
 
   struct ev_loop* loop_;
-  ev_check check_{};
-  ev_prepare prepare_{};
-  ev_timer timer_{};
+  ev_check check_{};      // The start of a turn.
+  ev_prepare prepare_{};  // The end of a turn.
+  ev_timer timer_{};      // Set to the earliest timer of the queue.
   bool stopped_ = false;
   std::vector<std::function<void()>> turn_end_hooks_;
 };
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::array<std::string_view, 4> kNames{"debug", "info", "warn", "error"};
 std::atomic<Level> lowest = Level::kInfo;
-std::atomic<LogForm> form = LogForm::kText;
+std::atomic<LogFormat> form = LogFormat::kText;
 
 // Milliseconds of Unix time lead each record: seconds and milliseconds of the pattern, written together.
 constexpr const char* kTextPattern = "%E%e %v";
@@ -28,7 +28,7 @@
         std::make_shared<spdlog::logger>("stoatrun", std::make_shared<spdlog::sinks::stderr_sink_mt>());
     made->set_level(spdlog::level::trace);
     made->flush_on(spdlog::level::trace);
-    made->set_pattern(form.load() == LogForm::kJson ? kJsonPattern : kTextPattern);
+    made->set_pattern(form.load() == LogFormat::kJson ? kJsonPattern : kTextPattern);
     return made;
   }();
   return *logger;
@@ -52,20 +52,20 @@
 }  // namespace
 
 void SetLogLevel(Level level) { lowest = level; }
-bool Logs(Level level) { return level >= lowest.load(std::memory_order_relaxed); }
+bool IsLogged(Level level) { return level >= lowest.load(std::memory_order_relaxed); }
 
-void SetLogForm(LogForm to) {
-  if (form.exchange(to) != to) Logger().set_pattern(to == LogForm::kJson ? kJsonPattern : kTextPattern);
+void SetLogFormat(LogFormat to) {
+  if (form.exchange(to) != to) Logger().set_pattern(to == LogFormat::kJson ? kJsonPattern : kTextPattern);
 }
 
-std::optional<Level> LevelNamed(std::string_view name) {
+std::optional<Level> ParseLogLevel(std::string_view name) {
   for (std::size_t k = 0; k < kNames.size(); ++k) {
     if (kNames[k] == name) return static_cast<Level>(k);
   }
   return std::nullopt;
 }
 
-void AppendJsonText(fmt::memory_buffer& out, std::string_view text) {
+void AppendJsonEscaped(fmt::memory_buffer& out, std::string_view text) {
   while (!text.empty()) {
     const std::size_t size = SequenceLength(text);
     const char c = text.front();
@@ -84,12 +84,12 @@
 }
 
 LogLine::LogLine(Level level, std::string_view words)
-    : level_(level), on_(Logs(level)), json_(form.load(std::memory_order_relaxed) == LogForm::kJson) {
+    : level_(level), on_(IsLogged(level)), json_(form.load(std::memory_order_relaxed) == LogFormat::kJson) {
   if (!on_) return;
   const std::string_view name = kNames[static_cast<std::size_t>(level_)];
   if (json_) {
     fmt::format_to(std::back_inserter(text_), R"("level":"{}","event":")", name);
-    AppendJsonText(text_, words);
+    AppendJsonEscaped(text_, words);
     text_.push_back('"');
   } else {
     fmt::format_to(std::back_inserter(text_), "{} {}", name, words);
@@ -105,7 +105,7 @@
   if (!on_) return *this;
   if (json_) {
     fmt::format_to(std::back_inserter(text_), R"(,"{}":")", name);
-    AppendJsonText(text_, value);
+    AppendJsonEscaped(text_, value);
     text_.push_back('"');
   } else {
     fmt::format_to(std::back_inserter(text_), " {}={}", name, value);
@@ -113,7 +113,7 @@
   return *this;
 }
 
-LogLine& LogLine::Word(std::string_view word, bool there) {
+LogLine& LogLine::Flag(std::string_view word, bool there) {
   if (!on_) return *this;
   if (json_) {
     fmt::format_to(std::back_inserter(text_), R"(,"{}":{})", word, there);
@@ -123,7 +123,7 @@
   return *this;
 }
 
-LogLine& LogLine::Why(std::string_view reason) {
+LogLine& LogLine::Reason(std::string_view reason) {
   if (!on_) return *this;
   if (json_) return Field("why", reason);
   fmt::format_to(std::back_inserter(text_), ": {}", reason);
@@ -143,6 +143,6 @@
   return false;
 }
 
-std::uint64_t LogRateLimiter::TakeLeftOut() { return std::exchange(left_out_, 0); }
+std::uint64_t LogRateLimiter::TakeSuppressed() { return std::exchange(left_out_, 0); }
 
 }  // namespace stoatrun
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -19,16 +19,16 @@
 namespace stoatrun {
 
 enum class Level { kDebug, kInfo, kWarn, kError };
-enum class LogForm { kText, kJson };
+enum class LogFormat { kText, kJson };
 
 void SetLogLevel(Level level);
-void SetLogForm(LogForm form);
-bool Logs(Level level);
-std::optional<Level> LevelNamed(std::string_view name);
+void SetLogFormat(LogFormat form);
+bool IsLogged(Level level);
+std::optional<Level> ParseLogLevel(std::string_view name);
 
 // Appends `text` as the inside of a JSON string. Bytes that are not UTF-8 become U+FFFD, so that a record
 // stays readable whatever a caller sent.
-void AppendJsonText(fmt::memory_buffer& out, std::string_view text);
+void AppendJsonEscaped(fmt::memory_buffer& out, std::string_view text);
 
 // Collects one record and writes it when it goes. Nothing is formatted for a level that is not written.
 class LogLine {
@@ -51,9 +51,9 @@
   LogLine& Field(std::string_view name, std::string_view value);
   LogLine& Field(std::string_view name, const char* value) { return Field(name, std::string_view(value)); }
   // A word that is there or not: ` word` in text, `"word":true` or `false` in JSON.
-  LogLine& Word(std::string_view word, bool there);
+  LogLine& Flag(std::string_view word, bool there);
   // The reason, which may hold blanks: `: reason` in text, `"why"` in JSON.
-  LogLine& Why(std::string_view reason);
+  LogLine& Reason(std::string_view reason);
 
  private:
   const Level level_;
@@ -66,7 +66,7 @@
 class LogRateLimiter {
  public:
   bool Allows(Micros now);
-  std::uint64_t TakeLeftOut();
+  std::uint64_t TakeSuppressed();
 
  private:
   static constexpr int kASecond = 5;
--- a/src/base/tcp_connection.cpp
+++ b/src/base/tcp_connection.cpp
@@ -107,7 +107,7 @@
 void TcpConnection::Write(std::initializer_list<std::string_view> pieces) {
   if (!IsOpen() || finish_ || broken_) return;
   std::size_t written = 0;
-  if (Queued() == 0 && !connecting_) {
+  if (QueuedBytes() == 0 && !connecting_) {
     std::array<iovec, 8> parts{};
     std::size_t count = 0;
     for (const std::string_view piece : pieces) {
@@ -131,7 +131,7 @@
 
 void TcpConnection::Finish() {
   finish_ = true;
-  if (IsUp() && Queued() == 0) Flush();
+  if (IsUp() && QueuedBytes() == 0) Flush();
 }
 
 void TcpConnection::Close() {
@@ -162,9 +162,9 @@
 
 void TcpConnection::Watch() {
   if (broken_ || !IsOpen()) return;
-  const int wanted =
-      connecting_ ? EV_WRITE
-                  : (reading_ && !in_ended_ && size_ < kInSize ? EV_READ : 0) | (Queued() > 0 ? EV_WRITE : 0);
+  const int wanted = connecting_ ? EV_WRITE
+                                 : (reading_ && !in_ended_ && size_ < kInSize ? EV_READ : 0) |
+                                       (QueuedBytes() > 0 ? EV_WRITE : 0);
   if (wanted != 0 || in_ended_) {
     peer_reset_check_.Cancel();
   } else if (!peer_reset_check_.IsSet()) {
@@ -216,12 +216,12 @@
     connecting_ = false;
     Watch();
     handler_.OnConnected(id_);
-    if (IsOpen() && Queued() > 0) Flush();
+    if (IsOpen() && QueuedBytes() > 0) Flush();
     return;
   }
   if ((events & EV_WRITE) != 0) {
     Flush();
-    if (IsOpen() && !broken_ && Queued() == 0) handler_.OnWritable(id_);
+    if (IsOpen() && !broken_ && QueuedBytes() == 0) handler_.OnWritable(id_);
   }
   if ((events & EV_READ) != 0 && IsOpen() && !broken_ && reading_ && !in_ended_) ReadSome();
 }
@@ -235,7 +235,7 @@
   } else if (n > 0) {
     size_ += static_cast<std::size_t>(n);
     Watch();
-    handler_.OnBytes(id_);
+    handler_.OnData(id_);
   } else if (n == 0) {
     in_ended_ = true;
     Watch();
@@ -249,8 +249,8 @@
 }
 
 void TcpConnection::Flush() {
-  while (Queued() > 0) {
-    const ssize_t n = write(fd_, out_.data() + out_begin_, Queued());
+  while (QueuedBytes() > 0) {
+    const ssize_t n = write(fd_, out_.data() + out_begin_, QueuedBytes());
     if (n < 0) {
       if (errno == EINTR) continue;
       if (errno != EAGAIN) Break();
@@ -258,14 +258,14 @@
     }
     out_begin_ += static_cast<std::size_t>(n);
   }
-  if (Queued() == 0) {
+  if (QueuedBytes() == 0) {
     out_.clear();
     out_begin_ = 0;
     if (finish_ && !finished_ && !broken_) {
       finished_ = true;
       shutdown(fd_, SHUT_WR);
     }
-  } else if (out_begin_ > kHighWater) {
+  } else if (out_begin_ > kHighWatermark) {
     out_.erase(0, out_begin_);
     out_begin_ = 0;
   }
--- a/src/base/tcp_connection.h
+++ b/src/base/tcp_connection.h
@@ -34,7 +34,7 @@
  public:
   virtual ~TcpConnectionHandler() = default;
   virtual void OnConnected(SlotId /*id*/) {}
-  virtual void OnBytes(SlotId id) = 0;
+  virtual void OnData(SlotId id) = 0;
   virtual void OnInputDiscarded(SlotId /*id*/, std::size_t /*size*/) {}
   virtual void OnEnd(SlotId id, ConnectionEnd end) = 0;  // At most once a stream.
   // The peer has ended its sending, though what it sent before is not all read; OnEnd follows once it is.
@@ -49,8 +49,8 @@
 class TcpConnection {
  public:
   static constexpr std::size_t kInSize = std::size_t{2} * 4096;  // Two lines of the longest form.
-  static constexpr std::size_t kHighWater =
-      std::size_t{64} * 1024;  // Queued output over this stops the other side's reading.
+  static constexpr std::size_t kHighWatermark =
+      std::size_t{64} * 1024;  // QueuedBytes output over this stops the other side's reading.
 
   TcpConnection(EventLoop& loop, TcpConnectionHandler& handler, SlotId id);
   ~TcpConnection();
@@ -61,7 +61,7 @@
   bool Connect(const Address& address);  // False: refused at once or no descriptor to be had.
 
   bool IsOpen() const { return fd_ >= 0; }
-  bool PeerEnded() const { return in_ended_; }
+  bool PeerFinished() const { return in_ended_; }
   bool IsUp() const { return IsOpen() && !connecting_; }
   bool IsBroken() const { return broken_; }  // OnEnd tells of it, or is about to.
   // What was read and not consumed. It stays where it is until Consume, also when more comes.
@@ -74,7 +74,7 @@
   void ReadNow();
   // A gathered write; what the socket does not take is queued. A break is told by OnEnd, later.
   void Write(std::initializer_list<std::string_view> pieces);
-  std::size_t Queued() const { return out_.size() - out_begin_; }
+  std::size_t QueuedBytes() const { return out_.size() - out_begin_; }
   void Finish();  // Ends our sending once all queued is written.
   void Close();   // At once. Nothing more is told.
   void Reset();   // At once, and the peer sees a break.
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -46,7 +46,7 @@
   } catch (const ConfigError& e) {
     std::cerr << "stoatrun: bad configuration: " << e.what() << '\n';
     return kBadUsage;
-  } catch (const OperatorError& e) {
+  } catch (const OperatorFileError& e) {
     std::cerr << "stoatrun: bad operator file:\n" << e.what() << '\n';
     return kBadUsage;
   } catch (const std::exception& e) {
--- a/src/cli/fleet_setup.cpp
+++ b/src/cli/fleet_setup.cpp
@@ -11,7 +11,7 @@
 
 std::vector<std::string> QuotasOf(const Config& config, const config::Fleet& file) {
   std::vector<std::string> out;
-  for (const auto& group : config.site.groups) {
+  for (const auto& group : config.settings.groups) {
     if (file.quotas() && group.quota >= 0) out.push_back(group.name);
   }
   return out;
@@ -22,7 +22,7 @@
   fleet::Settings& s = setup.settings;
   s.fleet = file.name();
   s.slots = file.places();
-  setup.name = config.name;
+  setup.name = config.proxy_name;
   // Not the configuration's: where that one stays the same, a new run must not be taken for its former self.
   std::random_device entropy;
   setup.seed = std::uint64_t{entropy()} << 32U | entropy();
@@ -32,7 +32,7 @@
   bool named = false;
   for (const config::FleetPeer& p : file.peer()) {
     const Address address = *Address::Parse(p.address());  // Its form was checked when the file was read.
-    if (p.name() == config.name) {
+    if (p.name() == config.proxy_name) {
       named = true;
       s.self = p.place();
       setup.listen_text = p.has_listen() ? p.listen() : p.address();
@@ -42,7 +42,8 @@
       setup.addresses[p.place()] = address;
     }
   }
-  if (!named) throw OperatorError("fleet.peer: none is named '" + config.name + "', as this relay is");
+  if (!named)
+    throw OperatorFileError("fleet.peer: none is named '" + config.proxy_name + "', as this relay is");
   for (const config::FleetBudget& b : file.budget()) {
     const Micros window = std::chrono::milliseconds(b.window_ms());
     switch (b.kind()) {
@@ -57,7 +58,7 @@
         break;
     }
   }
-  for (const auto& group : config.site.groups) {
+  for (const auto& group : config.settings.groups) {
     if (!file.quotas() || group.quota < 0) continue;
     s.budgets.push_back({fleet::HintBuilder::Quota(group.name),
                          static_cast<std::uint32_t>(std::floor(group.quota)), Micros(0)});
--- a/src/cli/fleet_setup.h
+++ b/src/cli/fleet_setup.h
@@ -11,7 +11,7 @@
 
 namespace stoatrun::cli {
 
-// Throws OperatorError if this relay is not named among the peers.
+// Throws OperatorFileError if this relay is not named among the peers.
 fleet::GossipTransportSetup FleetSetupOf(const Config& config, const config::Fleet& file);
 
 // The groups whose connections count against a budget of all relays.
--- a/src/cli/ledger.cpp
+++ b/src/cli/ledger.cpp
@@ -42,7 +42,7 @@
   if (folder.empty()) {
     const config::OperatorFile file = LoadOperatorFile(o.common->operator_path);
     if (!file.has_ledger())
-      throw OperatorError("no ledger: give --folder, or an operator file that sets one");
+      throw OperatorFileError("no ledger: give --folder, or an operator file that sets one");
     folder = file.ledger().folder();
   }
   return Store({folder, "", "", nullptr, false, 0});
--- a/src/cli/ledger_setup.cpp
+++ b/src/cli/ledger_setup.cpp
@@ -16,11 +16,11 @@
 ledger::KeeperSetup KeeperSetupOf(const Config& config, const config::Ledger& file) {
   ledger::KeeperSetup setup;
   setup.accounts.period = std::chrono::seconds(file.period_s());
-  setup.accounts.classes = config.site.class_names;
+  setup.accounts.classes = config.settings.class_names;
   setup.accounts.most_strangers = file.most_strangers();
-  for (const auto& g : config.site.groups) {
+  for (const auto& g : config.settings.groups) {
     ledger::GroupSetup group{g.name, std::nullopt};
-    if (g.quota >= 0) group.share_milli = std::llround(g.quota * 1000 / config.site.module.replicas);
+    if (g.quota >= 0) group.share_milli = std::llround(g.quota * 1000 / config.settings.balancer.replicas);
     setup.accounts.groups.push_back(group);
   }
   for (const config::Share& s : file.share()) {
@@ -30,8 +30,8 @@
     it->share_milli = static_cast<std::int64_t>(s.milli_connections());
   }
   std::random_device random;
-  setup.store = {file.folder(), config.name, fmt::format("{:08x}{:08x}", random(), random()),
-                 nullptr,       true,        file.checkpoint_ms()};
+  setup.store = {file.folder(), config.proxy_name,   fmt::format("{:08x}{:08x}", random(), random()), nullptr,
+                 true,          file.checkpoint_ms()};
   setup.checkpoint = std::chrono::milliseconds(file.checkpoint_ms());
   setup.most_cells = std::size_t{file.backlog_kib()} * 1024 / kCellBytes;
   return setup;
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -31,7 +31,7 @@
 // STOATRUN_LOG goes before the operator file.
 void SetUpLog(const config::Log& log, const std::optional<Level>& given) {
   SetLogLevel(given.value_or(static_cast<Level>(log.level())));
-  SetLogForm(log.form() == config::Log::JSON ? LogForm::kJson : LogForm::kText);
+  SetLogFormat(log.form() == config::Log::JSON ? LogFormat::kJson : LogFormat::kText);
 }
 
 class Service : private ManagementEvents {
@@ -43,7 +43,8 @@
         return std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch());
       });
       if (file.ledger().has_receiver()) {
-        courier_.emplace(loop_, *keeper_, CourierSetupOf(file.ledger().receiver(), config.site.module.seed));
+        courier_.emplace(loop_, *keeper_,
+                         CourierSetupOf(file.ledger().receiver(), config.settings.balancer.seed));
       }
     }
     if (file.has_fleet()) {
@@ -70,7 +71,7 @@
       management_->Listen(*config.management);
       LogLine(Level::kInfo, "management").Field("address", config.management_text);
     }
-    LogLine(Level::kInfo, "ready").Field("name", config.name).Field("port", relay_->Port());
+    LogLine(Level::kInfo, "ready").Field("name", config.proxy_name).Field("port", relay_->Port());
     loop_.Run();
     if (transport_) transport_->Leave();
     const bool kept = !keeper_ || keeper_->Finish(kLedgerEnd);
@@ -100,13 +101,13 @@
   void Reload() {
     const Config config = LoadConfig(LoadAt::kReload);
     const config::OperatorFile file = LoadOperatorFile(common_.operator_path);
-    const OperatorChange change = CompareOperatorFiles(file_, file);
+    const OperatorFileChange change = CompareOperatorFiles(file_, file);
     // Made before anything is taken up, for it may find the file in error.
     const std::optional<fleet::GossipTransportSetup> fleet =
         transport_ && file.has_fleet() ? std::optional(FleetSetupOf(config, file.fleet())) : std::nullopt;
-    for (const auto& field : change.need_restart)
+    for (const auto& field : change.restart_required)
       LogLine(Level::kWarn, "reload takes a restart").Field("changed", field);
-    for (const auto& field : change.taken_up) LogLine(Level::kInfo, "reload").Field("operator", field);
+    for (const auto& field : change.reloadable) LogLine(Level::kInfo, "reload").Field("operator", field);
     SetUpLog(file.log(), config.log_level);
     relay_->Reload(config);
     // What takes a restart stays as it is in force, so that the next reload tells of it again.
@@ -152,7 +153,7 @@
     if (keeper_) keeper_->AddFields(record);
     if (courier_) courier_->AddFields(record);
     if (transport_) {
-      record.Field("legs_held_back", relay_->Counts().legs_held_back);
+      record.Field("legs_held_back", relay_->Counts().attempts_denied_by_quota);
       transport_->AddFields(record);
     }
   }
--- a/src/cli/table.cpp
+++ b/src/cli/table.cpp
@@ -12,7 +12,7 @@
 std::string Quoted(const std::string& text) {
   fmt::memory_buffer out;
   out.push_back('"');
-  AppendJsonText(out, text);
+  AppendJsonEscaped(out, text);
   out.push_back('"');
   return fmt::to_string(out);
 }
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -5,6 +5,7 @@
 #include <cstdint>
 #include <cstdlib>
 #include <optional>
+#include <system_error>
 #include <utility>
 
 #include "config/json.h"
@@ -12,137 +13,173 @@
 namespace stoatrun {
 namespace {
 
-using simdjson::dom::element;
-using simdjson::dom::object;
-using namespace balancer::settings;  // NOLINT(google-build-using-namespace): the shared JSON helpers.
+using json::element;
+using json::object;
 
-std::optional<std::string> Env(const char* name) {
+std::optional<std::string> GetEnvironment(const char* name) {
   const char* value = std::getenv(name);  // NOLINT(concurrency-mt-unsafe): there is one thread.
   if (value == nullptr || *value == '\0') return std::nullopt;
   return value;
 }
 
-Address AddressOf(std::string_view what, std::string_view text) {
+// Reads all of `text` as an integer; nothing if it is none.
+template <typename T>
+std::optional<T> ParseInteger(std::string_view text, int base = 10) {
+  T value{};
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
+  if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
+  return value;
+}
+
+Address ParseAddress(std::string_view setting, std::string_view text) {
   const auto address = Address::Parse(text);
-  if (!address) throw ConfigError(std::string(what) + ": expected IP:PORT, got '" + std::string(text) + "'");
+  if (!address) {
+    throw ConfigError(std::string(setting) + ": expected IP:PORT, got '" + std::string(text) + "'");
+  }
   return *address;
 }
 
-int DescriptorOf(const std::string& text) {
-  int fd = -1;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), fd);
-  if (error != std::errc() || end != text.data() + text.size() || fd < 0) {
+int ParseDescriptor(const std::string& text) {
+  const auto descriptor = ParseInteger<int>(text);
+  if (!descriptor || *descriptor < 0) {
     throw ConfigError("PROXY_ACCEPT_FD: expected the number of a descriptor, got '" + text + "'");
   }
-  return fd;
+  return *descriptor;
 }
 
-std::uint64_t ReadSeed(const object& o) {
-  const auto e = Get(o, "seed");
-  if (!e) throw ConfigError("seed: missing");
-  if (e->is_string()) {
-    const std::string_view text = AsText(*e, "seed");
-    std::uint64_t seed = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
-    if (error != std::errc() || end != text.data() + text.size()) Fail("seed", "expected hex digits");
-    return seed;
-  }
-  return AsUnsigned(*e, "seed");
+// A number, or a string of hex digits: JSON numbers above 2^53 don't survive every writer.
+std::uint64_t ReadSeed(const object& file) {
+  const auto value = json::Find(file, "seed");
+  if (!value) throw ConfigError("seed: missing");
+  if (!value->is_string()) return json::AsUnsigned(*value, "seed");
+  const auto seed = ParseInteger<std::uint64_t>(json::AsText(*value, "seed"), 16);
+  if (!seed) json::Fail("seed", "expected hex digits");
+  return *seed;
 }
 
-// The environment's values, where they go before the file's.
-struct Given {
-  std::optional<std::string> name, listen, discovery, management;
-  LoadAt when = LoadAt::kStart;
+// The values of the environment that take precedence over the file's.
+struct EnvironmentOverrides {
+  std::optional<std::string> proxy_name, listen, discovery, management;
 };
 
-Config Parse(std::string_view json, const Given& env) {
+std::string RequiredText(const object& file, std::string_view key,
+                         const std::optional<std::string>& override_text) {
+  if (override_text) return *override_text;
+  const auto value = json::Find(file, key);
+  if (!value) throw ConfigError(std::string(key) + ": missing");
+  return std::string(json::AsText(*value, key));
+}
+
+void ReadAddresses(const object& file, const EnvironmentOverrides& environment, LoadAt when, Config& config) {
+  config.listen_text = RequiredText(file, "listen", environment.listen);
+  config.listen = ParseAddress("listen", config.listen_text);
+  const bool file_first = when == LoadAt::kReload && json::Find(file, "discovery");
+  config.discovery_text = RequiredText(file, "discovery", file_first ? std::nullopt : environment.discovery);
+  config.discovery = ParseAddress("discovery", config.discovery_text);
+  if (environment.management) {
+    config.management_text = *environment.management;
+  } else if (const auto value = json::Find(file, "management")) {
+    config.management_text = std::string(json::AsText(*value, "management"));
+  }
+  if (!config.management_text.empty()) {
+    config.management = ParseAddress("management", config.management_text);
+  }
+}
+
+void ReadSettings(const object& file, Config& config) {
+  const auto settings = json::Find(file, "settings");
+  if (!settings) throw ConfigError("settings: missing");
+  config.settings = ParseSiteSettings(*settings, ReadSeed(file));
+  config.settings_text = simdjson::minify(*settings);
+  if (config.settings.class_names.empty()) throw ConfigError("settings.classes: missing or empty");
+}
+
+Config ReadConfig(const element& root, const EnvironmentOverrides& environment, LoadAt when) {
+  const object file = json::AsObject(root, "configuration");
+  Config config;
+  config.proxy_name = RequiredText(file, "name", environment.proxy_name);
+  ReadAddresses(file, environment, when, config);
+  ReadSettings(file, config);
+  const double sockets = json::NumberOr(json::FindObject(file, "limits"), "sockets", 0);
+  config.descriptor_limit = static_cast<std::size_t>(std::max(0.0, sockets));
+  if (const auto cached = json::Find(file, "known")) config.cached_endpoints = ParseEndpointUpdate(*cached);
+  return config;
+}
+
+Config ParseConfig(std::string_view json_text, const EnvironmentOverrides& environment, LoadAt when) {
   simdjson::dom::parser parser;
   element root;
-  const auto error = parser.parse(simdjson::padded_string(json)).get(root);
+  const auto error = parser.parse(simdjson::padded_string(json_text)).get(root);
   if (error != simdjson::SUCCESS) {
     throw ConfigError("not JSON: " + std::string(simdjson::error_message(error)));
   }
   try {
-    const object o = AsObject(root, "configuration");
-    const auto text = [&](std::string_view key, const std::optional<std::string>& given) {
-      if (given) return *given;
-      const auto e = Get(o, key);
-      if (!e) throw ConfigError(std::string(key) + ": missing");
-      return std::string(AsText(*e, key));
-    };
-    Config c;
-    c.name = text("name", env.name);
-    c.listen_text = text("listen", env.listen);
-    c.listen = AddressOf("listen", c.listen_text);
-    const bool file_first = env.when == LoadAt::kReload && Get(o, "discovery");
-    c.discovery_text = text("discovery", file_first ? std::nullopt : env.discovery);
-    c.discovery = AddressOf("discovery", c.discovery_text);
-    if (env.management) {
-      c.management_text = *env.management;
-    } else if (const auto e = Get(o, "management"); e && !e->is_null()) {
-      c.management_text = std::string(AsText(*e, "management"));
-    }
-    if (!c.management_text.empty()) c.management = AddressOf("management", c.management_text);
-    const auto settings = Get(o, "settings");
-    if (!settings) throw ConfigError("settings: missing");
-    c.site = ReadSettings(*settings, ReadSeed(o));
-    c.settings_text = simdjson::minify(*settings);
-    if (c.site.class_names.empty()) throw ConfigError("settings.classes: missing or empty");
-    c.sockets = static_cast<std::size_t>(std::max(0.0, NumberOr(GetObject(o, "limits"), "sockets", 0)));
-    if (const auto known = Get(o, "known")) c.known = ParseEndpointUpdate(*known);
-    return c;
-  } catch (const FormError& e) {
-    throw ConfigError(e.what());
+    return ReadConfig(root, environment, when);
+  } catch (const JsonError& error_of_field) {
+    throw ConfigError(error_of_field.what());
   }
 }
 
+EndpointState ParseState(std::string_view phase) {
+  if (phase == "ready") return EndpointState::kReady;
+  if (phase == "gone") return EndpointState::kGone;
+  // A phase of a later protocol is no promise that new work is welcome.
+  return EndpointState::kDraining;
+}
+
+Endpoint ReadEndpoint(const object& entry) {
+  Endpoint endpoint;
+  endpoint.id = std::string(json::TextOr(entry, "id", ""));
+  endpoint.address = std::string(json::TextOr(entry, "host_port", ""));
+  endpoint.locality = std::string(json::TextOr(entry, "locality", ""));
+  endpoint.state = ParseState(json::TextOr(entry, "phase", "ready"));
+  endpoint.cell = static_cast<std::uint64_t>(json::NumberOr(entry, "cell", 0));
+  endpoint.size = json::NumberOr(entry, "size", 1.0);
+  endpoint.started_unix_ms = static_cast<std::int64_t>(json::NumberOr(entry, "up_since_ms", 0));
+  return endpoint;
+}
+
 }  // namespace
 
-EndpointUpdate ParseEndpointUpdate(const element& e) {
-  const object o = AsObject(e, "list");
-  EndpointUpdate list;
-  if (const auto revision = Get(o, "revision")) list.revision = AsUnsigned(*revision, "revision");
-  list.complete = BoolOr(o, "complete", false);
-  const auto members = Get(o, "members");
-  if (!members) return list;
-  for (const element m : AsArray(*members, "members")) {
-    const object entry = AsObject(m, "members");
-    Endpoint h;
-    h.id = std::string(TextOr(entry, "id", ""));
-    h.address = std::string(TextOr(entry, "host_port", ""));
-    h.locality = std::string(TextOr(entry, "locality", ""));
-    const std::string_view phase = TextOr(entry, "phase", "ready");
-    // A phase of a later protocol is no promise that new work is welcome.
-    h.phase = phase == "ready"  ? EndpointState::kReady
-              : phase == "gone" ? EndpointState::kGone
-                                : EndpointState::kDraining;
-    h.cell = static_cast<std::uint64_t>(NumberOr(entry, "cell", 0));
-    h.size = NumberOr(entry, "size", 1.0);
-    h.up_since_ms = static_cast<std::int64_t>(NumberOr(entry, "up_since_ms", 0));
-    if (!h.id.empty()) list.entries.push_back(std::move(h));
+EndpointUpdate ParseEndpointUpdate(const element& value) {
+  const object fields = json::AsObject(value, "list");
+  EndpointUpdate update;
+  if (const auto revision = json::Find(fields, "revision")) {
+    update.revision = json::AsUnsigned(*revision, "revision");
+  }
+  update.complete = json::BoolOr(fields, "complete", false);
+  const auto members = json::Find(fields, "members");
+  if (!members) return update;
+  for (const element member : json::AsArray(*members, "members")) {
+    Endpoint endpoint = ReadEndpoint(json::AsObject(member, "members"));
+    if (!endpoint.id.empty()) update.entries.push_back(std::move(endpoint));
   }
-  return list;
+  return update;
 }
 
-Config ParseConfig(std::string_view json) { return Parse(json, {}); }
+Config ParseConfig(std::string_view json_text) { return ParseConfig(json_text, {}, LoadAt::kStart); }
 
 Config LoadConfig(LoadAt when) {
-  const auto path = Env("PROXY_CONFIG");
+  const auto path = GetEnvironment("PROXY_CONFIG");
   if (!path) throw ConfigError("PROXY_CONFIG: not set; it names the configuration file");
   simdjson::padded_string text;
   if (const auto error = simdjson::padded_string::load(*path).get(text); error != simdjson::SUCCESS) {
     throw ConfigError(*path + ": " + simdjson::error_message(error));
   }
-  Config c = Parse(std::string_view(text), {Env("PROXY_NAME"), Env("PROXY_LISTEN"), Env("PROXY_DISCOVERY"),
-                                            Env("PROXY_MANAGEMENT"), when});
-  if (const auto fd = Env("PROXY_ACCEPT_FD")) c.accept_fd = DescriptorOf(*fd);
-  if (const auto level = Env("STOATRUN_LOG")) {
-    const auto named = LevelNamed(*level);
-    if (!named) throw ConfigError("STOATRUN_LOG: expected debug, info, warn or error, got '" + *level + "'");
-    c.log_level = *named;
+  const EnvironmentOverrides environment{GetEnvironment("PROXY_NAME"), GetEnvironment("PROXY_LISTEN"),
+                                         GetEnvironment("PROXY_DISCOVERY"),
+                                         GetEnvironment("PROXY_MANAGEMENT")};
+  Config config = ParseConfig(std::string_view(text), environment, when);
+  if (const auto descriptor = GetEnvironment("PROXY_ACCEPT_FD")) {
+    config.accept_fd = ParseDescriptor(*descriptor);
+  }
+  if (const auto level = GetEnvironment("STOATRUN_LOG")) {
+    config.log_level = ParseLogLevel(*level);
+    if (!config.log_level) {
+      throw ConfigError("STOATRUN_LOG: expected debug, info, warn or error, got '" + *level + "'");
+    }
   }
-  return c;
+  return config;
 }
 
 }  // namespace stoatrun
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -1,99 +1,142 @@
-// Typed reads of JSON values whose errors name the field; shared by the simulator's host and the relay.
+// Typed reads of JSON values (simdjson DOM), shared by the proxy's configuration, the discovery client and
+// the simulator adapter.
+//
+// Every read that finds a value of another type throws JsonError with a message `WHERE: expected WHAT`. A key
+// that is missing and a value that is null are the same. All functions are pure; elements stay valid only as
+// long as their parser.
 #ifndef STOATRUN_CONFIG_JSON_H_
 #define STOATRUN_CONFIG_JSON_H_
 
 #include <simdjson.h>
 
+#include <chrono>
 #include <cstdint>
 #include <optional>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 
-#include "balancer/balancer.h"
+#include "base/error.h"
 
-namespace balancer::settings {
+namespace stoatrun {
 
-// A value that is not of the form described. what() names the field.
-class FormError : public std::runtime_error {
+// A JSON document doesn't have the expected form. what() names the field.
+class JsonError : public Error {
  public:
-  using std::runtime_error::runtime_error;
+  explicit JsonError(const std::string& message) : Error(ErrorCode::kMalformedInput, message) {}
 };
 
+namespace json {
+
 using simdjson::dom::array;
 using simdjson::dom::element;
 using simdjson::dom::element_type;
 using simdjson::dom::object;
 
+// Throws JsonError with the message `where: what`.
 [[noreturn]] inline void Fail(std::string_view where, std::string_view what) {
-  throw FormError(std::string(where) + ": " + std::string(what));
+  throw JsonError(std::string(where) + ": " + std::string(what));
 }
 
-inline bool Absent(const element& e) { return e.type() == element_type::NULL_VALUE; }
+// Is the value null?
+inline bool IsNull(const element& value) { return value.type() == element_type::NULL_VALUE; }
 
-inline std::uint64_t AsUnsigned(const element& e, std::string_view where) {
-  std::uint64_t value = 0;
-  if (e.get_uint64().get(value) != simdjson::SUCCESS) Fail(where, "expected a whole number of 0 or more");
-  return value;
+// Reads an integer of 0 or more.
+inline std::uint64_t AsUnsigned(const element& value, std::string_view where) {
+  std::uint64_t number = 0;
+  if (value.get_uint64().get(number) != simdjson::SUCCESS) {
+    Fail(where, "expected a whole number of 0 or more");
+  }
+  return number;
 }
-inline std::int64_t AsSigned(const element& e, std::string_view where) {
-  std::int64_t value = 0;
-  if (e.get_int64().get(value) != simdjson::SUCCESS) Fail(where, "expected a whole number");
-  return value;
+
+// Reads an integer.
+inline std::int64_t AsSigned(const element& value, std::string_view where) {
+  std::int64_t number = 0;
+  if (value.get_int64().get(number) != simdjson::SUCCESS) Fail(where, "expected a whole number");
+  return number;
 }
-inline double AsNumber(const element& e, std::string_view where) {
-  double value = 0;
-  if (e.get_double().get(value) != simdjson::SUCCESS) Fail(where, "expected a number");
-  return value;
+
+// Reads any number.
+inline double AsNumber(const element& value, std::string_view where) {
+  double number = 0;
+  if (value.get_double().get(number) != simdjson::SUCCESS) Fail(where, "expected a number");
+  return number;
 }
-inline bool AsBool(const element& e, std::string_view where) {
-  bool value = false;
-  if (e.get_bool().get(value) != simdjson::SUCCESS) Fail(where, "expected true or false");
-  return value;
+
+// Reads a boolean.
+inline bool AsBool(const element& value, std::string_view where) {
+  bool flag = false;
+  if (value.get_bool().get(flag) != simdjson::SUCCESS) Fail(where, "expected true or false");
+  return flag;
 }
-inline std::string_view AsText(const element& e, std::string_view where) {
-  std::string_view value;
-  if (e.get_string().get(value) != simdjson::SUCCESS) Fail(where, "expected text");
-  return value;
+
+// Reads a string; the view belongs to the parser.
+inline std::string_view AsText(const element& value, std::string_view where) {
+  std::string_view text;
+  if (value.get_string().get(text) != simdjson::SUCCESS) Fail(where, "expected text");
+  return text;
 }
-inline array AsArray(const element& e, std::string_view where) {
-  array value;
-  if (e.get_array().get(value) != simdjson::SUCCESS) Fail(where, "expected an array");
-  return value;
+
+// Reads an array.
+inline array AsArray(const element& value, std::string_view where) {
+  array values;
+  if (value.get_array().get(values) != simdjson::SUCCESS) Fail(where, "expected an array");
+  return values;
 }
-inline object AsObject(const element& e, std::string_view where) {
-  object value;
-  if (e.get_object().get(value) != simdjson::SUCCESS) Fail(where, "expected an object");
+
+// Reads an object.
+inline object AsObject(const element& value, std::string_view where) {
+  object fields;
+  if (value.get_object().get(fields) != simdjson::SUCCESS) Fail(where, "expected an object");
+  return fields;
+}
+
+// The value of `key`; nothing if the key is missing or its value is null.
+inline std::optional<element> Find(const object& fields, std::string_view key) {
+  element value;
+  if (fields.at_key(key).get(value) != simdjson::SUCCESS || IsNull(value)) return std::nullopt;
   return value;
 }
 
-// A value of the settings by its path; null where a part of the path is missing.
-inline std::optional<element> Get(const object& o, std::string_view key) {
-  element e;
-  if (o.at_key(key).get(e) != simdjson::SUCCESS || Absent(e)) return std::nullopt;
-  return e;
+// The object at `key`; nothing if there is none.
+inline std::optional<object> FindObject(const object& fields, std::string_view key) {
+  const auto value = Find(fields, key);
+  if (!value) return std::nullopt;
+  return AsObject(*value, "facts." + std::string(key));
 }
-inline std::optional<object> GetObject(const object& o, std::string_view key) {
-  const auto e = Get(o, key);
-  if (!e) return std::nullopt;
-  return AsObject(*e, "facts." + std::string(key));
+
+// The value of `key` in an object that may itself be missing.
+inline std::optional<element> Find(const std::optional<object>& fields, std::string_view key) {
+  return fields ? Find(*fields, key) : std::nullopt;
 }
-inline double NumberOr(const std::optional<object>& o, std::string_view key, double value) {
-  const auto e = o ? Get(*o, key) : std::nullopt;
-  return e ? AsNumber(*e, key) : value;
+
+// The number at `key`, or `fallback` if there is none.
+inline double NumberOr(const std::optional<object>& fields, std::string_view key, double fallback) {
+  const auto value = Find(fields, key);
+  return value ? AsNumber(*value, key) : fallback;
 }
-inline Micros TimeOr(const std::optional<object>& o, std::string_view key, Micros value) {
-  return Micros(static_cast<std::int64_t>(NumberOr(o, key, static_cast<double>(value.count()))));
+
+// The duration at `key`, a number of microseconds whose fraction is cut off, or `fallback` if there is none.
+inline std::chrono::microseconds MicrosOr(const std::optional<object>& fields, std::string_view key,
+                                          std::chrono::microseconds fallback) {
+  const double micros = NumberOr(fields, key, static_cast<double>(fallback.count()));
+  return std::chrono::microseconds(static_cast<std::int64_t>(micros));
 }
-inline bool BoolOr(const std::optional<object>& o, std::string_view key, bool value) {
-  const auto e = o ? Get(*o, key) : std::nullopt;
-  return e ? AsBool(*e, key) : value;
+
+// The boolean at `key`, or `fallback` if there is none.
+inline bool BoolOr(const std::optional<object>& fields, std::string_view key, bool fallback) {
+  const auto value = Find(fields, key);
+  return value ? AsBool(*value, key) : fallback;
 }
-inline std::string_view TextOr(const std::optional<object>& o, std::string_view key, std::string_view value) {
-  const auto e = o ? Get(*o, key) : std::nullopt;
-  return e ? AsText(*e, key) : value;
+
+// The string at `key`, or `fallback` if there is none.
+inline std::string_view TextOr(const std::optional<object>& fields, std::string_view key,
+                               std::string_view fallback) {
+  const auto value = Find(fields, key);
+  return value ? AsText(*value, key) : fallback;
 }
 
-}  // namespace balancer::settings
+}  // namespace json
+}  // namespace stoatrun
 
 #endif  // STOATRUN_CONFIG_JSON_H_
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -51,7 +51,7 @@
       if (!text.empty()) text += '\n';
       text += fmt::format("{}:{}:{}: {}", name_, f.line + 1, f.column + 1, f.what);
     }
-    throw OperatorError(text);
+    throw OperatorFileError(text);
   }
 
  private:
@@ -189,7 +189,8 @@
   return text;
 }
 
-void Compare(const pb::Message& a, const pb::Message& b, const std::string& path, OperatorChange& change) {
+void Compare(const pb::Message& a, const pb::Message& b, const std::string& path,
+             OperatorFileChange& change) {
   const pb::Descriptor* d = a.GetDescriptor();
   for (int n = 0; n < d->field_count(); ++n) {
     const pb::FieldDescriptor* f = d->field(n);
@@ -197,12 +198,13 @@
     if (!f->is_repeated() && f->cpp_type() == pb::FieldDescriptor::CPPTYPE_MESSAGE) {
       const pb::Reflection* r = a.GetReflection();
       if (r->HasField(a, f) != r->HasField(b, f) && !f->options().GetExtension(config::at_reload)) {
-        change.need_restart.push_back(name);
+        change.restart_required.push_back(name);
       } else {
         Compare(r->GetMessage(a, f), r->GetMessage(b, f), name, change);
       }
     } else if (ValueText(a, f) != ValueText(b, f)) {
-      (f->options().GetExtension(config::at_reload) ? change.taken_up : change.need_restart).push_back(name);
+      (f->options().GetExtension(config::at_reload) ? change.reloadable : change.restart_required)
+          .push_back(name);
     }
   }
 }
@@ -258,7 +260,7 @@
     }
   }
   faults.Throw();
-  if (!parsed) throw OperatorError(name + ":1:1: not of the form");
+  if (!parsed) throw OperatorFileError(name + ":1:1: not of the form");
   return file;
 }
 
@@ -267,18 +269,19 @@
   std::ifstream in(path, std::ios::binary);
   std::ostringstream text;
   if (!in || !(text << in.rdbuf() || in.peek() == std::ifstream::traits_type::eof())) {
-    throw OperatorError(path + ": " + std::strerror(errno));  // NOLINT(concurrency-mt-unsafe): at the start.
+    throw OperatorFileError(path + ": " +
+                            std::strerror(errno));  // NOLINT(concurrency-mt-unsafe): at the start.
   }
   return ParseOperatorText(text.str(), path);
 }
 
-OperatorChange CompareOperatorFiles(const config::OperatorFile& from, const config::OperatorFile& to) {
-  OperatorChange change;
+OperatorFileChange CompareOperatorFiles(const config::OperatorFile& from, const config::OperatorFile& to) {
+  OperatorFileChange change;
   Compare(from, to, {}, change);
   return change;
 }
 
-std::string ShowOperatorFile(const config::OperatorFile& file) {
+std::string FormatOperatorFile(const config::OperatorFile& file) {
   config::OperatorFile filled = file;
   filled.mutable_log();
   FillIn(filled);
--- a/src/config/operator_file.h
+++ b/src/config/operator_file.h
@@ -12,24 +12,24 @@
 namespace stoatrun {
 
 // All that is wrong with the file, one `FILE:LINE:COLUMN: FIELD: WHAT` a line.
-class OperatorError : public std::runtime_error {
+class OperatorFileError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Throws OperatorError. An empty path gives the defaults.
+// Throws OperatorFileError. An empty path gives the defaults.
 config::OperatorFile LoadOperatorFile(const std::string& path);
 // `name` stands for the file in errors.
 config::OperatorFile ParseOperatorText(std::string_view text, const std::string& name);
 
 // The fields that differ, by their full names, split by whether a reload takes them up.
-struct OperatorChange {
-  std::vector<std::string> taken_up, need_restart;
+struct OperatorFileChange {
+  std::vector<std::string> reloadable, restart_required;
 };
-OperatorChange CompareOperatorFiles(const config::OperatorFile& from, const config::OperatorFile& to);
+OperatorFileChange CompareOperatorFiles(const config::OperatorFile& from, const config::OperatorFile& to);
 
 // What is in force, defaults filled in, in the form of the file.
-std::string ShowOperatorFile(const config::OperatorFile& file);
+std::string FormatOperatorFile(const config::OperatorFile& file);
 
 }  // namespace stoatrun
 
--- a/src/config/site_settings.cpp
+++ b/src/config/site_settings.cpp
@@ -3,152 +3,208 @@
 #include <xxhash.h>
 
 #include <algorithm>
+#include <cstddef>
 #include <optional>
 #include <utility>
 
 #include "config/json.h"
 
-namespace balancer::settings {
+namespace stoatrun {
 namespace {
 
-ClassSettings ReadClass(const element& e) {
-  const std::optional<object> o = AsObject(e, "facts.classes");
-  ClassSettings c;
-  c.setup_latency_objective = TimeOr(o, "target", Micros(0));
-  c.deduplication_window = TimeOr(o, "repeatWindow", Micros(0));
-  const std::string_view idempotency = TextOr(o, "effect", "at_most_once");
-  c.idempotency = idempotency == "idempotent"     ? Idempotency::kIdempotent
-                  : idempotency == "deduplicated" ? Idempotency::kIdempotencyKey
-                                                  : Idempotency::kNotIdempotent;
-  const std::string_view group = TextOr(o, "group", "cell");  // The narrowest where none is told.
-  c.deduplication_scope = group == "all"    ? DeduplicationScope::kAll
-                          : group == "zone" ? DeduplicationScope::kZone
-                                            : DeduplicationScope::kCell;
-  return c;
+using balancer::ClassSettings;
+using balancer::DeduplicationScope;
+using balancer::Idempotency;
+using balancer::ListMode;
+using balancer::ReportMode;
+using json::element;
+using json::object;
+
+constexpr std::string_view kClassesPath = "facts.classes";
+constexpr std::string_view kReportFieldsPath = "facts.stats.fields";
+constexpr std::string_view kMessageObjectivePath = "facts.familyInfo.messageAim";
+constexpr std::string_view kQuotaPath = "facts.familyInfo.tenantQuotaConnections";
+
+Idempotency ParseIdempotency(std::string_view text) {
+  if (text == "idempotent") return Idempotency::kIdempotent;
+  if (text == "deduplicated") return Idempotency::kIdempotencyKey;
+  return Idempotency::kNotIdempotent;
+}
+
+DeduplicationScope ParseDeduplicationScope(std::string_view text) {
+  if (text == "all") return DeduplicationScope::kAll;
+  if (text == "zone") return DeduplicationScope::kZone;
+  return DeduplicationScope::kCell;
+}
+
+ReportMode ParseReportMode(std::string_view text) {
+  if (text == "inline") return ReportMode::kWithAnswers;
+  if (text == "on_probe") return ReportMode::kOnProbe;
+  return ReportMode::kOff;
+}
+
+ClassSettings ReadClass(const element& value) {
+  const std::optional<object> fields = json::AsObject(value, kClassesPath);
+  ClassSettings settings;
+  settings.setup_latency_objective = json::MicrosOr(fields, "target", Micros(0));
+  settings.deduplication_window = json::MicrosOr(fields, "repeatWindow", Micros(0));
+  settings.idempotency = ParseIdempotency(json::TextOr(fields, "effect", "at_most_once"));
+  // Without a scope the narrowest one is assumed: it promises least.
+  settings.deduplication_scope = ParseDeduplicationScope(json::TextOr(fields, "group", "cell"));
+  return settings;
+}
+
+// The limits, rules and costs that aren't per class.
+void ReadFleetWideSettings(const std::optional<object>& facts, balancer::Settings& settings) {
+  const auto limits = json::FindObject(*facts, "limits");
+  const auto rules = json::FindObject(*facts, "invariants");
+  const auto charges = json::FindObject(*facts, "charges");
+  json::FindObject(*facts, "familyInfo");  // Read later; here only so that errors are found in one order.
+  const auto stats = json::FindObject(*facts, "stats");
+  settings.replicas = static_cast<std::uint32_t>(std::max(1.0, json::NumberOr(facts, "balancers", 1)));
+  settings.zone = balancer::ZoneId(static_cast<std::uint32_t>(json::NumberOr(facts, "zone", 0)));
+  settings.list_mode = json::TextOr(facts, "discovery", "automatic") == "subscribe" ? ListMode::kSubscribed
+                                                                                    : ListMode::kPushed;
+  settings.report_mode = ParseReportMode(json::TextOr(stats, "how", "off"));
+  settings.probes_allowed = json::BoolOr(limits, "probes", false);
+  settings.cancel_allowed = json::BoolOr(limits, "cancel", false);
+  settings.max_attempts = static_cast<std::uint32_t>(std::max(1.0, json::NumberOr(limits, "sendCap", 1)));
+  if (json::BoolOr(limits, "retryAfter", false)) {
+    settings.max_retry_after = json::MicrosOr(limits, "maxRetryAfter", Micros(0));
+  }
+  settings.zone_crossing_cost = json::NumberOr(charges, "crossZone", 0);
+  settings.slow_start_share = json::NumberOr(rules, "coldFrom", 1.0);
+  settings.slow_start_duration = json::MicrosOr(rules, "cold", Micros(0));
+  settings.slow_start_overload_factor = json::NumberOr(rules, "fallMultiple", 1.0);
+  settings.slow_start_window = json::MicrosOr(rules, "fall", Micros(0));
 }
 
-Settings ReadModule(const std::optional<object>& facts, std::uint64_t seed) {
-  const auto limits = GetObject(*facts, "limits");
-  const auto rules = GetObject(*facts, "invariants");
-  const auto prices = GetObject(*facts, "charges");
-  const auto family = GetObject(*facts, "familyInfo");
-  const auto stats = GetObject(*facts, "stats");
-  Settings s;
-  s.seed = seed;
-  s.replicas = static_cast<std::uint32_t>(std::max(1.0, NumberOr(facts, "balancers", 1)));
-  s.zone = ZoneId(static_cast<std::uint32_t>(NumberOr(facts, "zone", 0)));
-  s.list_mode =
-      TextOr(facts, "discovery", "automatic") == "subscribe" ? ListMode::kSubscribed : ListMode::kPushed;
-  const std::string_view how = TextOr(stats, "how", "off");
-  s.report_mode = how == "inline"     ? ReportMode::kWithAnswers
-                  : how == "on_probe" ? ReportMode::kOnProbe
-                                      : ReportMode::kOff;
-  s.probes_allowed = BoolOr(limits, "probes", false);
-  s.cancel_allowed = BoolOr(limits, "cancel", false);
-  s.max_attempts = static_cast<std::uint32_t>(std::max(1.0, NumberOr(limits, "sendCap", 1)));
-  if (BoolOr(limits, "retryAfter", false)) s.max_retry_after = TimeOr(limits, "maxRetryAfter", Micros(0));
-  s.zone_crossing_cost = NumberOr(prices, "crossZone", 0);
-  s.slow_start_share = NumberOr(rules, "coldFrom", 1.0);
-  s.slow_start_duration = TimeOr(rules, "cold", Micros(0));
-  s.slow_start_overload_factor = NumberOr(rules, "fallMultiple", 1.0);
-  s.slow_start_window = TimeOr(rules, "fall", Micros(0));
-  if (const auto classes = Get(*facts, "classes")) {
-    for (const element c : AsArray(*classes, "facts.classes")) s.classes.push_back(ReadClass(c));
+balancer::Settings ReadBalancerSettings(const std::optional<object>& facts, std::uint64_t seed) {
+  balancer::Settings settings;
+  settings.seed = seed;
+  ReadFleetWideSettings(facts, settings);
+  if (const auto classes = json::Find(facts, "classes")) {
+    for (const element value : json::AsArray(*classes, kClassesPath)) {
+      settings.classes.push_back(ReadClass(value));
+    }
   }
-  if (const auto aims = family ? Get(*family, "messageAim") : std::nullopt) {
-    std::size_t k = 0;
-    for (const element aim : AsArray(*aims, "facts.familyInfo.messageAim")) {
-      if (k < s.classes.size() && !Absent(aim)) {
-        s.classes[k].message_latency_objective =
-            Micros(static_cast<std::int64_t>(AsNumber(aim, "facts.familyInfo.messageAim")));
-      }
-      ++k;
+  const auto objectives = json::Find(json::FindObject(*facts, "familyInfo"), "messageAim");
+  if (!objectives) return settings;
+  std::size_t index = 0;
+  for (const element objective : json::AsArray(*objectives, kMessageObjectivePath)) {
+    if (index < settings.classes.size() && !json::IsNull(objective)) {
+      settings.classes[index].message_latency_objective =
+          Micros(static_cast<std::int64_t>(json::AsNumber(objective, kMessageObjectivePath)));
     }
+    ++index;
   }
-  return s;
+  return settings;
 }
 
 std::vector<ReportField> ReadReportFields(const object& facts) {
   std::vector<ReportField> fields;
-  const auto stats = GetObject(facts, "stats");
-  const auto names = stats ? Get(*stats, "fields") : std::nullopt;
+  const auto names = json::Find(json::FindObject(facts, "stats"), "fields");
   if (!names) return fields;
-  for (const element name : AsArray(*names, "facts.stats.fields")) {
-    const std::string_view n = AsText(name, "facts.stats.fields");
-    fields.push_back(ReportFieldOf(n));
+  for (const element name : json::AsArray(*names, kReportFieldsPath)) {
+    fields.push_back(ReportFieldOf(json::AsText(name, kReportFieldsPath)));
   }
   return fields;
 }
 
-std::vector<std::string> Names(const object& facts, std::string_view key, bool of_objects) {
+// The strings of the list at `key`.
+std::vector<std::string> ReadStrings(const object& facts, std::string_view key) {
+  std::vector<std::string> strings;
+  const auto list = json::Find(facts, key);
+  if (!list) return strings;
+  for (const element value : json::AsArray(*list, key)) strings.emplace_back(json::AsText(value, key));
+  return strings;
+}
+
+// The `name` of each object in the list at `key`; empty for one without a name.
+std::vector<std::string> ReadNames(const object& facts, std::string_view key) {
   std::vector<std::string> names;
-  const auto list = Get(facts, key);
+  const auto list = json::Find(facts, key);
   if (!list) return names;
-  for (const element e : AsArray(*list, key)) {
-    const auto name = of_objects ? Get(AsObject(e, key), "name") : std::optional<element>(e);
-    names.emplace_back(name ? AsText(*name, key) : std::string_view());
+  for (const element value : json::AsArray(*list, key)) {
+    const auto name = json::Find(json::AsObject(value, key), "name");
+    names.emplace_back(name ? json::AsText(*name, key) : std::string_view());
   }
   return names;
 }
 
 std::vector<SiteSettings::Group> ReadGroups(const object& facts) {
   std::vector<SiteSettings::Group> groups;
-  for (std::string& name : Names(facts, "accounts", true)) groups.push_back({std::move(name)});
-  const auto family = GetObject(facts, "familyInfo");
-  const auto quotas = family ? Get(*family, "tenantQuotaConnections") : std::nullopt;
+  for (std::string& name : ReadNames(facts, "accounts")) groups.push_back({std::move(name)});
+  const auto quotas = json::Find(json::FindObject(facts, "familyInfo"), "tenantQuotaConnections");
   if (!quotas) return groups;
-  std::size_t k = 0;
-  for (const element quota : AsArray(*quotas, "facts.familyInfo.tenantQuotaConnections")) {
-    if (k < groups.size() && !Absent(quota)) {
-      groups[k].quota = AsNumber(quota, "facts.familyInfo.tenantQuotaConnections");
+  std::size_t index = 0;
+  for (const element quota : json::AsArray(*quotas, kQuotaPath)) {
+    if (index < groups.size() && !json::IsNull(quota)) {
+      groups[index].quota = json::AsNumber(quota, kQuotaPath);
     }
-    ++k;
+    ++index;
   }
   return groups;
 }
 
+Micros ReadMaxDeadline(const object& facts) {
+  Micros longest{0};
+  const auto classes = json::Find(facts, "classes");
+  if (!classes) return longest;
+  for (const element value : json::AsArray(*classes, kClassesPath)) {
+    const std::optional<object> fields = json::AsObject(value, kClassesPath);
+    longest = std::max(longest, json::MicrosOr(fields, "hardLimit", Micros(0)));
+  }
+  return longest;
+}
+
 }  // namespace
 
-std::uint64_t NumberOf(std::string_view name) {
+std::uint64_t HashName(std::string_view name) {
   return std::max<std::uint64_t>(1, XXH3_64bits(name.data(), name.size()));
 }
 
 ReportField ReportFieldOf(std::string_view name) {
-  // On sockets reports may use the simulator's own words, which WIRE sets beside these.
+  // On sockets reports may use the simulator's own names, which the wire protocol allows beside these.
   if (name == "x0") return ReportField::kLoadRatio;
   if (name == "utilization" || name == "util") return ReportField::kUtilization;
   if (name == "outstanding" || name == "inflight") return ReportField::kOutstanding;
   return ReportField::kOther;
 }
 
-void SetField(LoadReport& report, ReportField field, double value) {
-  if (field == ReportField::kLoadRatio) report.load_ratio = value;
-  if (field == ReportField::kUtilization) report.utilization = value;
-  if (field == ReportField::kOutstanding) report.outstanding = value;
+void SetField(balancer::LoadReport& report, ReportField field, double value) {
+  switch (field) {
+    case ReportField::kLoadRatio:
+      report.load_ratio = value;
+      return;
+    case ReportField::kUtilization:
+      report.utilization = value;
+      return;
+    case ReportField::kOutstanding:
+      report.outstanding = value;
+      return;
+    case ReportField::kOther:
+      return;
+  }
 }
 
-SiteSettings ReadSettings(const element& e, std::uint64_t seed) {
-  const std::optional<object> facts = AsObject(e, "facts");
-  const auto limits = GetObject(*facts, "limits");
-  const auto rules = GetObject(*facts, "invariants");
+SiteSettings ParseSiteSettings(const element& facts_value, std::uint64_t seed) {
+  const std::optional<object> facts = json::AsObject(facts_value, "facts");
+  const auto limits = json::FindObject(*facts, "limits");
+  const auto rules = json::FindObject(*facts, "invariants");
   SiteSettings site;
-  site.module = ReadModule(facts, seed);
+  site.balancer = ReadBalancerSettings(facts, seed);
   site.report_fields = ReadReportFields(*facts);
-  site.class_names = Names(*facts, "classes", true);
-  site.zone_names = Names(*facts, "azs", false);
+  site.class_names = ReadNames(*facts, "classes");
+  site.zone_names = ReadStrings(*facts, "azs");
   site.groups = ReadGroups(*facts);
-  site.shared_work = BoolOr(GetObject(*facts, "familyInfo"), "groups", false);
-  site.connect_timeout = TimeOr(limits, "connectTimeout", Micros(0));
-  site.idle_close = TimeOr(limits, "idleClose", Micros(0));
-  site.stop_sending_within = TimeOr(rules, "stopSendingWithin", Micros(0));
-  site.ask_within = TimeOr(rules, "askWithin", Micros(0));
-  if (const auto classes = Get(*facts, "classes")) {
-    for (const element c : AsArray(*classes, "facts.classes")) {
-      const std::optional<object> o = AsObject(c, "facts.classes");
-      site.longest_deadline = std::max(site.longest_deadline, TimeOr(o, "hardLimit", Micros(0)));
-    }
-  }
+  site.affinity_by_group = json::BoolOr(json::FindObject(*facts, "familyInfo"), "groups", false);
+  site.connect_timeout = json::MicrosOr(limits, "connectTimeout", Micros(0));
+  site.idle_timeout = json::MicrosOr(limits, "idleClose", Micros(0));
+  site.stop_sending_within = json::MicrosOr(rules, "stopSendingWithin", Micros(0));
+  site.poll_timeout = json::MicrosOr(rules, "askWithin", Micros(0));
+  site.max_deadline = ReadMaxDeadline(*facts);
   return site;
 }
 
-}  // namespace balancer::settings
+}  // namespace stoatrun
--- a/src/config/site_settings.h
+++ b/src/config/site_settings.h
@@ -1,5 +1,7 @@
-// The settings of a deployment, in the one form that the simulator's first message and the relay's
-// configuration share. Parsed here and nowhere else.
+// The settings of a deployment ("facts"), in the one JSON form that the simulator's first message and the
+// proxy's configuration file share. This is the only place that maps its keys to names in the code.
+//
+// Pure functions; ParseSiteSettings throws JsonError.
 #ifndef STOATRUN_CONFIG_SITE_SETTINGS_H_
 #define STOATRUN_CONFIG_SITE_SETTINGS_H_
 
@@ -11,40 +13,50 @@
 #include <vector>
 
 #include "balancer/balancer.h"
+#include "base/clock.h"
 
-namespace balancer::settings {
+namespace stoatrun {
 
+// The fields of a host's load report.
 enum class ReportField { kLoadRatio, kUtilization, kOutstanding, kOther };
 
-// The field that a load report calls by this name.
+// The field that a load report calls by this name; kOther if the balancer doesn't use it.
 ReportField ReportFieldOf(std::string_view name);
-void SetField(LoadReport& report, ReportField field, double value);
 
+// Sets one field of `report`; kOther is ignored.
+void SetField(::balancer::LoadReport& report, ReportField field, double value);
+
+// The settings that hold for every proxy of a deployment.
 struct SiteSettings {
-  Settings module;
-  std::vector<ReportField> report_fields;
-  // What only a host on sockets needs.
-  std::vector<std::string> class_names;
-  std::vector<std::string> zone_names;
+  // A group of connections that share a quota (a tenant).
   struct Group {
     std::string name;
-    double quota = -1;  // Open connections of all relays that are within its share; under 0: not told.
+    double quota = -1;  // Open connections that all proxies together may hold for it; negative: unlimited.
   };
+
+  ::balancer::Settings balancer;
+  std::vector<ReportField> report_fields;  // In the order in which the simulator's reports list them.
+
+  // The rest is used by the proxy on sockets alone.
+  std::vector<std::string> class_names;
+  std::vector<std::string> zone_names;
   std::vector<Group> groups;
-  bool shared_work = false;   // Connections with one value of `g` share work at a server.
-  Micros connect_timeout{0};  // 0: none told.
-  Micros idle_close{0};
-  Micros stop_sending_within{0};
-  Micros ask_within{0};  // Who has not asked for so long counts as told.
-  Micros longest_deadline{0};
+  // Connections with the same value of `g` share work at a host, so they are placed together.
+  bool affinity_by_group = false;
+  Micros connect_timeout{0};      // 0: not set.
+  Micros idle_timeout{0};         // 0: not set.
+  Micros stop_sending_within{0};  // A draining host gets no new work later than this; 0: not set.
+  // Without a poll for so long a proxy counts as notified of an endpoint's state; 0: not set.
+  Micros poll_timeout{0};
+  Micros max_deadline{0};  // The longest of all classes.
 };
 
-// A number for a name, the same in every process and on every machine; never 0.
-std::uint64_t NumberOf(std::string_view name);
+// A hash of `name` (XXH3) that is the same in every process and on every machine; never 0.
+std::uint64_t HashName(std::string_view name);
 
-// Throws FormError.
-SiteSettings ReadSettings(const simdjson::dom::element& facts, std::uint64_t seed);
+// Throws JsonError. `seed` seeds the balancer's random draws.
+SiteSettings ParseSiteSettings(const simdjson::dom::element& facts, std::uint64_t seed);
 
-}  // namespace balancer::settings
+}  // namespace stoatrun
 
 #endif  // STOATRUN_CONFIG_SITE_SETTINGS_H_
--- a/src/endpoint/discovery_client.cpp
+++ b/src/endpoint/discovery_client.cpp
@@ -12,165 +12,193 @@
 namespace stoatrun {
 namespace {
 
-// Calls wait in turn and may take seconds; the module asks anew after 6 s.
-constexpr Micros kAnswerWait = std::chrono::milliseconds(3500);
-// An empty line is due every 2 s, and may be a quarter late on a busy machine. Whole words count: a watch
-// that brings bytes and never ends a word is as dead as one that brings none.
-constexpr Micros kSilence = std::chrono::milliseconds(2500);
-// What a silent watch misses counts as told 6 s after its last word, and 2 s after the wait of a call that
-// was never answered. A call that is to bring it before needs a second where many ask at once.
-constexpr Micros kToldAfterWord = std::chrono::seconds(6);
-constexpr Micros kToldAfterWait = std::chrono::seconds(2);
-constexpr Micros kAnswerTime = std::chrono::seconds(1);
-// So often in a row is a silence answered in time for that; then the service itself is in trouble, and calls
-// in a hurry would keep it so.
-constexpr int kHurried = 2;
-// A list entry takes some 150 bytes, or twice that indented: a few thousand hosts, in a thirtieth of the
-// least memory that a relay is given.
-constexpr std::size_t kMostObject = 1 << 20;
+// The service handles calls one after another, so the response's head may take seconds; the balancer asks
+// again after 6 s.
+constexpr Micros kHeadTimeout = std::chrono::milliseconds(3500);
+// A heartbeat is due every 2 s and may be a quarter late on a busy machine. Only complete events count: a
+// watch that brings bytes and never completes an event is as dead as one that brings none.
+constexpr Micros kEventTimeout = std::chrono::milliseconds(2500);
+// The platform assumes that a proxy knows what a silent watch missed 6 s after the watch's last event, and 2
+// s after the head timeout of a call that was never answered. A call that is to learn it in time needs a
+// second where many proxies call at once.
+constexpr Micros kNotifiedAfterEvent = std::chrono::seconds(6);
+constexpr Micros kNotifiedAfterHeadTimeout = std::chrono::seconds(2);
+constexpr Micros kResponseTime = std::chrono::seconds(1);
+// So many timeouts in a row are followed by a call in time for that; after them the service itself is
+// overloaded, and hurried calls would keep it so.
+constexpr int kMaxHurriedRetries = 2;
+// An endpoint takes some 150 bytes, or twice that indented: this is a few thousand endpoints, in a thirtieth
+// of the least memory that a proxy is given.
+constexpr std::size_t kMaxObjectSize = 1 << 20;
+constexpr unsigned kHttpOk = 200;
 
 }  // namespace
 
-Discovery::Discovery(EventLoop& loop, DiscoveryEvents& events, Counters& counters, const Address& address,
-                     std::string host, std::uint64_t known_revision, const Callers& callers)
+DiscoveryClient::DiscoveryClient(EventLoop& loop, DiscoveryListener& listener, Counters& counters,
+                                 const Address& address, std::string host, std::uint64_t known_revision,
+                                 const Callers& callers)
     : loop_(loop),
-      events_(events),
+      listener_(listener),
       counters_(counters),
       address_(address),
       host_(std::move(host)),
       revision_(known_revision),
-      retry_(loop.timers, [this] { Connect(); }),
-      silence_(loop.timers, [this] { FallSilent(); }),
+      retry_timer_(loop.timers, [this] { StartCall(); }),
+      watch_timeout_(loop.timers, [this] { OnWatchTimeout(); }),
       backoff_(callers.relays, callers.longest_wait, callers.seed),
-      frames_(kMostObject) {
+      framer_(kMaxObjectSize) {
   http_parser_settings_init(&parser_settings_);
-  parser_settings_.on_headers_complete = OnStatus;
+  parser_settings_.on_headers_complete = OnHeadersComplete;
   parser_settings_.on_body = OnBody;
-  parser_settings_.on_message_complete = OnComplete;
+  parser_settings_.on_message_complete = OnMessageComplete;
   loop_.AddTurnEndHook([this] { calls_.Reclaim(); });
 }
 
-void Discovery::Watch() {
-  watching_ = owes_answer_ = true;
-  if (calls_.Find(call_) == nullptr && !retry_.IsSet()) Begin();
+void DiscoveryClient::Watch() {
+  watching_ = answer_due_ = true;
+  if (calls_.Find(call_) == nullptr && !retry_timer_.IsSet()) ScheduleFirstCall();
 }
 
-void Discovery::Begin() {
-  const Micros wait = backoff_.Start();
-  if (wait.count() == 0) return Connect();
-  retry_.Set(loop_.Now() + wait);
+void DiscoveryClient::ScheduleFirstCall() {
+  const Micros delay = backoff_.InitialDelay();
+  if (delay.count() == 0) return StartCall();
+  retry_timer_.Set(loop_.Now() + delay);
 }
 
-// What is owed to the module stays owed, and the list in force stays so until the new address speaks.
-void Discovery::MoveTo(const Address& address, std::string host) {
-  const bool same = host == host_;
-  if (same && calls_.Find(call_) != nullptr) return;  // A second reload must not cut what the first began.
+void DiscoveryClient::ChangeAddress(const Address& address, std::string host) {
+  const bool same_host = host == host_;
+  // A second reload must not cancel the call that the first one started.
+  if (same_host && calls_.Find(call_) != nullptr) return;
   address_ = address;
   host_ = std::move(host);
-  // Another service counts its own revisions: only the whole list is sure to leave nothing out.
-  if (!same) revision_ = 0;
-  // The waits grew at the old address: they must not keep the relay from the new one.
+  // Another service counts its own revisions: only a complete list is sure to leave nothing out.
+  if (!same_host) revision_ = 0;
+  // The delays grew at the old address: they must not keep the proxy from the new one.
   backoff_.Reset();
-  Drop();
-  if (watching_) Begin();
+  CancelCall();
+  if (watching_) ScheduleFirstCall();
 }
 
-void Discovery::Drop() {
-  if (Call* call = calls_.Find(call_)) call->stream.Close();
+void DiscoveryClient::CancelCall() {
+  if (Call* call = calls_.Find(call_)) call->connection.Close();
   calls_.Erase(call_);
   call_ = {};
-  silence_.Cancel();
-  retry_.Cancel();
+  watch_timeout_.Cancel();
+  retry_timer_.Cancel();
 }
 
-void Discovery::Connect() {
+void DiscoveryClient::StartCall() {
   Call& call = calls_.Add(*this);
   call_ = call.id;
   http_parser_init(&parser_, HTTP_RESPONSE);
   parser_.data = this;
-  frames_.Clear();
-  refused_ = ended_ = malformed_ = spoke_ = false;
-  silence_.Set(loop_.Now() + (call.stream.Connect(address_) ? kAnswerWait : Micros(1)));
+  framer_.Clear();
+  response_ = {};
+  // A connection that fails at once is handled in a callback of its own, like any other failure.
+  watch_timeout_.Set(loop_.Now() + (call.connection.Connect(address_) ? kHeadTimeout : Micros(1)));
 }
 
-void Discovery::OnConnected(SlotId id) {
+void DiscoveryClient::OnConnected(SlotId id) {
   Call* call = calls_.Find(id);
   if (call == nullptr) return;
-  call->stream.Write({"GET /v1/endpoints?watch=1&after=", std::to_string(revision_),
-                      " HTTP/1.1\r\nHost: ", host_, "\r\nAccept: application/json\r\n\r\n"});
+  call->connection.Write({"GET /v1/endpoints?watch=1&after=", std::to_string(revision_),
+                          " HTTP/1.1\r\nHost: ", host_, "\r\nAccept: application/json\r\n\r\n"});
 }
 
-void Discovery::OnBytes(SlotId id) {
+void DiscoveryClient::OnData(SlotId id) {
   Call* call = calls_.Find(id);
   if (call == nullptr || id != call_) return;
-  const std::string_view in = call->stream.input();
-  const std::size_t used = http_parser_execute(&parser_, &parser_settings_, in.data(), in.size());
-  if (calls_.Find(id) == nullptr) return;
-  call->stream.Consume(in.size());
-  if (refused_ || malformed_ || ended_ || used != in.size() || HTTP_PARSER_ERRNO(&parser_) != HPE_OK) {
-    Fail(refused_ ? "refused" : ended_ && !malformed_ ? "ended" : "malformed");
+  const std::string_view input = call->connection.input();
+  const std::size_t parsed = http_parser_execute(&parser_, &parser_settings_, input.data(), input.size());
+  if (calls_.Find(id) == nullptr) return;  // The listener changed the address.
+  call->connection.Consume(input.size());
+  const bool not_http = parsed != input.size() || HTTP_PARSER_ERRNO(&parser_) != HPE_OK;
+  if (response_.rejected) {
+    FailWatch(WatchFailure::kRejected);
+  } else if (response_.ended && !response_.malformed) {
+    FailWatch(WatchFailure::kEnded);
+  } else if (response_.malformed || not_http) {
+    FailWatch(WatchFailure::kMalformed);
   }
 }
 
-void Discovery::OnEnd(SlotId id, ConnectionEnd end) {
-  if (id == call_ && calls_.Find(id) != nullptr) Fail(end == ConnectionEnd::kReset ? "reset" : "ended");
+void DiscoveryClient::OnEnd(SlotId id, ConnectionEnd end) {
+  if (id != call_ || calls_.Find(id) == nullptr) return;
+  FailWatch(end == ConnectionEnd::kReset ? WatchFailure::kReset : WatchFailure::kEnded);
 }
 
-void Discovery::FallSilent() {
-  if (++silences_ <= kHurried) {
-    told_by_ = std::max(heard_ + kToldAfterWord, spoke_ ? Micros(0) : loop_.Now() + kToldAfterWait);
+void DiscoveryClient::OnWatchTimeout() {
+  if (++consecutive_timeouts_ <= kMaxHurriedRetries) {
+    const Micros after_head = response_.received_event ? Micros(0) : loop_.Now() + kNotifiedAfterHeadTimeout;
+    notified_deadline_ = std::max(last_event_at_ + kNotifiedAfterEvent, after_head);
   }
-  Fail("silent");
-}
-
-void Discovery::Hear() {
-  spoke_ = true;
-  heard_ = loop_.Now();
-  silences_ = 0;
-  silence_.Set(heard_ + kSilence);
-}
-
-void Discovery::Fail(std::string_view why) {
-  Micros wait = backoff_.Next();
-  // The waits of a large fleet are longer than the time until what was missed counts as told.
-  if (const Micros left = told_by_ - kAnswerTime - loop_.Now(); left.count() > 0) {
-    wait = std::min(wait, backoff_.Within(left / 2));
+  FailWatch(WatchFailure::kTimedOut);
+}
+
+void DiscoveryClient::RecordEvent() {
+  response_.received_event = true;
+  last_event_at_ = loop_.Now();
+  consecutive_timeouts_ = 0;
+  watch_timeout_.Set(last_event_at_ + kEventTimeout);
+}
+
+// The words of the log, which on-call staff search for.
+const char* DiscoveryClient::LogName(WatchFailure failure) {
+  switch (failure) {
+    case WatchFailure::kRejected:
+      return "refused";
+    case WatchFailure::kEnded:
+      return "ended";
+    case WatchFailure::kMalformed:
+      return "malformed";
+    case WatchFailure::kReset:
+      return "reset";
+    case WatchFailure::kTimedOut:
+      return "silent";
   }
-  LogLine(Level::kInfo, "watch failed").Why(why).Field("again_in_ms", wait.count() / 1000);
-  ++counters_.watches_failed;
-  Drop();
-  retry_.Set(loop_.Now() + wait);
-  if (std::exchange(owes_answer_, false)) events_.OnWatchFailed();
-}
-
-int Discovery::OnStatus(http_parser* p) {
-  auto* self = static_cast<Discovery*>(p->data);
-  self->refused_ = p->status_code != 200;
-  // The wait in turn is over; once, however long the head of the answer goes on.
-  if (!self->refused_) self->silence_.Set(self->loop_.Now() + kSilence);
+  return "";
+}
+
+void DiscoveryClient::FailWatch(WatchFailure failure) {
+  Micros delay = backoff_.NextDelay();
+  // In a large fleet the delays exceed the time until the missed updates are assumed to be known.
+  const Micros remaining = notified_deadline_ - kResponseTime - loop_.Now();
+  if (remaining.count() > 0) delay = std::min(delay, backoff_.DelayWithin(remaining / 2));
+  LogLine(Level::kInfo, "watch failed").Reason(LogName(failure)).Field("again_in_ms", delay.count() / 1000);
+  ++counters_.watch_failures;
+  CancelCall();
+  retry_timer_.Set(loop_.Now() + delay);
+  if (std::exchange(answer_due_, false)) listener_.OnWatchFailed();
+}
+
+int DiscoveryClient::OnHeadersComplete(http_parser* parser) {
+  auto* self = static_cast<DiscoveryClient*>(parser->data);
+  self->response_.rejected = parser->status_code != kHttpOk;
+  // The service has begun to serve this call: from now on events are due.
+  if (!self->response_.rejected) self->watch_timeout_.Set(self->loop_.Now() + kEventTimeout);
   return 0;
 }
 
-int Discovery::OnBody(http_parser* p, const char* at, std::size_t size) {
-  auto* self = static_cast<Discovery*>(p->data);
-  if (!self->refused_) self->TakeBody({at, size});
+int DiscoveryClient::OnBody(http_parser* parser, const char* data, std::size_t size) {
+  auto* self = static_cast<DiscoveryClient*>(parser->data);
+  if (!self->response_.rejected) self->HandleBody({data, size});
   return 0;
 }
 
-int Discovery::OnComplete(http_parser* p) {
-  static_cast<Discovery*>(p->data)->ended_ = true;
+int DiscoveryClient::OnMessageComplete(http_parser* parser) {
+  static_cast<DiscoveryClient*>(parser->data)->response_.ended = true;
   return 0;
 }
 
-void Discovery::TakeBody(std::string_view body) {
-  if (malformed_) return;
-  // What follows a broken object can't be trusted: the watch is made anew.
-  malformed_ = !frames_.Take(
-      body, [this](std::string_view object) { return TakeObject(object); }, [this] { Hear(); });
+void DiscoveryClient::HandleBody(std::string_view body) {
+  if (response_.malformed) return;
+  const auto on_object = [this](std::string_view object) { return HandleUpdate(object); };
+  // What follows a malformed object can't be trusted: a new watch is made.
+  response_.malformed = !framer_.Feed(body, on_object, [this] { RecordEvent(); });
 }
 
-bool Discovery::TakeObject(std::string_view object) {
-  EndpointUpdate list;
+bool DiscoveryClient::HandleUpdate(std::string_view object) {
+  EndpointUpdate update;
   try {
     simdjson::dom::parser parser;
     simdjson::dom::element root;
@@ -178,18 +206,18 @@
       LogLine(Level::kWarn, "discovery sent what is not JSON,").Field("size", object.size());
       return false;
     }
-    list = ParseEndpointUpdate(root);
-  } catch (const balancer::settings::FormError& e) {
-    LogLine(Level::kWarn, "discovery sent a malformed list").Why(e.what());
+    update = ParseEndpointUpdate(root);
+  } catch (const JsonError& error) {
+    LogLine(Level::kWarn, "discovery sent a malformed list").Reason(error.what());
     return false;
   }
-  Hear();
-  revision_ = list.revision;
-  told_by_ = Micros(0);
+  RecordEvent();
+  revision_ = update.revision;
+  notified_deadline_ = Micros(0);
   backoff_.Reset();
-  owes_answer_ = false;
-  ++counters_.lists;
-  events_.OnEndpointUpdate(list);
+  answer_due_ = false;
+  ++counters_.endpoint_updates;
+  listener_.OnEndpointUpdate(update);
   return true;
 }
 
--- a/src/endpoint/discovery_client.h
+++ b/src/endpoint/discovery_client.h
@@ -1,9 +1,15 @@
-// Discovery: holds a watch on the list of upstream hosts and renews it when it ends, fails or falls silent.
+// The discovery client: holds a long-poll watch (HTTP/1.1, one JSON object per update) on the list of
+// endpoints, and renews it when it ends, fails or times out.
+//
+// At most one call is under way. A call fails if it brings neither an update nor a heartbeat (an empty line)
+// in time; the next call is then made after a backoff. The list in force stays so while there is no watch.
+// All calls and callbacks are on the event loop's thread; nothing throws.
 #ifndef STOATRUN_ENDPOINT_DISCOVERY_CLIENT_H_
 #define STOATRUN_ENDPOINT_DISCOVERY_CLIENT_H_
 
 #include <http_parser.h>
 
+#include <cstddef>
 #include <cstdint>
 #include <string>
 #include <string_view>
@@ -18,68 +24,88 @@
 
 namespace stoatrun {
 
-class DiscoveryEvents {
+// Receives what discovery reports.
+class DiscoveryListener {
  public:
-  virtual ~DiscoveryEvents() = default;
-  virtual void OnEndpointUpdate(const EndpointUpdate& list) = 0;
+  virtual ~DiscoveryListener() = default;
+  // A watch event. It may call Watch and ChangeAddress.
+  virtual void OnEndpointUpdate(const EndpointUpdate& update) = 0;
+  // The first call after Watch failed.
   virtual void OnWatchFailed() = 0;
 };
 
-class Discovery : public TcpConnectionHandler {
+class DiscoveryClient : public TcpConnectionHandler {
  public:
-  struct Callers {             // What paces the calls.
-    std::uint32_t relays = 1;  // That share the service, this one included.
-    std::uint64_t seed = 0;
+  // How the calls are paced.
+  struct Callers {
+    std::uint32_t relays = 1;        // Proxies that share the service, this one included.
+    std::uint64_t seed = 0;          // Of the backoff's jitter.
     Micros longest_wait{6'000'000};  // Between two calls.
   };
 
-  Discovery(EventLoop& loop, DiscoveryEvents& events, Counters& counters, const Address& address,
-            std::string host, std::uint64_t known_revision, const Callers& callers);
+  // `host`: the value of the Host header. `known_revision`: of the list that is in force already; 0: none.
+  // The references must outlive the client, and the loop's last turn must come before its end.
+  DiscoveryClient(EventLoop& loop, DiscoveryListener& listener, Counters& counters, const Address& address,
+                  std::string host, std::uint64_t known_revision, const Callers& callers);
 
-  // Keeps a watch from now on. Answered by one OnEndpointUpdate or one OnWatchFailed.
+  // Holds a watch from now on. Each call is answered by one OnEndpointUpdate or one OnWatchFailed.
   void Watch();
-  // Holds the watch at another address from now on.
-  void MoveTo(const Address& address, std::string host);
+  // Uses another address from now on. The list in force stays so until the new address answers.
+  void ChangeAddress(const Address& address, std::string host);
 
   void OnConnected(SlotId id) override;
-  void OnBytes(SlotId id) override;
+  void OnData(SlotId id) override;
   void OnEnd(SlotId id, ConnectionEnd end) override;
 
  private:
+  enum class WatchFailure { kRejected, kEnded, kMalformed, kReset, kTimedOut };
   struct Call {
-    Call(SlotId slot, Discovery& all) : id(slot), stream(all.loop_, all, slot) {}
+    Call(SlotId call_id, DiscoveryClient& client) : id(call_id), connection(client.loop_, client, call_id) {}
     SlotId id;
-    TcpConnection stream;
+    TcpConnection connection;
   };
+  // What the present call has brought.
+  struct Response {
+    bool rejected = false;   // By its status.
+    bool ended = false;      // The response is complete, so the watch is over.
+    bool malformed = false;  // Its body can't be split into objects.
+    bool received_event = false;
+  };
+
+  static const char* LogName(WatchFailure failure);
+  static int OnHeadersComplete(http_parser* parser);
+  static int OnBody(http_parser* parser, const char* data, std::size_t size);
+  static int OnMessageComplete(http_parser* parser);
 
-  void Begin();
-  void Connect();
-  void Drop();
-  void Fail(std::string_view why);
-  void FallSilent();
-  void Hear();
-  void TakeBody(std::string_view body);
-  bool TakeObject(std::string_view object);
-  static int OnStatus(http_parser* p);
-  static int OnBody(http_parser* p, const char* at, std::size_t size);
-  static int OnComplete(http_parser* p);
+  void ScheduleFirstCall();
+  void StartCall();
+  void CancelCall();
+  void FailWatch(WatchFailure failure);
+  void OnWatchTimeout();
+  void RecordEvent();
+  void HandleBody(std::string_view body);
+  bool HandleUpdate(std::string_view object);
 
   EventLoop& loop_;
-  DiscoveryEvents& events_;
+  DiscoveryListener& listener_;
   Counters& counters_;
   Address address_;
   std::string host_;
   std::uint64_t revision_;
-  SlotMap<Call> calls_;
+  SlotMap<Call> calls_;  // The present call, and ended ones until the end of the turn.
   SlotId call_;
-  Timer retry_, silence_;
+  Timer retry_timer_;
+  Timer watch_timeout_;
   Backoff backoff_;
-  bool watching_ = false, owes_answer_ = false, refused_ = false, ended_ = false, malformed_ = false;
-  bool spoke_ = false;  // This call has brought a word.
-  Micros heard_{0};     // When the last word of all calls came.
-  Micros told_by_{0};   // What a silent call misses counts as told from here on.
-  int silences_ = 0;    // Since the last word.
-  ObjectFrames frames_;
+  bool watching_ = false;
+  bool answer_due_ = false;  // Watch has not been answered yet.
+  Response response_;
+  Micros last_event_at_{0};  // Of all calls.
+  // From this time the platform assumes that the proxy has learned what the timed-out watch missed; 0: no
+  // watch has timed out since the last update, or the deadline is not observed.
+  Micros notified_deadline_{0};
+  int consecutive_timeouts_ = 0;  // Since the last event.
+  JsonObjectFramer framer_;
   http_parser parser_{};
   http_parser_settings parser_settings_{};
 };
--- a/src/endpoint/endpoint_update.h
+++ b/src/endpoint/endpoint_update.h
@@ -1,4 +1,5 @@
-// A list of upstream hosts as a source of entries gives it: discovery here, another inventory later.
+// The endpoint list as a source of endpoints delivers it: discovery, or the configuration file's cached list.
+// Plain data, without an owner or a thread.
 #ifndef STOATRUN_ENDPOINT_ENDPOINT_UPDATE_H_
 #define STOATRUN_ENDPOINT_ENDPOINT_UPDATE_H_
 
@@ -8,19 +9,27 @@
 
 namespace stoatrun {
 
-enum class EndpointState { kReady, kDraining, kGone };
+enum class EndpointState {
+  kReady,     // Takes new requests.
+  kDraining,  // Keeps what it has, takes nothing new.
+  kGone,      // Removed from the list.
+};
 
+// One upstream host.
 struct Endpoint {
-  std::string id, address, locality;
-  EndpointState phase = EndpointState::kReady;
-  std::uint64_t cell = 0;
-  double size = 1.0;
-  std::int64_t up_since_ms = 0;  // Unix time; 0: long ago.
+  std::string id;
+  std::string address;  // IP:PORT.
+  std::string locality;
+  EndpointState state = EndpointState::kReady;
+  std::uint64_t cell = 0;            // Hosts of one cell fail together.
+  double size = 1.0;                 // Capacity, relative to the other hosts.
+  std::int64_t started_unix_ms = 0;  // When its process started, in Unix time; 0: long ago.
 };
 
+// A watch event: the changes of some endpoints, or the complete list.
 struct EndpointUpdate {
   std::uint64_t revision = 0;
-  bool complete = false;
+  bool complete = false;  // Endpoints that aren't listed are gone.
   std::vector<Endpoint> entries;
 };
 
--- a/src/fleet/io/status.cpp
+++ b/src/fleet/io/status.cpp
@@ -20,7 +20,7 @@
 std::string Quoted(std::string_view text) {
   fmt::memory_buffer out;
   out.push_back('"');
-  AppendJsonText(out, text);
+  AppendJsonEscaped(out, text);
   out.push_back('"');
   return fmt::to_string(out);
 }
--- a/src/ledger/io/export_client.cpp
+++ b/src/ledger/io/export_client.cpp
@@ -98,7 +98,7 @@
   request_ = {};
 }
 
-void Courier::OnBytes(SlotId id) {
+void Courier::OnData(SlotId id) {
   Call* call = calls_.Find(id);
   if (call == nullptr || id != call_) return;
   const std::string_view in = call->stream.input();
@@ -160,9 +160,9 @@
       LogLine(level, verdict == Delivery::Verdict::kDisagrees ? "ledger receiver disagrees"
                      : verdict == Delivery::Verdict::kRefused ? "ledger receiver refuses"
                                                               : "ledger delivery failed")
-          .Why(why)
+          .Reason(why)
           .Field("backlog", delivery_.Backlog())
-          .Field("left_out", told_.TakeLeftOut());
+          .Field("left_out", told_.TakeSuppressed());
     }
   }
   Wait();
--- a/src/ledger/io/export_client.h
+++ b/src/ledger/io/export_client.h
@@ -42,7 +42,7 @@
   void AddFields(LogLine& record) const;
 
   void OnConnected(SlotId id) override;
-  void OnBytes(SlotId id) override;
+  void OnData(SlotId id) override;
   void OnEnd(SlotId id, ConnectionEnd end) override;
 
  private:
--- a/src/ledger/io/usage_recorder.cpp
+++ b/src/ledger/io/usage_recorder.cpp
@@ -148,7 +148,7 @@
   if (fault_ != result.fault || loop_.Now() >= fault_told_ + kTellAgain) {
     fault_told_ = loop_.Now();
     LogLine(Level::kError, "ledger store failed")
-        .Why(result.why)
+        .Reason(result.why)
         .Field("fault", NameOf(*result.fault))
         .Field("backlog_cells", BacklogCells())
         .Field("unkept_us", counts_.unkept_us);
@@ -170,7 +170,7 @@
           why = e.what();
         }
         return [reply, ok, why] {
-          if (!ok) LogLine(Level::kWarn, "ledger store call failed").Why(why);
+          if (!ok) LogLine(Level::kWarn, "ledger store call failed").Reason(why);
           reply(ok);
         };
       });
--- a/src/ledger/io/usage_recorder.h
+++ b/src/ledger/io/usage_recorder.h
@@ -58,8 +58,8 @@
   // Compares both sums now; logs and counts a difference.
   bool CheckNow();
 
-  bool Idle() const { return worker_.Idle(); }
-  bool DiskRests() const { return worker_.Resting(); }
+  bool Idle() const { return worker_.IsIdle(); }
+  bool DiskRests() const { return worker_.HasNoJobs(); }
   const KeeperCounters& Counts() const { return counts_; }
   std::size_t BacklogCells() const;
   void AddFields(LogLine& record) const;
--- a/src/proxy/balancer_mapping.cpp
+++ b/src/proxy/balancer_mapping.cpp
@@ -7,8 +7,8 @@
 namespace stoatrun {
 namespace {
 
-balancer::RequestId RequestOf(SlotId request) { return balancer::RequestId(request.Packed()); }
-SlotId SlotOf(balancer::RequestId id) { return SlotId::Unpack(static_cast<std::uint64_t>(id)); }
+balancer::RequestId RequestOf(SlotId request) { return balancer::RequestId(request.ToUint64()); }
+SlotId SlotOf(balancer::RequestId id) { return SlotId::FromUint64(static_cast<std::uint64_t>(id)); }
 balancer::EndpointId ServerOf(EndpointIndex host) { return balancer::EndpointId(host); }
 EndpointIndex HostOf(balancer::EndpointId id) { return static_cast<EndpointIndex>(id); }
 
@@ -39,7 +39,7 @@
   std::optional<balancer::LoadReport> report;
   EachFigure(text, [&](std::string_view name, double value) {
     if (!report) report.emplace();
-    balancer::settings::SetField(*report, balancer::settings::ReportFieldOf(name), value);
+    SetField(*report, ReportFieldOf(name), value);
   });
   return report;
 }
@@ -131,12 +131,12 @@
     s.id = ServerOf(number_of(e.id));
     s.zone = ZoneOf(e.locality, zones);
     s.cell = balancer::CellId(e.cell);
-    s.state = e.phase == EndpointState::kReady      ? balancer::EndpointState::kReady
-              : e.phase == EndpointState::kDraining ? balancer::EndpointState::kDraining
+    s.state = e.state == EndpointState::kReady      ? balancer::EndpointState::kReady
+              : e.state == EndpointState::kDraining ? balancer::EndpointState::kDraining
                                                     : balancer::EndpointState::kGone;
     s.size = e.size;
-    s.started_at = clock.FromUnixMs(e.up_since_ms);
-    s.name_hash = balancer::settings::NumberOf(e.id);
+    s.started_at = clock.FromUnixMs(e.started_unix_ms);
+    s.name_hash = HashName(e.id);
     out.entries.push_back(s);
   }
   return out;
--- a/src/proxy/downstream.cpp
+++ b/src/proxy/downstream.cpp
@@ -177,7 +177,7 @@
       c->stream.ReadNow();  // Its line may be there, though the loop has not told of it yet.
       c = clients_.Find(id);
       if (c == nullptr || c->state != Client::State::kHead) continue;
-      ++counters_.crowded_out;
+      ++counters_.evicted;
       c->stream.Write({kFailureLine});
       c->stream.Finish();
       c->stream.DiscardInput();
@@ -209,7 +209,7 @@
       LogLine(Level::kWarn, "turned away without a descriptor,")
           .Field("asked", asked)
           .Field("told", told)
-          .Field("left_out", wants_.TakeLeftOut());
+          .Field("left_out", wants_.TakeSuppressed());
     }
     DiscardUnreadInput(surplus);
     close(surplus);
@@ -222,7 +222,7 @@
   const auto lately = [this](const std::list<SlotId>& all) {
     return !all.empty() && loop_.Now() < clients_.Find(all.back())->since + kMayAsk;
   };
-  const auto unsent = [this](SlotId id) { return clients_.Find(id)->stream.Queued() > 0; };
+  const auto unsent = [this](SlotId id) { return clients_.Find(id)->stream.QueuedBytes() > 0; };
   return clients_.Size() > callers_.size() + ending_.size() || lately(callers_) || lately(ending_) ||
          std::any_of(ending_.begin(), ending_.end(), unsent);
 }
@@ -264,7 +264,7 @@
   c->since = loop_.Now();
   if (!last_line.empty()) c->stream.Write({last_line});
   c->stream.Finish();
-  if (c->stream.PeerEnded() && c->stream.Queued() == 0) {  // Nothing is left to wait for.
+  if (c->stream.PeerFinished() && c->stream.QueuedBytes() == 0) {  // Nothing is left to wait for.
     c->stream.Close();
     return Erase(*c);
   }
@@ -287,7 +287,7 @@
     return;
   }
   // One that reads late is still owed the rest of what it was sent.
-  if (c->stream.Queued() > 0 && loop_.Now() < c->since + kDropWait) {
+  if (c->stream.QueuedBytes() > 0 && loop_.Now() < c->since + kDropWait) {
     return c->deadline.Set(c->since + kDropWait);
   }
   c->stream.Close();
@@ -298,9 +298,9 @@
   ++counters_.malformed;
   if (bad_lines_.Allows(loop_.Now())) {
     LogLine(Level::kInfo, "bad first line")
-        .Why(why)
+        .Reason(why)
         .Field("line", Shown(c.stream.input()))
-        .Field("left_out", bad_lines_.TakeLeftOut());
+        .Field("left_out", bad_lines_.TakeSuppressed());
   }
   End(c.id, kFailureLine);
 }
@@ -317,7 +317,7 @@
     const std::string_view line = Stripped(in.substr(0, *size));
     if (line == "PING") {
       ++counters_.pings;
-      if (c.stream.Queued() > TcpConnection::kHighWater) return Malformed(c, "reads no answers");
+      if (c.stream.QueuedBytes() > TcpConnection::kHighWatermark) return Malformed(c, "reads no answers");
       c.stream.Write({says_yes_ ? std::string_view("PONG\r\n") : kFailureLine});
       c.stream.Consume(*size);
       c.deadline.Set(loop_.Now() + kHeadWait);
@@ -328,10 +328,11 @@
     if (AsksAgain(in.substr(*size))) return Malformed(c, "more than one");
     if (const auto objection = events_.Validate(*head); !objection.empty()) return Malformed(c, objection);
     if (!CanAccept()) {
-      ++counters_.no_room;
+      ++counters_.rejected_for_capacity;
       events_.OnNoRoom(*head);
       if (wants_.Allows(loop_.Now())) {
-        LogLine(Level::kWarn, "no descriptors for another client,").Field("left_out", wants_.TakeLeftOut());
+        LogLine(Level::kWarn, "no descriptors for another client,")
+            .Field("left_out", wants_.TakeSuppressed());
       }
       return End(c.id, kBusyLine);
     }
@@ -347,7 +348,7 @@
   }
 }
 
-void Downstream::OnBytes(SlotId id) {
+void Downstream::OnData(SlotId id) {
   Client* c = clients_.Find(id);
   if (c == nullptr) return;
   if (c->state == Client::State::kHead) {
@@ -381,7 +382,8 @@
     Malformed(*c, "unterminated");
     return;
   }
-  if (c->state == Client::State::kEnding && end == ConnectionEnd::kFinished && c->stream.Queued() > 0) return;
+  if (c->state == Client::State::kEnding && end == ConnectionEnd::kFinished && c->stream.QueuedBytes() > 0)
+    return;
   c->stream.Close();
   Erase(*c);
 }
--- a/src/proxy/downstream.h
+++ b/src/proxy/downstream.h
@@ -66,7 +66,7 @@
   // `else_asks`.
   void EndResting(bool else_asks);
 
-  void OnBytes(SlotId id) override;
+  void OnData(SlotId id) override;
   void OnInputDiscarded(SlotId id, std::size_t size) override;
   void OnEnd(SlotId id, ConnectionEnd end) override;
   void OnPeerClosing(SlotId id) override;
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -65,10 +65,10 @@
   return shortest;
 }
 
-Upstream::Times TimesOf(const balancer::settings::SiteSettings& site) {
+Upstream::Times TimesOf(const SiteSettings& site) {
   Upstream::Times times;
   if (site.connect_timeout.count() > 0) times.connect = site.connect_timeout;
-  if (site.idle_close.count() > 0) times.idle_close = site.idle_close;
+  if (site.idle_timeout.count() > 0) times.idle_close = site.idle_timeout;
   if (site.stop_sending_within.count() > 0) times.stop_sending = site.stop_sending_within;
   return times;
 }
@@ -76,21 +76,22 @@
 // The wait between two calls on discovery. An agent of this machine's own costs nothing, and what it has
 // counts as told whether or not it is asked: the wait is a part of the grace of a drain. A service that all
 // relays share is asked seldom, but an answer is in before the settings count as told who has not asked.
-Micros LongestWait(const balancer::settings::SiteSettings& site) {
+Micros LongestWait(const SiteSettings& site) {
   const auto part = [](Micros of, double p) {
     return Micros(static_cast<Micros::rep>(static_cast<double>(of.count()) * p));
   };
-  if (site.module.list_mode == balancer::ListMode::kPushed) {
+  if (site.balancer.list_mode == balancer::ListMode::kPushed) {
     const Micros grace = site.stop_sending_within.count() > 0 ? site.stop_sending_within : kUsualGrace;
     return std::max<Micros>(milliseconds(10), part(grace, kAgentPart));
   }
-  return site.ask_within.count() > 0 ? std::min(kLongestWait, part(site.ask_within, kAskPart)) : kLongestWait;
+  return site.poll_timeout.count() > 0 ? std::min(kLongestWait, part(site.poll_timeout, kAskPart))
+                                       : kLongestWait;
 }
 
 std::size_t DescriptorsOf(const Config& config) {
   rlimit files{};
   std::size_t most = getrlimit(RLIMIT_NOFILE, &files) == 0 ? files.rlim_cur : kUsualDescriptors;
-  if (config.sockets > 0) most = std::min(most, config.sockets);
+  if (config.descriptor_limit > 0) most = std::min(most, config.descriptor_limit);
   return most;
 }
 
@@ -101,15 +102,17 @@
       meter_(meter),
       peers_(peers),
       start_(config),
-      site_(start_.site),
-      zones_(config.site.zone_names),
-      slow_message_(ShortestAim(config.site.module) / 3),
-      balancer_(config.site.module),
+      site_(start_.settings),
+      zones_(config.settings.zone_names),
+      slow_message_(ShortestAim(config.settings.balancer) / 3),
+      balancer_(config.settings.balancer),
       downstream_(loop, *this, counters_, DescriptorsOf(config)),
-      upstream_(loop, *this, counters_, TimesOf(config.site)),
-      pushed_(config.site.module.list_mode == balancer::ListMode::kPushed),
-      discovery_(loop, *this, counters_, config.discovery, config.discovery_text, config.known.revision,
-                 {pushed_ ? 1 : config.site.module.replicas, config.site.module.seed, LongestWait(site_)}),
+      upstream_(loop, *this, counters_, TimesOf(config.settings)),
+      pushed_(config.settings.balancer.list_mode == balancer::ListMode::kPushed),
+      discovery_(loop, *this, counters_, config.discovery, config.discovery_text,
+                 config.cached_endpoints.revision,
+                 {pushed_ ? 1 : config.settings.balancer.replicas, config.settings.balancer.seed,
+                  LongestWait(site_)}),
       drain_(loop.timers, [this] { DrainStep(); }),
       ask_peers_(loop.timers, [this] { AskPeers(); }),
       plan_step_(loop.timers, [this] { PlanStep(); }) {
@@ -126,7 +129,7 @@
   } else {
     downstream_.Listen(start_.listen);
   }
-  TakeList(start_.known, ListSource::kKnown);
+  TakeList(start_.cached_endpoints, ListSource::kKnown);
   // Where lists are pushed the module asks for none; on sockets they come from an agent of this machine's
   // own, which speaks only to a watch.
   if (pushed_) discovery_.Watch();
@@ -137,7 +140,7 @@
 bool Proxy::Ready() const { return started_ && phase_ == Phase::kServing && plan_.SaysYes(); }
 
 void Proxy::DrainByCall() {
-  ++counters_.drains_called;
+  ++counters_.drain_calls;
   if (plan_.Draining()) return;
   LogLine(Level::kInfo, "drain called").Field("authorisations", requests_.Size());
   plan_.Drain(loop_.Now());
@@ -160,7 +163,7 @@
     if (a.state == Request::State::kStanding) ++standing;
   });
   const drain::Step step = plan_.At(loop_.Now(), standing);
-  counters_.drain_moves += std::min(standing, step.moves);
+  counters_.drain_migrations += std::min(standing, step.moves);
   MoveQuietest(step.moves);
   if (step.next.count() > 0) plan_step_.Set(step.next);
 }
@@ -170,9 +173,9 @@
   std::vector<drain::Standing> all;
   requests_.ForEach([&](const Request& a) {
     if (a.state == Request::State::kStanding)
-      all.push_back({a.id.Packed(), a.asked_at.count() > 0, a.answered_at});
+      all.push_back({a.id.ToUint64(), a.asked_at.count() > 0, a.answered_at});
   });
-  for (const std::uint64_t id : drain::Quietest(std::move(all), n)) Move(SlotId::Unpack(id));
+  for (const std::uint64_t id : drain::Quietest(std::move(all), n)) Move(SlotId::FromUint64(id));
 }
 
 void Proxy::Reload(const Config& config) {
@@ -181,15 +184,15 @@
   const auto keeps = [](bool same, std::string_view what) {
     if (!same) LogLine(Level::kWarn, "reload takes a restart").Field("changed", what);
   };
-  keeps(config.name == start_.name, "name");
+  keeps(config.proxy_name == start_.proxy_name, "name");
   keeps(config.listen == start_.listen, "listen");
   keeps(config.settings_text == start_.settings_text, "settings");
-  discovery_.MoveTo(config.discovery, config.discovery_text);
+  discovery_.ChangeAddress(config.discovery, config.discovery_text);
 }
 
 void Proxy::ReloadFailed(std::string_view why) {
   ++counters_.reloads_failed;
-  LogLine(Level::kError, "reload failed, the old configuration stays").Why(why);
+  LogLine(Level::kError, "reload failed, the old configuration stays").Reason(why);
 }
 
 // ---- between the module and the sockets ----
@@ -224,7 +227,7 @@
   a->attempt = upstream_.Open(request, host, work);
   LogLine(Level::kDebug, "leg")
       .Field("number", a->attempts)
-      .Field("of", request.Packed())
+      .Field("of", request.ToUint64())
       .Field("host", upstream_.IdOf(host));
 }
 
@@ -246,7 +249,7 @@
   }
   if (a->opening.class_index < counters_.classes.size()) {
     ClassCounters& c = counters_.classes[a->opening.class_index];
-    ++(line.starts_with("BUSY") ? c.declined : c.aborted);
+    ++(line.starts_with("BUSY") ? c.rejected : c.aborted);
   }
   downstream_.End(a->client, line);
   if (line.starts_with("BUSY")) a->end = FleetClient::ConnectionOutcome::kRejected;
@@ -262,16 +265,16 @@
 bool Proxy::FleetAllows(Request& a, EndpointIndex host) {
   // A further attempt beyond the budget of all relays is held back; the module then gives its final answer.
   if (a.attempts > 0 && !peers_->TryAcquireRetry()) {
-    ++counters_.legs_held_back;
+    ++counters_.attempts_denied_by_quota;
     HandleEvent(AttemptEnded(a.id, host, AttemptEnd::kHeldBack, false, {}));
     return false;
   }
   // A cold host that the others have filled meanwhile has, for this relay, turned the client away.
   const auto started = started_at_.find(host);
   const bool cold =
-      started != started_at_.end() && loop_.Now() < started->second + site_.module.slow_start_duration;
+      started != started_at_.end() && loop_.Now() < started->second + site_.balancer.slow_start_duration;
   if (cold && !peers_->TryAcquireSlowStartSend(upstream_.IdOf(host))) {
-    ++counters_.legs_held_back;
+    ++counters_.attempts_denied_by_quota;
     HandleEvent(AttemptEnded(a.id, host, AttemptEnd::kRejected, false, {}));
     return false;
   }
@@ -283,7 +286,7 @@
 void Proxy::AskPeers() {
   std::vector<std::string> cold;
   for (const auto& [host, at] : started_at_) {
-    if (loop_.Now() < at + site_.module.slow_start_duration) cold.push_back(upstream_.IdOf(host));
+    if (loop_.Now() < at + site_.balancer.slow_start_duration) cold.push_back(upstream_.IdOf(host));
   }
   for (const FleetClient::EndpointHint& hint : peers_->TakeHints(cold)) {
     if (const auto host = upstream_.Known(hint.endpoint))
@@ -333,10 +336,10 @@
 }
 
 void Proxy::Reject(SlotId request, Micros retry_after) {
-  ++counters_.declined;
+  ++counters_.rejected;
   std::string line = "BUSY";
   if (retry_after.count() > 0) line += ' ' + std::to_string((retry_after.count() + 999) / 1000);
-  LogLine(Level::kDebug, "decline").Field("of", request.Packed()).Field("line", line);
+  LogLine(Level::kDebug, "decline").Field("of", request.ToUint64()).Field("line", line);
   Answer(request, line + "\r\n");
 }
 
@@ -348,7 +351,7 @@
 void Proxy::Move(SlotId request) {
   Request* a = requests_.Find(request);
   if (a == nullptr || a->state != Request::State::kStanding) return;
-  ++counters_.moved;
+  ++counters_.migrated;
   EndStanding(*a, AttemptEnd::kAbandoned, kMoveLine);
 }
 
@@ -364,7 +367,7 @@
 void Proxy::Watch() { discovery_.Watch(); }
 
 void Proxy::OnProbe(EndpointIndex host, bool ok, std::string_view report) {
-  LogLine(Level::kDebug, "probe").Field("host", upstream_.IdOf(host)).Word("ok", ok).Field("report", report);
+  LogLine(Level::kDebug, "probe").Field("host", upstream_.IdOf(host)).Flag("ok", ok).Field("report", report);
   HandleEvent(Probed(host, ok, report));
 }
 
@@ -375,8 +378,8 @@
   if (peers_ != nullptr) NoteList(list);
   LogLine(Level::kInfo, "list")
       .Field("revision", list.revision)
-      .Word("complete", list.complete)
-      .Word("changes", !list.complete)
+      .Flag("complete", list.complete)
+      .Flag("changes", !list.complete)
       .Field("entries", list.entries.size());
   HandleEvent(ListOf(
       list, source, [this](const std::string& id) { return upstream_.NumberOf(id); }, loop_.clock, zones_));
@@ -385,17 +388,17 @@
 void Proxy::NoteList(const EndpointUpdate& list) {
   if (list.complete) listed_.clear();
   for (const Endpoint& e : list.entries) {
-    if (e.phase != EndpointState::kReady) {
+    if (e.state != EndpointState::kReady) {
       listed_.erase(e.id);
       continue;
     }
-    listed_[e.id] = e.up_since_ms;
-    if (const Micros at = loop_.clock.FromUnixMs(e.up_since_ms); at.count() > 0)
+    listed_[e.id] = e.started_unix_ms;
+    if (const Micros at = loop_.clock.FromUnixMs(e.started_unix_ms); at.count() > 0)
       started_at_[upstream_.NumberOf(e.id)] = at;
   }
   std::erase_if(started_at_, [&](const auto& s) {
     return !listed_.contains(upstream_.IdOf(s.first)) ||
-           loop_.Now() >= s.second + site_.module.slow_start_duration;
+           loop_.Now() >= s.second + site_.balancer.slow_start_duration;
   });
   std::vector<FleetClient::ListedEndpoint> listed;
   listed.reserve(listed_.size());
@@ -427,7 +430,7 @@
 
 void Proxy::OnNoRoom(const OpenHead& head) {
   const std::size_t k = ClassIndex(head.class_name);
-  if (k < counters_.classes.size()) ++counters_.classes[k].declined;
+  if (k < counters_.classes.size()) ++counters_.classes[k].rejected;
   if (peers_ != nullptr && k < counters_.classes.size()) {
     FleetClient::ConnectionHandle t = peers_->BeginConnection(k, head.tenant);
     peers_->EndConnection(t, FleetClient::ConnectionOutcome::kRejected);
@@ -460,7 +463,7 @@
   a.opening.deadline = loop_.Now() + std::max(Micros(0), Micros(milliseconds(head.wait_ms)) - kOnTheWay);
   a.opening.load = head.load;
   a.opening.again = head.again;
-  if (site_.shared_work && !head.group.empty()) a.opening.group = balancer::settings::NumberOf(head.group);
+  if (site_.affinity_by_group && !head.group.empty()) a.opening.group = HashName(head.group);
   Take(a);
   // A quota binds a connection that comes, not one that stood before this process did.
   const bool within = peers_ == nullptr || peers_->TryReserveQuota(a.account, a.group) || !head.at.empty();
@@ -471,9 +474,9 @@
     TryResume(a);
     return id;
   }
-  ++counters_.authorisations;
+  ++counters_.connect_requests;
   if (!within) {
-    Reject(id, std::min(kQuotaAdvice, site_.module.max_retry_after));
+    Reject(id, std::min(kQuotaAdvice, site_.balancer.max_retry_after));
     return id;
   }
   HandleEvent(Arrived(id, a.opening));
@@ -497,7 +500,7 @@
 void Proxy::OnAttemptUp(SlotId owner, std::string_view line) {
   Request* a = requests_.Find(owner);
   if (a == nullptr) return;
-  ++counters_.up;
+  ++counters_.established;
   if (a->opening.class_index < counters_.classes.size())
     ++counters_.classes[a->opening.class_index].succeeded;
   a->state = Request::State::kStanding;
@@ -524,7 +527,7 @@
   a->attempt = {};
   LogLine(Level::kDebug, "leg ended")
       .Field("number", a->attempts)
-      .Field("of", owner.Packed())
+      .Field("of", owner.ToUint64())
       .Field("host", upstream_.IdOf(a->host))
       .Field("how", static_cast<int>(end));
   if (!a->resume_at.empty()) {
@@ -547,7 +550,7 @@
   if (a == nullptr) return;
   const SlotId client = a->client;
   if (a->state == Request::State::kPending) {
-    ++counters_.client_left;
+    ++counters_.client_disconnects;
     const bool resumed = !a->resume_at.empty();
     const SlotId attempt = std::exchange(a->attempt, {});
     const EndpointIndex host = a->host;
@@ -565,7 +568,7 @@
     return;
   }
   if (a->state == Request::State::kLeaving) return;
-  ++counters_.client_left;
+  ++counters_.client_disconnects;
   PumpToHost(*a);
   if (end == ConnectionEnd::kReset) {
     upstream_.Reset(a->attempt);
@@ -608,7 +611,7 @@
   TcpConnection* client = downstream_.Find(a.client);
   TcpConnection* attempt = upstream_.Find(a.attempt);
   if (client == nullptr || attempt == nullptr || client->input().empty()) return;
-  if (attempt->Queued() > TcpConnection::kHighWater) {
+  if (attempt->QueuedBytes() > TcpConnection::kHighWatermark) {
     client->SetReading(false);
     return;
   }
@@ -637,7 +640,7 @@
   TcpConnection* client = a == nullptr ? nullptr : downstream_.Find(a->client);
   TcpConnection* attempt = a == nullptr ? nullptr : upstream_.Find(a->attempt);
   if (client == nullptr || attempt == nullptr || attempt->input().empty()) return;
-  if (client->Queued() > TcpConnection::kHighWater && !all) {
+  if (client->QueuedBytes() > TcpConnection::kHighWatermark && !all) {
     attempt->SetReading(false);
     return;
   }
@@ -700,10 +703,10 @@
   if (a == nullptr) return;
   AttemptEnd how = a->last_word;
   if (how == AttemptEnd::kServed) ++counters_.served;
-  if (how == AttemptEnd::kSentAway) ++counters_.host_moved;
+  if (how == AttemptEnd::kSentAway) ++counters_.migrated_by_host;
   if (how == AttemptEnd::kBroken && a->state == Request::State::kLeaving) how = AttemptEnd::kAbandoned;
   if (how == AttemptEnd::kBroken) {
-    ++counters_.legs_cut;
+    ++counters_.attempts_connection_lost;
     LogLine(Level::kDebug, "cut").Field("host", upstream_.IdOf(a->host));
     if (end == ConnectionEnd::kReset) downstream_.Reset(a->client);
   }
@@ -726,7 +729,7 @@
       return;
     case Request::State::kStanding:
       // A machine that vanished says nothing, and its connections stay open for ever.
-      ++counters_.silent;
+      ++counters_.silent_hosts;
       LogLine(Level::kInfo, "silent host, its client is moved").Field("host", upstream_.IdOf(a->host));
       EndStanding(*a, AttemptEnd::kBroken, kMoveLine);
       return;
@@ -750,7 +753,7 @@
     downstream_.StopListening();
     phase_ = Phase::kMoving;
   }
-  const Micros end = drain_at_ + std::min(site_.longest_deadline, kMostDeadline) + kAfterDeadline;
+  const Micros end = drain_at_ + std::min(site_.max_deadline, kMostDeadline) + kAfterDeadline;
   const bool closing = loop_.Now() >= std::max(end - kAnsweredBefore, drain_at_ + kTakeFor);
   std::size_t standing = 0;
   std::vector<SlotId> pending;
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -29,7 +29,7 @@
 
 class Proxy : private DownstreamEvents,
               private UpstreamEvents,
-              private DiscoveryEvents,
+              private DiscoveryListener,
               private ActionHandler {
  public:
   // `meter`: told of standing connections; outlives the relay; null: nobody is. `peers`: the rest of the
@@ -108,7 +108,7 @@
   void OnAttemptFinished(SlotId owner, ConnectionEnd end) override;
   void OnAttemptWritable(SlotId owner) override;
   void OnProbe(EndpointIndex host, bool ok, std::string_view report) override;
-  // DiscoveryEvents
+  // DiscoveryListener
   void OnEndpointUpdate(const EndpointUpdate& list) override;
   void OnWatchFailed() override;
   // ActionHandler
@@ -151,7 +151,7 @@
   UsageMeter* const meter_;
   FleetClient* const peers_;
   const Config start_;  // As the relay was started.
-  const balancer::settings::SiteSettings& site_;
+  const SiteSettings& site_;
   std::vector<std::string> zones_;
   Micros slow_message_{0};  // A message over this is told; 0: never.
   Counters counters_;
@@ -159,7 +159,7 @@
   Downstream downstream_;
   Upstream upstream_;
   const bool pushed_;  // Lists come unasked.
-  Discovery discovery_;
+  DiscoveryClient discovery_;
   SlotMap<Request> requests_;
   std::unordered_set<std::string> open_ids_;
   SlotMap<BalancerTimer> balancer_timers_;
--- a/src/proxy/upstream.cpp
+++ b/src/proxy/upstream.cpp
@@ -58,12 +58,12 @@
     named[n] = true;
     Host& h = hosts_[n];
     if (const auto address = Address::Parse(e.address)) h.address = address;
-    h.phase = e.phase;
+    h.state = e.state;
   }
   for (EndpointIndex n = 0; n < hosts_.size(); ++n) {
     Host& h = hosts_[n];
-    if (list.complete && !named[n]) h.phase = EndpointState::kGone;
-    if (h.phase == EndpointState::kReady) {
+    if (list.complete && !named[n]) h.state = EndpointState::kGone;
+    if (h.state == EndpointState::kReady) {
       h.watched_drain = false;
     } else if (!h.watched_drain) {
       // Guards the rule of careful drains: an attempt that still connects would send its first byte too late.
@@ -77,11 +77,11 @@
 
 std::size_t Upstream::Listed() const {
   return static_cast<std::size_t>(std::count_if(
-      hosts_.begin(), hosts_.end(), [](const Host& h) { return h.phase != EndpointState::kGone; }));
+      hosts_.begin(), hosts_.end(), [](const Host& h) { return h.state != EndpointState::kGone; }));
 }
 
 void Upstream::StopSending(EndpointIndex host) {
-  if (hosts_[host].phase == EndpointState::kReady) return;
+  if (hosts_[host].state == EndpointState::kReady) return;
   std::vector<SlotId> late;
   links_.ForEach([&](Link& l) {
     if (l.host == host && (!l.sent || (l.probe && l.up))) late.push_back(l.id);
@@ -98,7 +98,7 @@
 }
 
 SlotId Upstream::Open(SlotId owner, EndpointIndex host, const AttemptWork& work) {
-  ++counters_.legs;
+  ++counters_.attempts;
   Link& attempt = links_.Add(*this, host, false);
   attempt.owner = owner;
   attempt.work = work;
@@ -153,11 +153,11 @@
 
 void Upstream::EndAttempt(Link& attempt, AttemptEnd end, std::string_view line) {
   const SlotId owner = attempt.owner;
-  if (end == AttemptEnd::kNotConnected) ++counters_.legs_not_connected;
-  if (end == AttemptEnd::kBroken) ++counters_.legs_cut;
-  if (end == AttemptEnd::kTimedOut) ++counters_.legs_timed_out;
-  if (end == AttemptEnd::kRejected) ++counters_.legs_turned_away;
-  if (end == AttemptEnd::kError) ++counters_.legs_error;
+  if (end == AttemptEnd::kNotConnected) ++counters_.attempts_not_connected;
+  if (end == AttemptEnd::kBroken) ++counters_.attempts_connection_lost;
+  if (end == AttemptEnd::kTimedOut) ++counters_.attempts_timed_out;
+  if (end == AttemptEnd::kRejected) ++counters_.attempts_rejected;
+  if (end == AttemptEnd::kError) ++counters_.attempts_failed;
   const std::string said(line);  // Its buffer goes with the attempt.
   // Closed before it is told: what follows may open the next attempt, and two must never be out.
   Close(attempt.id);
@@ -174,7 +174,7 @@
   const bool told = !(link.probe && link.up);  // An idle connection owes no answer.
   Host& h = hosts_[host];
   const std::string said(report);
-  if (keep && h.phase == EndpointState::kReady && links_.Find(h.idle_probe) == nullptr &&
+  if (keep && h.state == EndpointState::kReady && links_.Find(h.idle_probe) == nullptr &&
       Idle() < kMostIdle) {
     link.up = true;
     h.idle_probe = link.id;
@@ -222,7 +222,7 @@
   } else {
     l->stream.Write({l->work.before_wait, "\r\n"});
   }
-  if (l->stream.Queued() == 0 && !l->stream.IsBroken()) Sent(*l);
+  if (l->stream.QueuedBytes() == 0 && !l->stream.IsBroken()) Sent(*l);
 }
 
 void Upstream::Sent(Link& link) {
@@ -237,7 +237,7 @@
   if (!l->probe && l->up) events_.OnAttemptWritable(l->owner);
 }
 
-void Upstream::OnBytes(SlotId id) {
+void Upstream::OnData(SlotId id) {
   Link* l = links_.Find(id);
   if (l == nullptr) return;
   if (l->probe) {
@@ -285,7 +285,7 @@
   Link* l = links_.Find(id);
   if (l == nullptr) return;
   if (l->probe && l->reused && !l->up && l->stream.input().empty() &&
-      hosts_[l->host].phase == EndpointState::kReady) {
+      hosts_[l->host].state == EndpointState::kReady) {
     // The host closed it while it was idle, just as it was to be used again: that says nothing of the host.
     Link& fresh = links_.Add(*this, l->host, true);
     fresh.give_up = l->give_up;
--- a/src/proxy/upstream.h
+++ b/src/proxy/upstream.h
@@ -84,7 +84,7 @@
   void Probe(EndpointIndex host);
 
   void OnConnected(SlotId id) override;
-  void OnBytes(SlotId id) override;
+  void OnData(SlotId id) override;
   void OnEnd(SlotId id, ConnectionEnd end) override;
   void OnWritable(SlotId id) override;
 
@@ -92,7 +92,7 @@
   struct Host {
     std::string id;
     std::optional<Address> address;
-    EndpointState phase = EndpointState::kReady;
+    EndpointState state = EndpointState::kReady;
     SlotId idle_probe;
     bool watched_drain = false;
   };
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -42,7 +42,7 @@
   Figures f;
   f.class_names = {"sighting-feed", "tally-watch"};
   f.classes.resize(2);
-  f.classes[0] = {.succeeded = 812, .declined = 3, .aborted = 1, .forwards = 820};
+  f.classes[0] = {.succeeded = 812, .rejected = 3, .aborted = 1, .forwards = 820};
   f.classes[1].succeeded = 7;
   f.outstanding = 14;
   f.discovered = 9;
--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -14,7 +14,7 @@
   const auto fault = [](const char* text) -> std::string {
     try {
       ParseOperatorText(text, "f");
-    } catch (const OperatorError& e) {
+    } catch (const OperatorFileError& e) {
       return e.what();
     }
     return "none";
@@ -30,7 +30,7 @@
   const auto fault = [](const std::string& peers) -> std::string {
     try {
       ParseOperatorText("fleet {\n  name: \"f\" places: 2\n" + peers + "}", "f");
-    } catch (const OperatorError& e) {
+    } catch (const OperatorFileError& e) {
       return e.what();
     }
     return "none";
@@ -54,17 +54,17 @@
 
 TEST_CASE("what a reload takes up is told apart from what needs a restart") {
   const auto base = ParseOperatorText("", "f");
-  CHECK(CompareOperatorFiles(base, ParseOperatorText("log { level: INFO }", "f")).taken_up.empty());
+  CHECK(CompareOperatorFiles(base, ParseOperatorText("log { level: INFO }", "f")).reloadable.empty());
   const auto change = CompareOperatorFiles(base, ParseOperatorText("log { level: DEBUG form: JSON }", "f"));
-  CHECK(change.taken_up == std::vector<std::string>{"log.level", "log.form"});
-  CHECK(change.need_restart.empty());
-  CHECK_THAT(ShowOperatorFile(base), Catch::Contains("level: INFO") && Catch::Contains("form: TEXT"));
+  CHECK(change.reloadable == std::vector<std::string>{"log.level", "log.form"});
+  CHECK(change.restart_required.empty());
+  CHECK_THAT(FormatOperatorFile(base), Catch::Contains("level: INFO") && Catch::Contains("form: TEXT"));
 }
 
 TEST_CASE("text in JSON records is valid whatever a caller sent") {
   const auto json = [](std::string_view text) {
     fmt::memory_buffer out;
-    AppendJsonText(out, text);
+    AppendJsonEscaped(out, text);
     return fmt::to_string(out);
   };
   CHECK(json("a\"b\\c\n\x01") == R"(a\"b\\c\u000a\u0001)");
--- a/tests/endpoint/discovery_client_test.cpp
+++ b/tests/endpoint/discovery_client_test.cpp
@@ -14,7 +14,7 @@
     R"("id": "s-1", "phase": "draining", "later": {"a": [1, {}]}}\n  ]\n})";
 
 void CheckDrained(World& world) {
-  CHECK(world.Counts().lists == 1);
+  CHECK(world.Counts().endpoint_updates == 1);
   world.Play("a send OPEN 1 k c=watch,d=300\nwait 300\na expect BUSY*\ns-1 legs 0");
 }
 
@@ -32,11 +32,11 @@
   }
   SECTION("two in one piece") {
     world.Play("discovery raw {\"revision\":1,\"members\":[]}" + std::string(kDrain));
-    CHECK(world.Counts().lists == 2);
+    CHECK(world.Counts().endpoint_updates == 2);
     world.Play("a send OPEN 1 k c=watch,d=300\nwait 300\na expect BUSY*\ns-1 legs 0");
     return;
   }
-  CHECK(world.Counts().watches_failed == 0);
+  CHECK(world.Counts().watch_failures == 0);
   CheckDrained(world);
 }
 
@@ -51,28 +51,28 @@
   }
   SECTION("its length ends within an object") {
     world.Play("discovery plain " + head + std::to_string(body.size() - 1) + R"(\r\n\r\n)" + body);
-    CHECK(world.Counts().lists == 0);
+    CHECK(world.Counts().endpoint_updates == 0);
   }
   SECTION("its connection ends within an object") {
     world.Play("discovery plain " + head + "999" + R"(\r\n\r\n)" + body.substr(0, 30) + "\ndiscovery close");
-    CHECK(world.Counts().lists == 0);
+    CHECK(world.Counts().endpoint_updates == 0);
   }
-  CHECK(world.Counts().watches_failed == 1);
+  CHECK(world.Counts().watch_failures == 1);
   world.Play("discovery serve\nwait 200\ndiscovery watches 2");
 }
 
 TEST_CASE("objects are cut from a stream within bounds") {
-  ObjectFrames frames(16);
+  JsonObjectFramer frames(16);
   int whole = 0, blank = 0;
   const auto take = [&](std::string_view bytes) {
-    return frames.Take(
+    return frames.Feed(
         bytes, [&](std::string_view o) { return ++whole, o != "{!}"; }, [&] { ++blank; });
   };
   CHECK(take("\r\n {\"a\":\"\\\"}\"} \n{"));
-  CHECK((whole == 1 && blank == 2 && frames.Within()));
+  CHECK((whole == 1 && blank == 2 && frames.InsideObject()));
   CHECK_FALSE(take("12345678901234567"));
   frames.Clear();
-  CHECK_FALSE(frames.Within());
+  CHECK_FALSE(frames.InsideObject());
   CHECK_FALSE(take("{!}{}"));
   CHECK(whole == 2);
   frames.Clear();
@@ -97,11 +97,11 @@
     drip = "discovery raw \\r";
   }
   for (int ms = 0; ms < 3400; ms += 200) {
-    if (world.Counts().watches_failed == 0) world.Play(drip);
+    if (world.Counts().watch_failures == 0) world.Play(drip);
     world.Play("wait 200");
   }
   world.Play("discovery serve\nwait 200\ndiscovery watches 2");
-  CHECK(world.Counts().lists == 0);
+  CHECK(world.Counts().endpoint_updates == 0);
 }
 
 // What a silent watch misses counts as told 6 s after its last word, whether or not it came. In a fleet of
@@ -122,12 +122,12 @@
   SECTION("and the first new call is answered") {}
   SECTION("and the first new call is refused") {
     world.Play("discovery refuse");
-    while (world.Counts().watches_failed < 2 && left > 0) wait(20);
+    while (world.Counts().watch_failures < 2 && left > 0) wait(20);
     world.Play("discovery serve");
   }
   SECTION("and the first new call is never answered") {
     world.Play("discovery mute");
-    while (world.Counts().watches_failed < 2) wait(20);
+    while (world.Counts().watch_failures < 2) wait(20);
     world.Play("discovery serve");
     left = 2000;  // After the end of the wait, if that is later.
   }
@@ -135,7 +135,7 @@
   while (world.Discovered() == calls && left > 0) wait(20);
   world.Play("discovery send {\"revision\":2,\"complete\":true,\"members\":[]}");
   CHECK(left >= 500);  // For the answer, where many ask at once.
-  CHECK(world.Counts().lists == 2);
+  CHECK(world.Counts().endpoint_updates == 2);
 }
 
 // A request that waits for its next attempt must not go to a host whose drain was told meanwhile, however the
@@ -157,7 +157,7 @@
   world.Play("a send OPEN 1 k c=watch,d=2000\ns-1 expect OPEN 1 k*\ns-1 send BUSY\ns-1 expect-end");
   world.Play(speaker + R"( send {"revision":9,"members":[{"id":"s-1","phase":"draining"}]})");
   world.Play("wait 2000\na expect BUSY*\ns-1 legs 1");
-  CHECK(world.Counts().legs == 1);
+  CHECK(world.Counts().attempts == 1);
 }
 
 }  // namespace
--- a/tests/proxy/drain_test.cpp
+++ b/tests/proxy/drain_test.cpp
@@ -29,7 +29,7 @@
     a expect M 1 x
   )");
   CHECK_FALSE(Relayed().Ready());
-  CHECK(Counts().moved == 0);  // Not before a moved client can no longer be sent back here.
+  CHECK(Counts().migrated == 0);  // Not before a moved client can no longer be sent back here.
   // Who still comes in the 0.2 s after the first no is served, and moved as well.
   Play(R"(
     c send OPEN 3 k c=watch,d=2000
@@ -43,9 +43,9 @@
     c expect-end
     s-1 expect-end
   )");
-  CHECK(Counts().moved == 2);
-  CHECK(Counts().drain_moves == 2);
-  CHECK(Counts().drains_called == 2);
+  CHECK(Counts().migrated == 2);
+  CHECK(Counts().drain_migrations == 2);
+  CHECK(Counts().drain_calls == 2);
   Play(R"(
     activate
     activate
@@ -60,7 +60,7 @@
     s-1#3 expect M 5 x
   )");
   CHECK(Relayed().Ready());
-  CHECK(Counts().moved == 2);  // After activate nobody is moved.
+  CHECK(Counts().migrated == 2);  // After activate nobody is moved.
 }
 
 TEST_CASE_METHOD(Alone, "a planned end during the operators' drain still ends the process") {
@@ -79,7 +79,7 @@
   Play("b send OPEN 1 k2 c=watch,d=2000\nb expect ERR\nb expect-end");  // An id that is open.
   CHECK(watch().aborted == 1);
   Play("s-1 load 0.99\nwait 1000\nc send OPEN 3 k c=watch,d=2000\nc expect BUSY *\nc expect-end");
-  CHECK(watch().declined == 1);
+  CHECK(watch().rejected == 1);
   CHECK(watch().forwards == 1);
   Play("a send M 1 x\ns-1 expect M 1 x\ns-1 send BYE\ns-1 close\na expect BYE\na expect-end\nwait 10");
   CHECK(Relayed().Outstanding() == 0);
@@ -146,11 +146,11 @@
     drain
     wait 100
   )");
-  CHECK(Counts().moved == 0);
+  CHECK(Counts().migrated == 0);
   Play("wait 900");  // Two over 2.1 s: one by the middle.
-  CHECK(Counts().moved == 1);
+  CHECK(Counts().migrated == 1);
   Play("wait 1150");
-  CHECK(Counts().moved == 2);
+  CHECK(Counts().migrated == 2);
 }
 
 // A client that has just had its answer is furthest from its next line: it can be back elsewhere before then.
@@ -174,7 +174,7 @@
     b expect MOVE
     b expect-end
   )");
-  CHECK(Counts().moved == 1);
+  CHECK(Counts().migrated == 1);
   Play("s-1 send M 1 y\na expect M 1 y\nwait 1000\na expect MOVE");
 }
 
--- a/tests/proxy/endings_test.cpp
+++ b/tests/proxy/endings_test.cpp
@@ -67,13 +67,13 @@
   if (place == "between attempts") world.Play("s-1 expect OPEN 1 k*\ns-1 send BUSY\ns-1 expect-end");
   world.Play("wait 30\na " + way);
   world.Play("wait 150");  // Half of the time after which nothing may be sent.
-  CHECK(world.Counts().client_left == 1);
+  CHECK(world.Counts().client_disconnects == 1);
   CHECK(world.Relayed().Outstanding() == 0);
-  const auto attempts = world.Counts().legs;
+  const auto attempts = world.Counts().attempts;
   fleet.slow_start_sends = 100;
   if (place == "queue") world.Play(kReady);
   world.Play("wait 2000");
-  CHECK(world.Counts().legs == attempts);
+  CHECK(world.Counts().attempts == attempts);
   world.Play("s-1 legs " + std::string(place == "between attempts" ? "1" : "0"));
 }
 
@@ -81,10 +81,10 @@
                  "an attempt that comes up in the turn in which its client's end lies unread sends nothing") {
   const std::string way = GENERATE("close", "half", "reset");
   Play("turns 0\na send OPEN 1 k c=watch,d=2000,at=s-1");
-  while (Counts().legs == 0) Play("turn");
+  while (Counts().attempts == 0) Play("turn");
   // The connection is up in the kernel, and the loop has told of neither.
   Play("a " + way + "\nturns 3\nwait 20\ns-1 legs 0");
-  CHECK(Counts().client_left == 1);
+  CHECK(Counts().client_disconnects == 1);
 }
 
 TEST_CASE_METHOD(Alone, "the answer of one that left by half is ERR, at once") {
@@ -99,11 +99,11 @@
   Play(kStand);
   SECTION("the client's") {
     Play("a flood 12000\na reset\nwait 150");
-    CHECK(Counts().client_left == 1);
+    CHECK(Counts().client_disconnects == 1);
   }
   SECTION("the host's") {
     Play("s-1 flood 12000\ns-1 reset\nwait 150");
-    CHECK(Counts().legs_cut == 1);
+    CHECK(Counts().attempts_connection_lost == 1);
   }
   CHECK(Relayed().Outstanding() == 0);
 }
@@ -113,16 +113,16 @@
 // What was never written whole has never run, and may be tried again whatever its class.
 TEST_CASE_METHOD(Alone, "a break tells by the first line's last byte whether the attempt may have run") {
   Play("turns 0\na send OPEN 1 k c=watch,d=2000,at=s-1");
-  while (Counts().legs == 0) Play("turn");
+  while (Counts().attempts == 0) Play("turn");
   SECTION("before the first byte") {
     Play("s-1 break\nturns 3\nwait 20");
-    CHECK(Counts().legs_cut == 0);
-    CHECK(Counts().legs_not_connected == 1);
+    CHECK(Counts().attempts_connection_lost == 0);
+    CHECK(Counts().attempts_not_connected == 1);
     CHECK(Counts().classes[0].forwards == 0);
   }
   SECTION("after the last byte") {
     Play("turns 3\ns-1 expect OPEN 1 k*\ns-1 reset\nwait 20");
-    CHECK(Counts().legs_cut == 1);
+    CHECK(Counts().attempts_connection_lost == 1);
     CHECK(Counts().classes[0].forwards == 1);
   }
 }
@@ -266,7 +266,7 @@
       }
     } else {
       world.Play("s-1 " + end);
-      CHECK(world.Counts().legs_cut == 1);  // It may have run.
+      CHECK(world.Counts().attempts_connection_lost == 1);  // It may have run.
     }
     // What a failed attempt says later is nobody's; the client's answer is that of the next.
     if (end == "in pieces") world.Play("wait 5\ns-1 send UP late");
@@ -279,7 +279,7 @@
   const std::string endless(4096, 'x');
   SECTION("before") {
     Play("a send OPEN 1 k c=watch,d=2000\ns-1 expect OPEN 1 k*\ns-1 raw " + endless + "\ns-1 expect-end");
-    CHECK(Counts().legs_error == 1);
+    CHECK(Counts().attempts_failed == 1);
   }
   SECTION("after") {
     Play(kStand);
@@ -290,7 +290,7 @@
 TEST_CASE_METHOD(Alone, "lines that come in the turn of the host's end, or with its UP, are all passed on") {
   Play("a send OPEN 1 k c=watch,d=2000\ns-1 expect OPEN 1 k*\nturns 0\ns-1 both UP r1 | M 1 x");
   Play("s-1 raw M 2 half\ns-1 close\nturns 3\na expect UP r1\na expect M 1 x\na expect M 2 half");
-  CHECK(Counts().legs_cut == 1);
+  CHECK(Counts().attempts_connection_lost == 1);
 }
 
 // ---- the planned end ----
@@ -346,7 +346,7 @@
   CHECK(send(callers.front(), line.data(), line.size(), 0) == static_cast<ssize_t>(line.size()));
   downstream.EndResting(false);
   CHECK(taken.opened == 1);
-  CHECK(counters.crowded_out == 1);
+  CHECK(counters.evicted == 1);
   for (std::size_t k = 1; k < callers.size(); ++k) {
     std::array<char, 16> answer{};
     CHECK(recv(callers[k], answer.data(), answer.size(), 0) >= 5);
@@ -391,7 +391,7 @@
 TEST_CASE_METHOD(Alone, "the planned end waits for what a client has not read yet") {
   Play(kStand);
   Play("s-1 flood 12000\ndrain\nwait 1900\na expect-moved\na close\nwait 300\nstopped");
-  CHECK(Counts().moved == 1);
+  CHECK(Counts().migrated == 1);
 }
 
 TEST_CASE_METHOD(Alone, "a planned end keeps its times whatever else happens in it") {
--- a/tests/proxy/fleet_client_test.cpp
+++ b/tests/proxy/fleet_client_test.cpp
@@ -68,7 +68,7 @@
   World world({"s-1", "s-2"}, 0, 1, -1, "subscribe", &fleet);
   world.Play(
       "s-1 down\ns-2 down\na send OPEN 1 k c=watch,d=2000\nwait 100\nwait 300\nwait 300\na expect BUSY*\n");
-  CHECK(world.Counts().legs_held_back == 1);
+  CHECK(world.Counts().attempts_denied_by_quota == 1);
   CHECK(fleet.outcomes[FleetClient::ConnectionOutcome::kRejected] == 1);
 }
 
--- a/tests/proxy/loopback_fixture.cpp
+++ b/tests/proxy/loopback_fixture.cpp
@@ -398,7 +398,7 @@
       const std::size_t size = peer.in.rfind("MOVE\r\n");
       REQUIRE(size + 6 == peer.in.size());
       CHECK(peer.in.substr(0, size) == flood_.substr(0, size));
-      CHECK((size > TcpConnection::kHighWater && flood_[size - 1] == '\n'));
+      CHECK((size > TcpConnection::kHighWatermark && flood_[size - 1] == '\n'));
     } else if (verb == "half") {
       shutdown(peer.fd, SHUT_WR);
     } else {
--- a/tests/proxy/parts_test.cpp
+++ b/tests/proxy/parts_test.cpp
@@ -29,7 +29,7 @@
   CHECK(slots.Find(first) == nullptr);
   CHECK(slots.Find(second) != nullptr);
   CHECK(slots.Find(SlotId{}) == nullptr);
-  CHECK(SlotId::Unpack(second.Packed()) == second);
+  CHECK(SlotId::FromUint64(second.ToUint64()) == second);
 }
 
 TEST_CASE("deadlines run in order, once, and not when taken back") {
@@ -103,7 +103,7 @@
   for (std::uint64_t k = 0; k < 100; ++k) waits.emplace_back(callers_told, Micros(6'000'000), k);
   using Call = std::pair<Micros, std::size_t>;
   std::priority_queue<Call, std::vector<Call>, std::greater<>> calls;
-  for (std::size_t k = 0; k < 100; ++k) calls.emplace(waits[k].Start(), k);
+  for (std::size_t k = 0; k < 100; ++k) calls.emplace(waits[k].InitialDelay(), k);
   Micros free{0};
   int served = 0;
   while (!calls.empty() && calls.top().first < std::chrono::seconds(30)) {
@@ -111,14 +111,14 @@
     calls.pop();
     free = std::max(free, at);
     if (free - at > std::chrono::seconds(9)) {  // Its queue is full: refused at once.
-      calls.emplace(at + waits[who].Next(), who);
+      calls.emplace(at + waits[who].NextDelay(), who);
       continue;
     }
     free += milliseconds(50);
     if (free - at <= std::chrono::seconds(2)) {
       ++served;
     } else {
-      calls.emplace(at + std::chrono::seconds(2) + waits[who].Next(), who);
+      calls.emplace(at + std::chrono::seconds(2) + waits[who].NextDelay(), who);
     }
   }
   return served;
@@ -131,16 +131,16 @@
 
 TEST_CASE("waits grow to a bound, are drawn at random and begin anew after a success") {
   Backoff two(2, Micros(6'000'000), 1), many(100, Micros(6'000'000), 1), other(100, Micros(6'000'000), 2);
-  CHECK(Backoff(1, Micros(6'000'000), 1).Start() == Micros(0));
-  CHECK(two.Start() <= Micros(40'000));
-  CHECK(many.Next() != other.Next());
+  CHECK(Backoff(1, Micros(6'000'000), 1).InitialDelay() == Micros(0));
+  CHECK(two.InitialDelay() <= Micros(40'000));
+  CHECK(many.NextDelay() != other.NextDelay());
   for (int k = 0; k < 20; ++k) {
-    CHECK(two.Next() <= Micros(800'000));
-    const Micros wait = many.Next();
+    CHECK(two.NextDelay() <= Micros(800'000));
+    const Micros wait = many.NextDelay();
     CHECK((wait >= Micros(2'500'000) && wait <= Micros(6'000'000)));
   }
   two.Reset();
-  CHECK(two.Next() <= Micros(50'000));
+  CHECK(two.NextDelay() <= Micros(50'000));
 }
 
 TEST_CASE("of what is logged at full speed a few a second are written and the rest is counted") {
@@ -149,8 +149,8 @@
   for (int k = 0; k < 100; ++k) written += limit.Allows(Micros(2'000'000 + k)) ? 1 : 0;
   CHECK(written == 5);
   CHECK(limit.Allows(Micros(3'000'000)));
-  CHECK(limit.TakeLeftOut() == 95);
-  CHECK(limit.TakeLeftOut() == 0);
+  CHECK(limit.TakeSuppressed() == 95);
+  CHECK(limit.TakeSuppressed() == 0);
 }
 
 TEST_CASE("a bad configuration is named") {
--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -71,7 +71,7 @@
   Play("f raw OPEN\nwait 1500\nf raw  1\nwait 550\nf expect ERR\nf expect-end");
   Play("g send OPEN 1 k c=watch,d=2000,x=\x01\ng expect ERR\ng expect-end");
   CHECK(Counts().malformed == 7);
-  CHECK(Counts().legs == 0);
+  CHECK(Counts().attempts == 0);
 }
 
 // Served, the second would share the first one's place at its host.
@@ -108,7 +108,7 @@
 TEST_CASE_METHOD(Few, "silent callers are bounded, the oldest go first, and clients come through") {
   Play(kStand);
   Play("crowd 200\nquiet 46\nb send OPEN 2 k c=watch,d=2000\ns-1#2 expect OPEN 2 k*\nquiet 44");
-  CHECK(Counts().crowded_out >= 154);
+  CHECK(Counts().evicted >= 154);
   Play("wait 2050\nquiet 0");
 }
 
@@ -117,9 +117,9 @@
     const std::string n = std::to_string(k);
     Play("c" + n + " send OPEN " + n + " k c=watch,d=60000,at=s-9");
   }
-  CHECK(Counts().no_room == 0);
+  CHECK(Counts().rejected_for_capacity == 0);
   Play("z send OPEN z k c=watch,d=2000\nz expect BUSY\nz expect-end");
-  CHECK(Counts().no_room == 1);
+  CHECK(Counts().rejected_for_capacity == 1);
 }
 
 TEST_CASE_METHOD(Alone, "lines in parts are put together, and what comes before UP waits for it") {
@@ -149,7 +149,7 @@
     s-1#2 send UP r2
     a expect UP r2
   )");
-  CHECK(Counts().legs_turned_away == 1);
+  CHECK(Counts().attempts_rejected == 1);
 }
 
 TEST_CASE_METHOD(Alone,
@@ -161,9 +161,9 @@
     a expect BUSY*
     a expect-end
   )");
-  CHECK(Counts().declined == 1);
-  CHECK(Counts().legs_not_connected >= 1);
-  CHECK(Counts().legs == Counts().legs_not_connected);
+  CHECK(Counts().rejected == 1);
+  CHECK(Counts().attempts_not_connected >= 1);
+  CHECK(Counts().attempts == Counts().attempts_not_connected);
 }
 
 // Once full, always the same answer at once; an answer held back would only hide the refusal.
@@ -177,8 +177,8 @@
     b expect BUSY *
     b expect-end
   )");
-  CHECK(Counts().declined == 2);
-  CHECK(Counts().legs == 0);
+  CHECK(Counts().rejected == 2);
+  CHECK(Counts().attempts == 0);
 }
 
 TEST_CASE_METHOD(Alone, "a host that takes the line and says nothing times out and is abandoned in time") {
@@ -189,7 +189,7 @@
     a expect BUSY*
     a expect-end
   )");
-  CHECK(Counts().legs_timed_out >= 1);
+  CHECK(Counts().attempts_timed_out >= 1);
 }
 
 TEST_CASE_METHOD(Alone, "a client that leaves before UP takes its leg with it") {
@@ -199,7 +199,7 @@
     a close
     s-1 expect-end
   )");
-  CHECK(Counts().client_left == 1);
+  CHECK(Counts().client_disconnects == 1);
 }
 
 TEST_CASE_METHOD(Alone, "each side ends as the other did") {
@@ -233,13 +233,13 @@
     s-1 expect M 2 x
     s-1 expect-end
   )");
-  CHECK(Counts().silent == 1);
+  CHECK(Counts().silent_hosts == 1);
 }
 
 TEST_CASE_METHOD(Alone, "a connection without client lines is not taken for silent") {
   Play(kStand);
   Play("wait 9000\na send M 1 x\ns-1 expect M 1 x");
-  CHECK(Counts().silent == 0);
+  CHECK(Counts().silent_hosts == 0);
 }
 
 TEST_CASE_METHOD(Alone, "a planned end still takes clients, then moves all that stand and stops") {
@@ -264,7 +264,7 @@
     wait 100
     stopped
   )");
-  CHECK(Counts().moved == 2);
+  CHECK(Counts().migrated == 2);
 }
 
 // The front's checks keep connections without a first line open; they once held the end up until its last
@@ -302,10 +302,10 @@
 TEST_CASE_METHOD(Alone, "a leg that does not come up in its time has not run") {
   Play(kStand);
   Play("s-1 full\nb send OPEN 2 k c=watch,d=2000\nwait 240");
-  CHECK(Counts().legs == 2);
-  CHECK(Counts().legs_not_connected == 0);
+  CHECK(Counts().attempts == 2);
+  CHECK(Counts().attempts_not_connected == 0);
   Play("wait 15");
-  CHECK(Counts().legs_not_connected == 1);
+  CHECK(Counts().attempts_not_connected == 1);
 }
 
 // Guards the rule of careful drains: the attempt would send its first byte when it comes up, long after the
@@ -319,8 +319,8 @@
     discovery send {"revision":2,"complete":false,"members":[{"id":"s-1","phase":"draining"}]}
     wait 160
   )");
-  CHECK(Counts().legs == 2);
-  CHECK(Counts().legs_not_connected == 1);
+  CHECK(Counts().attempts == 2);
+  CHECK(Counts().attempts_not_connected == 1);
 }
 
 TEST_CASE_METHOD(Alone, "a drain that is told stops sending") {
@@ -331,7 +331,7 @@
     a expect BUSY*
     s-1 legs 0
   )");
-  CHECK(Counts().legs == 0);
+  CHECK(Counts().attempts == 0);
 }
 
 TEST_CASE_METHOD(Alone, "a watch that ends, is refused or falls silent is made anew and the list stays") {
@@ -346,8 +346,8 @@
   }
   SECTION("half a line") {
     Play("discovery raw {\"revision\":9,\"complete\":true,\"mem\nwait 2700\ndiscovery watches 2");
-    CHECK(Counts().watches_failed == 1);
-    CHECK(Counts().lists == 0);
+    CHECK(Counts().watch_failures == 1);
+    CHECK(Counts().endpoint_updates == 0);
   }
   SECTION("malformed") { Play("discovery send {\"revision\":}\nwait 100\ndiscovery watches 2"); }
   SECTION("no object") { Play("discovery send 17\nwait 100\ndiscovery watches 2"); }
@@ -355,7 +355,7 @@
   SECTION("cut") {
     Play("discovery send {\"revision\":\ndiscovery send {\"revision\":2,\"members\":[]}\nwait 2700");
     Play("discovery watches 2");
-    CHECK(Counts().lists == 0);
+    CHECK(Counts().endpoint_updates == 0);
   }
   Play(kStand);
 }
@@ -385,7 +385,7 @@
     wait 500
     a expect BUSY*
   )");
-  CHECK(world.Counts().legs == 0);
+  CHECK(world.Counts().attempts == 0);
 }
 
 TEST_CASE_METHOD(Alone,
@@ -401,8 +401,8 @@
     s-1 send UP r1
     b expect UP r1
   )");
-  CHECK(Counts().legs_not_connected >= 1);
-  CHECK(Counts().legs_not_connected <= 5);
+  CHECK(Counts().attempts_not_connected >= 1);
+  CHECK(Counts().attempts_not_connected <= 5);
 }
 
 TEST_CASE_METHOD(Alone, "a host that answers nonsense is counted and tried again within bounds") {
@@ -416,14 +416,14 @@
     s-1#2 send UP r2
     a expect UP r2
   )");
-  CHECK(Counts().legs_error == 1);
+  CHECK(Counts().attempts_failed == 1);
 }
 
 // Discovery serves calls in turn: a hundred relays that lose their watches together overran it for good.
 TEST_CASE("one relay of a hundred begins its watch within a spread and comes again late") {
   World world({"s-1"}, 0, 100);
   world.Play("wait 4000\ndiscovery watches 1\ndiscovery refuse\ndiscovery close\nwait 1000");
-  CHECK(world.Counts().watches_failed == 1);
+  CHECK(world.Counts().watch_failures == 1);
   world.Play("wait 2500\ndiscovery watches 2\ndiscovery serve\nwait 6000\ndiscovery watches 3");
   world.Play(kStand);
 }
@@ -454,7 +454,7 @@
       "discovery watches 1\nreload discovery\nreload discovery2\nreload discovery2\ndrain\nreload discovery");
   Play("discovery watches 2\ndiscovery2 expect-end");
   CHECK(Counts().reloads == 4);
-  CHECK(Counts().watches_failed == 0);
+  CHECK(Counts().watch_failures == 0);
 }
 
 }  // namespace
--- a/tests/simulator_adapter/adapter_test.cpp
+++ b/tests/simulator_adapter/adapter_test.cpp
@@ -1,9 +1,9 @@
 // The JSON wire: round trips, full-precision ids, tolerance and refusal.
-#include <gtest/gtest.h>
+#include "simulator_adapter/adapter.h"
 
-#include "wire.h"
+#include <gtest/gtest.h>
 
-namespace balancer::adapter {
+namespace stoatrun {
 namespace {
 
 const char* const kFacts =
@@ -21,7 +21,7 @@
   return R"(["Attach",)" + n + ",5," + kFacts + R"(],["Members",)" + n +
          R"(,2,1,[[4294967295,0,0,0,1,1,null]]])";
 }
-std::string Failure(Adapter& adapter, const std::string& line) {
+std::string Failure(SimulatorAdapter& adapter, const std::string& line) {
   try {
     adapter.HandleLine(line);
   } catch (const WireError& e) {
@@ -30,34 +30,35 @@
   return "";
 }
 
-TEST(Wire, EmptyBatch) { EXPECT_EQ(Adapter().HandleLine(Batch("")), R"({"cmds":[]})"); }
+TEST(Wire, EmptyBatch) { EXPECT_EQ(SimulatorAdapter().HandleLine(Batch("")), R"({"cmds":[]})"); }
 
 TEST(Wire, RequestIsSentWithItsFullId) {
-  Adapter a;
-  a.HandleLine(Batch(Start(3)));
-  const std::string reply = a.HandleLine(
+  SimulatorAdapter adapter;
+  adapter.HandleLine(Batch(Start(3)));
+  const std::string reply = adapter.HandleLine(
       Batch(R"(["Incoming",3,9007199254740993,0,null,"s-k",2000000,null,null,false,false,false])"));
   EXPECT_NE(reply.find(R"(["Send",3,9007199254740993,4294967295,)"), std::string::npos) << reply;
 }
 
 TEST(Wire, KillAndRestartInOneBatchForgetsTheOldList) {
-  Adapter a;
-  a.HandleLine(Batch(Start(3)));
+  SimulatorAdapter adapter;
+  adapter.HandleLine(Batch(Start(3)));
   const std::string request = R"(["Incoming",3,7,0,null,null,2000000,null,null,false,false,false])";
   const std::string attach =
       std::string(R"(["CrashNow",3],["Attach",3,6,)") + kFacts + R"(],["Members",3,2,1,[]],)";
-  EXPECT_EQ(a.HandleLine(Batch(attach + request)).find("Send"), std::string::npos);
+  EXPECT_EQ(adapter.HandleLine(Batch(attach + request)).find("Send"), std::string::npos);
 }
 
 TEST(Wire, EventsForInstancesThatAreNotAttachedAreIgnored) {
-  Adapter a;
-  EXPECT_EQ(a.HandleLine(Batch(R"(["Gone",5,2928369074121497],["Due",5,77])")), R"({"cmds":[]})");
+  SimulatorAdapter adapter;
+  EXPECT_EQ(adapter.HandleLine(Batch(R"(["Gone",5,2928369074121497],["Due",5,77])")), R"({"cmds":[]})");
 }
 
 TEST(Wire, ReportsWithNullsAndUnknownOutcomesAreTaken) {
-  Adapter a;
-  a.HandleLine(Batch(Start(3) + R"(,["Incoming",3,7,0,null,null,2000000,null,null,false,false,false])"));
-  const std::string reply = a.HandleLine(Batch(
+  SimulatorAdapter adapter;
+  adapter.HandleLine(
+      Batch(Start(3) + R"(,["Incoming",3,7,0,null,null,2000000,null,null,false,false,false])"));
+  const std::string reply = adapter.HandleLine(Batch(
       R"(["ProbeDone",3,4294967295,1500,"pass",[null]],["ProbeDone",3,4294967295,1500,"no_route",null],)"
       R"(["Result",3,7,18500,"never_heard_of",false,0,4294967295,null],["PeerData",3,1,"00ff"],)"
       R"(["Notice",3,7,0,4294967295,1,12.5],["Notice",3,7,0,4294967295,9,1])"));
@@ -65,19 +66,19 @@
 }
 
 TEST(Wire, MalformedInputNamesTheField) {
-  Adapter a;
-  a.HandleLine(Batch(Start(3)));
-  EXPECT_NE(Failure(a, "{").find("not JSON"), std::string::npos);
-  EXPECT_EQ(Failure(a, "[]"), "line: expected an object");
-  EXPECT_EQ(Failure(a, R"({"input":[]})"), "atTime: missing");
-  EXPECT_EQ(Failure(a, Batch(R"(["Gone",3])")), "Gone.xid: missing");
-  EXPECT_EQ(Failure(a, Batch(R"(["Gone",3,"x"])")), "Gone.xid: expected a whole number of 0 or more");
-  EXPECT_EQ(Failure(a, Batch(R"(["Gone",3,-1])")), "Gone.xid: expected a whole number of 0 or more");
-  EXPECT_EQ(Failure(a, Batch(R"(["Members",3,7,1,[]])")), "Members.form: expected 0 to 3");
-  EXPECT_EQ(Failure(a, Batch(R"(["Members",3,1,1,[[5,0,0,0,4,1,0]]])")),
+  SimulatorAdapter adapter;
+  adapter.HandleLine(Batch(Start(3)));
+  EXPECT_NE(Failure(adapter, "{").find("not JSON"), std::string::npos);
+  EXPECT_EQ(Failure(adapter, "[]"), "line: expected an object");
+  EXPECT_EQ(Failure(adapter, R"({"input":[]})"), "atTime: missing");
+  EXPECT_EQ(Failure(adapter, Batch(R"(["Gone",3])")), "Gone.xid: missing");
+  EXPECT_EQ(Failure(adapter, Batch(R"(["Gone",3,"x"])")), "Gone.xid: expected a whole number of 0 or more");
+  EXPECT_EQ(Failure(adapter, Batch(R"(["Gone",3,-1])")), "Gone.xid: expected a whole number of 0 or more");
+  EXPECT_EQ(Failure(adapter, Batch(R"(["Members",3,7,1,[]])")), "Members.form: expected 0 to 3");
+  EXPECT_EQ(Failure(adapter, Batch(R"(["Members",3,1,1,[[5,0,0,0,4,1,0]]])")),
             "Members.rows.stageState: expected 0 to 2");
-  EXPECT_EQ(Failure(a, Batch(R"(["Mystery",3])")), "Mystery.type: unknown message");
-  EXPECT_EQ(Failure(a, Batch("7")), "input[0]: expected an array");
+  EXPECT_EQ(Failure(adapter, Batch(R"(["Mystery",3])")), "Mystery.type: unknown message");
+  EXPECT_EQ(Failure(adapter, Batch("7")), "input[0]: expected an array");
 }
 
 TEST(Wire, InstancesActTheSameAloneAndTogether) {
@@ -87,7 +88,7 @@
     text.replace(text.find('%'), 1, std::to_string(id));
     return text;
   };
-  Adapter together, first, second;
+  SimulatorAdapter together, first, second;
   together.HandleLine(Batch(Start(1) + "," + Start(2)));
   first.HandleLine(Batch(Start(1)));
   second.HandleLine(Batch(Start(2)));
@@ -101,4 +102,4 @@
 }
 
 }  // namespace
-}  // namespace balancer::adapter
+}  // namespace stoatrun
--- a/tools/balancer_replay.cpp
+++ b/tools/balancer_replay.cpp
@@ -17,7 +17,7 @@
 #include <string_view>
 #include <vector>
 
-#include "wire.h"
+#include "simulator_adapter/adapter.h"
 
 namespace {
 
@@ -26,7 +26,7 @@
 constexpr std::size_t kShown = 400;  // Characters of a reply that differs.
 
 struct Player {
-  balancer::adapter::Adapter adapter;
+  stoatrun::SimulatorAdapter adapter;
   std::string reply;     // Of the batch that was played last.
   bool compared = true;  // With what was recorded.
 };
