--- a/src/cli/fleet_setup.cpp
+++ b/src/cli/fleet_setup.cpp
@@ -21,7 +21,7 @@
   fleet::GossipTransportSetup setup;
   fleet::Settings& s = setup.settings;
   s.fleet = file.name();
-  s.slots = file.places();
+  s.fleet_size = file.places();
   setup.name = config.name;
   // Not the configuration's: where that one stays the same, a new run must not be taken for its former self.
   std::random_device entropy;
@@ -47,25 +47,25 @@
     const Micros window = std::chrono::milliseconds(b.window_ms());
     switch (b.kind()) {
       case config::FleetBudget::COLD_SENDS:
-        s.each.push_back({"cold", b.units(), window});
+        s.quota_templates.push_back({"cold", b.units(), window});
         break;
       case config::FleetBudget::ATTEMPTS:
-        s.budgets.push_back({"attempts", b.units(), window});
+        s.quotas.push_back({"attempts", b.units(), window});
         break;
       case config::FleetBudget::PROBES:
-        s.budgets.push_back({"probes", b.units(), window});
+        s.quotas.push_back({"probes", b.units(), window});
         break;
     }
   }
   for (const auto& group : config.site.groups) {
     if (!file.quotas() || group.quota < 0) continue;
-    s.budgets.push_back({fleet::HintBuilder::Quota(group.name),
-                         static_cast<std::uint32_t>(std::floor(group.quota)), Micros(0)});
+    s.quotas.push_back({fleet::HintBuilder::ConnectionQuota(group.name),
+                        static_cast<std::uint32_t>(std::floor(group.quota)), Micros(0)});
   }
-  s.stale = std::chrono::milliseconds(file.stale_ms());
-  s.taken_per_s = file.most_taken_per_s();
-  s.most_open = file.most_open();
-  s.most_avoided = file.most_avoided_percent() / 100.0;
+  s.stale_after = std::chrono::milliseconds(file.stale_ms());
+  s.max_accepted_per_s = file.most_taken_per_s();
+  s.max_open = file.most_open();
+  s.max_ejected_fraction = file.most_avoided_percent() / 100.0;
   return setup;
 }
 
--- a/src/fleet/io/fleet_member.cpp
+++ b/src/fleet/io/fleet_member.cpp
@@ -6,28 +6,28 @@
 namespace stoatrun::fleet {
 namespace {
 
-Accounts::End ToCountedEnd(FleetClient::ConnectionOutcome outcome) {
+LocalConnectionCounts::Outcome ToCountedEnd(FleetClient::ConnectionOutcome outcome) {
   switch (outcome) {
     case FleetClient::ConnectionOutcome::kServed:
-      return Accounts::End::kServed;
+      return LocalConnectionCounts::Outcome::kServed;
     case FleetClient::ConnectionOutcome::kRejected:
-      return Accounts::End::kRefused;
+      return LocalConnectionCounts::Outcome::kRejected;
     case FleetClient::ConnectionOutcome::kFailed:
       break;
   }
-  return Accounts::End::kFailed;
+  return LocalConnectionCounts::Outcome::kFailed;
 }
 
-Verdict ToVerdict(FleetClient::EndpointCondition condition) {
+HealthVerdict ToVerdict(FleetClient::EndpointCondition condition) {
   switch (condition) {
     case FleetClient::EndpointCondition::kHealthy:
-      return Verdict::kFine;
+      return HealthVerdict::kHealthy;
     case FleetClient::EndpointCondition::kOverloaded:
-      return Verdict::kFull;
+      return HealthVerdict::kOverloaded;
     case FleetClient::EndpointCondition::kFailing:
       break;
   }
-  return Verdict::kFailing;
+  return HealthVerdict::kFailing;
 }
 
 }  // namespace
@@ -39,27 +39,28 @@
       quota_groups_(std::move(quota_groups)) {}
 
 bool FleetMember::TryAcquire(const std::string& name) {
-  return !transport_.LocalNode().Purses().Knows(name) || transport_.Spend(name);
+  return !transport_.LocalNode().Quotas().HasQuota(name) || transport_.TryAcquire(name);
 }
 
 FleetClient::ConnectionHandle FleetMember::BeginConnection(std::size_t class_index, std::string_view group) {
-  const Accounts::Ticket ticket =
-      transport_.LocalNode().Own().Take(static_cast<std::uint32_t>(class_index), group);
-  return {ticket.row, ticket.open, 0};
+  const LocalConnectionCounts::Handle counted =
+      transport_.LocalNode().LocalConnections().Begin(static_cast<std::uint32_t>(class_index), group);
+  return {counted.row, counted.open, 0};
 }
 
 void FleetMember::EndConnection(ConnectionHandle& handle, ConnectionOutcome outcome) {
-  Accounts::Ticket ticket{handle.row, handle.open};
-  transport_.LocalNode().Own().Finish(ticket, ToCountedEnd(outcome));
+  LocalConnectionCounts::Handle counted{handle.row, handle.open};
+  transport_.LocalNode().LocalConnections().End(counted, ToCountedEnd(outcome));
   handle.open = false;
-  if (handle.quota != 0) transport_.LocalNode().Release(HintBuilder::Quota(quota_groups_[handle.quota - 1]));
+  if (handle.quota != 0)
+    transport_.LocalNode().Release(HintBuilder::ConnectionQuota(quota_groups_[handle.quota - 1]));
   handle.quota = 0;
 }
 
 bool FleetMember::TryReserveQuota(ConnectionHandle& handle, std::string_view group) {
   const auto found = std::find(quota_groups_.begin(), quota_groups_.end(), group);
   if (found == quota_groups_.end()) return true;
-  if (!transport_.Spend(HintBuilder::Quota(group))) return false;
+  if (!transport_.TryAcquire(HintBuilder::ConnectionQuota(group))) return false;
   handle.quota = static_cast<std::uint32_t>(found - quota_groups_.begin()) + 1;
   return true;
 }
@@ -68,7 +69,7 @@
   std::vector<ExcessReservation> result;
   for (std::size_t k = 0; k < quota_groups_.size(); ++k) {
     const std::uint32_t excess =
-        transport_.LocalNode().Purses().Excess(loop_.Now(), HintBuilder::Quota(quota_groups_[k]));
+        transport_.LocalNode().Quotas().Excess(loop_.Now(), HintBuilder::ConnectionQuota(quota_groups_[k]));
     if (excess > 0) result.push_back({static_cast<std::uint32_t>(k) + 1, excess});
   }
   return result;
@@ -79,23 +80,23 @@
 bool FleetMember::TryAcquireProbe() { return TryAcquire("probes"); }
 
 bool FleetMember::TryAcquireSlowStartSend(std::string_view endpoint) {
-  return TryAcquire(HintBuilder::Cold(endpoint));
+  return TryAcquire(HintBuilder::SlowStartQuota(endpoint));
 }
 
 void FleetMember::OnRequestSent(std::string_view endpoint) {
-  transport_.LocalNode().NoteSent(loop_.Now(), std::string(endpoint));
+  transport_.LocalNode().OnRequestSent(loop_.Now(), std::string(endpoint));
 }
 
 void FleetMember::OnEndpointObserved(std::string_view endpoint, EndpointCondition condition) {
-  transport_.LocalNode().Servers().Observe(loop_.Now(), std::string(endpoint), ToVerdict(condition));
+  transport_.LocalNode().Outliers().Observe(loop_.Now(), std::string(endpoint), ToVerdict(condition));
 }
 
 void FleetMember::OnEndpointsListed(const std::vector<ListedEndpoint>& endpoints) {
-  hint_builder_.Listed(endpoints);
+  hint_builder_.SetEndpoints(endpoints);
 }
 
 std::vector<FleetClient::EndpointHint> FleetMember::TakeHints(const std::vector<std::string>& warming_up) {
-  return hint_builder_.Advise(loop_.Now(), warming_up);
+  return hint_builder_.TakeHints(loop_.Now(), warming_up);
 }
 
 }  // namespace stoatrun::fleet
--- a/src/fleet/io/gossip_transport.cpp
+++ b/src/fleet/io/gossip_transport.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr int kDatagramsATurn = 64;
-constexpr std::array<std::string_view, 4> kStandings{"alive", "suspected", "silent", "left"};
+constexpr std::array<std::string_view, 4> kStateNames{"alive", "suspected", "silent", "left"};
 
-Life FirstLife(const GossipTransportSetup& setup) {
+Incarnation FirstIncarnation(const GossipTransportSetup& setup) {
   return {static_cast<std::uint64_t>(std::max<std::int64_t>(1, setup.wall_ms)),
           Mixed(setup.seed, 0x11fe) | 1U};
 }
@@ -26,7 +26,7 @@
 GossipTransport::GossipTransport(EventLoop& loop, const GossipTransportSetup& setup)
     : loop_(loop),
       setup_(setup),
-      node_(setup.settings, setup.name, FirstLife(setup), Mixed(setup.seed, 0xf1ee7), loop.Now()),
+      node_(setup.settings, setup.name, FirstIncarnation(setup), Mixed(setup.seed, 0xf1ee7), loop.Now()),
       tick_(loop.timers, [this] { Tick(); }) {
   ev_init(&io_, OnReadable);
   io_.data = this;
@@ -61,7 +61,7 @@
 
 void GossipTransport::Leave() {
   if (fd_ < 0) return;
-  Out out;
+  Outbox out;
   node_.Leave(loop_.Now(), out);
   Send(out);
   tick_.Cancel();
@@ -69,15 +69,15 @@
   close(std::exchange(fd_, -1));
 }
 
-void GossipTransport::Follow(const std::vector<Peer>& peers, const std::map<Slot, Address>& addresses) {
+void GossipTransport::Follow(const std::vector<Peer>& peers, const std::map<MemberId, Address>& addresses) {
   setup_.addresses = addresses;
   node_.Follow(peers, loop_.Now());
 }
 
-bool GossipTransport::Spend(const std::string& budget) {
+bool GossipTransport::TryAcquire(const std::string& quota) {
   loop_.clock.Read();
-  Out out;
-  const bool spent = node_.Spend(loop_.Now(), budget, out);
+  Outbox out;
+  const bool spent = node_.TryAcquire(loop_.Now(), quota, out);
   Send(out);
   return spent;
 }
@@ -87,7 +87,8 @@
 }
 
 void GossipTransport::Read() {
-  std::array<char, 2048> buffer;  // Over the largest datagram: a longer one is cut, and its checksum fails.
+  std::array<char, 2048>
+      buffer;  // OnIncarnationEnded the largest datagram: a longer one is cut, and its checksum fails.
   for (int k = 0; k < kDatagramsATurn; ++k) {
     Address from;
     socklen_t size = sizeof from.raw;
@@ -100,18 +101,18 @@
     ++counts_.received;
     counts_.bytes_in += static_cast<std::uint64_t>(n);
     auto read = Decode({buffer.data(), static_cast<std::size_t>(n)}, setup_.settings.fleet);
-    if (const auto* why = std::get_if<Unread>(&read)) {
+    if (const auto* why = std::get_if<DecodeError>(&read)) {
       switch (*why) {
-        case Unread::kNotOurs:
+        case DecodeError::kNotOurs:
           ++counts_.not_ours;
           break;
-        case Unread::kSchema:
+        case DecodeError::kSchema:
           ++counts_.other_schema;
           break;
-        case Unread::kChecksum:
+        case DecodeError::kChecksum:
           ++counts_.damaged;
           break;
-        case Unread::kMalformed:
+        case DecodeError::kMalformed:
           ++counts_.malformed;
           break;
       }
@@ -123,13 +124,13 @@
       ++counts_.wrong_address;
       continue;
     }
-    Out out;
+    Outbox out;
     node_.OnDatagram(loop_.Now(), datagram, out);
     Send(out);
   }
 }
 
-void GossipTransport::Send(const Out& out) {
+void GossipTransport::Send(const Outbox& out) {
   if (fd_ < 0) return;
   for (const Outgoing& o : out) {
     const auto address = setup_.addresses.find(o.to);
@@ -148,38 +149,39 @@
 }
 
 void GossipTransport::Tick() {
-  Out out;
+  Outbox out;
   node_.Tick(loop_.Now(), out);
   Send(out);
-  Say();
+  LogChanges();
   tick_.Set(loop_.Now() + setup_.settings.tick);
 }
 
-// What on-call staff should see, once each time it changes.
-void GossipTransport::Say() {
+// What on-call staff should see, once quota_templates time it changes.
+void GossipTransport::LogChanges() {
   for (const auto& m : node_.Members().Members()) {
-    const auto [at, fresh] = said_.try_emplace(m.slot, Standing::kSilent);
-    if (at->second != m.standing) {
-      const bool bad = m.standing == Standing::kSilent;
-      if (m.standing != Standing::kSuspected && at->second != Standing::kSuspected) {
+    const auto [at, fresh] = logged_.try_emplace(m.member_id, MemberState::kDead);
+    if (at->second != m.state) {
+      const bool bad = m.state == MemberState::kDead;
+      if (m.state != MemberState::kSuspect && at->second != MemberState::kSuspect) {
         LogLine(bad ? Level::kWarn : Level::kInfo, "fleet member")
             .Field("name", m.name)
-            .Field("standing", kStandings[static_cast<std::size_t>(m.standing)])
-            .Field("generation", m.life.generation);
+            .Field("standing", kStateNames[static_cast<std::size_t>(m.state)])
+            .Field("generation", m.incarnation.generation);
       } else if (bad) {
         LogLine(Level::kWarn, "fleet member").Field("name", m.name).Field("standing", "silent");
       }
-      at->second = m.standing;
+      at->second = m.state;
     }
-    if (m.twins && !std::exchange(said_peer_twins_[m.slot], true)) {
+    if (m.duplicate && !std::exchange(logged_peer_duplicate_[m.member_id], true)) {
       LogLine(Level::kError, "fleet: two processes run under one name").Field("name", m.name);
     }
   }
-  if (node_.Members().SelfTwins() && !std::exchange(said_twins_, true)) {
+  if (node_.Members().HasDuplicate() && !std::exchange(logged_duplicate_, true)) {
     LogLine(Level::kError, "fleet: another process runs under this relay's name").Field("name", setup_.name);
   }
-  if (!node_.Balanced() && !std::exchange(said_unbalanced_, true)) {
-    LogLine(Level::kError, "fleet: accounts do not balance").Field("breaches", node_.Own().Breaches());
+  if (!node_.Balanced() && !std::exchange(logged_unbalanced_, true)) {
+    LogLine(Level::kError, "fleet: accounts do not balance")
+        .Field("breaches", node_.LocalConnections().Breaches());
   }
 }
 
@@ -189,7 +191,7 @@
       .Field("fleet_bytes_out", counts_.bytes_out)
       .Field("fleet_dropped", counts_.not_ours + counts_.other_schema + counts_.damaged + counts_.malformed)
       .Field("fleet_wrong_address", counts_.wrong_address)
-      .Field("fleet_strangers", node_.Counted().strangers);
+      .Field("fleet_strangers", node_.GetCounts().strangers);
 }
 
 }  // namespace stoatrun::fleet
--- a/src/fleet/io/gossip_transport.h
+++ b/src/fleet/io/gossip_transport.h
@@ -1,7 +1,7 @@
 // The fleet's socket: one UDP socket on the loop, the node behind it, and its log lines and counters.
 //
 // A datagram counts as a peer's only if it came from the address that the operator file gives for it. What
-// can't be sent now is dropped: everything that relays tell each other is told again.
+// can't be sent now is dropped: everything that relays tell quota_templates other is told again.
 #ifndef STOATRUN_FLEET_IO_GOSSIP_TRANSPORT_H_
 #define STOATRUN_FLEET_IO_GOSSIP_TRANSPORT_H_
 
@@ -25,9 +25,9 @@
   std::string name;
   Address listen;
   std::string listen_text;
-  std::map<Slot, Address> addresses;  // Of the peers.
+  std::map<MemberId, Address> addresses;  // Of the peers.
   std::uint64_t seed = 0;
-  std::int64_t wall_ms = 0;  // Unix time of the start: the life's generation.
+  std::int64_t wall_ms = 0;  // Unix time of the start: the incarnation's generation.
 };
 
 struct GossipTransportCounts {
@@ -44,11 +44,11 @@
 
   void Start();  // Throws std::system_error if the address can't be had.
   void Leave();  // An orderly end: tells a few, and closes.
-  void Follow(const std::vector<Peer>& peers, const std::map<Slot, Address>& addresses);
+  void Follow(const std::vector<Peer>& peers, const std::map<MemberId, Address>& addresses);
 
-  // Takes one unit of a budget. The clock is read here, so that a process that was stopped in the middle of a
-  // turn finds its lease over.
-  bool Spend(const std::string& budget);
+  // Takes one unit of a quota. The clock is read here, so that a process that was stopped in the middle of a
+  // turn finds its lease ended.
+  bool TryAcquire(const std::string& quota);
   Node& LocalNode() { return node_; }
   const Node& LocalNode() const { return node_; }
   const std::string& Name() const { return setup_.name; }
@@ -59,9 +59,9 @@
  private:
   static void OnReadable(struct ev_loop* loop, ev_io* w, int events);
   void Read();
-  void Send(const Out& out);
+  void Send(const Outbox& out);
   void Tick();
-  void Say();
+  void LogChanges();
 
   EventLoop& loop_;
   GossipTransportSetup setup_;
@@ -70,9 +70,9 @@
   int fd_ = -1;
   Timer tick_;
   GossipTransportCounts counts_;
-  std::map<Slot, Standing> said_;  // As it was logged last.
-  bool said_twins_ = false, said_unbalanced_ = false;
-  std::map<Slot, bool> said_peer_twins_;
+  std::map<MemberId, MemberState> logged_;  // As it was logged last.
+  bool logged_duplicate_ = false, logged_unbalanced_ = false;
+  std::map<MemberId, bool> logged_peer_duplicate_;
 };
 
 }  // namespace stoatrun::fleet
--- a/src/fleet/node.cpp
+++ b/src/fleet/node.cpp
@@ -10,18 +10,20 @@
 using std::chrono::seconds;
 
 constexpr std::size_t kMostSentAt = 64;
-constexpr Micros kUnseen = milliseconds(1500);    // So long a send may be missing in a server's reports.
+constexpr Micros kUnreportedFor =
+    milliseconds(1500);                           // So long a send may be missing in a endpoint's reports.
 constexpr Micros kSentNews = milliseconds(1500);  // What a peer told of its sends is of use so long.
 constexpr std::size_t kMostSends = 4096;
-// Shares of a datagram. What is urgent goes first; counts fill the rest of an answer.
+// Shares of a datagram. What is urgent goes first; counts fill the rest of an ack.
 constexpr std::size_t kRoomMembers = 200, kRoomEvidence = 220, kRoomHave = 420, kRoomCounts = 820,
                       kRoomRoster = 800, kRoomFresher = 300;
 constexpr std::size_t kMostSentTold = 12, kMostIdleTold = 8, kMostReturns = 8;
 constexpr std::size_t kTellLeave = 5;
-constexpr Micros kAskPause = milliseconds(50);  // What is refused makes asks go out, but not each time.
+constexpr Micros kRequestInterval =
+    milliseconds(50);  // What is rejected makes requests go out, but not quota_templates time.
 
-// Up to 16 relays each tick; beyond that pauses grow with the logarithm, so that what one relay sends does
-// not grow with the fleet.
+// Up to 16 relays quota_templates tick; beyond that pauses grow with the logarithm, so that what one relay
+// sends does not grow with the fleet.
 Micros GossipPause(Micros tick, std::size_t peers) {
   const double beyond = std::max(0.0, std::log2(static_cast<double>(peers + 1) / 16.0));
   return Micros(static_cast<std::int64_t>(static_cast<double>(tick.count()) * (1 + beyond)));
@@ -29,16 +31,17 @@
 
 }  // namespace
 
-Node::Node(const Settings& settings, std::string name, Life life, std::uint64_t seed, Micros now)
+Node::Node(const Settings& settings, std::string name, Incarnation incarnation, std::uint64_t seed,
+           Micros now)
     : settings_(settings),
       name_(std::move(name)),
       random_(seed),
-      members_(settings, life, random_.Next(), now),
-      budgets_(settings, random_.Next(), now),
+      members_(settings, incarnation, random_.Next(), now),
+      quotas_(settings, random_.Next(), now),
       totals_(settings, random_.Next()),
-      judgements_(settings) {
+      outliers_(settings) {
   // From the first moment this run is known here: what is told of its place later is of former ones.
-  totals_.Own(now, life, ++report_, {});
+  totals_.SetLocal(now, incarnation, ++report_, {});
   reported_ = true;
   reported_at_ = now;
 }
@@ -46,38 +49,38 @@
 void Node::Follow(const std::vector<Peer>& peers, Micros now) {
   settings_.peers = peers;
   members_.Follow(peers, now);
-  budgets_.Follow(peers);
+  quotas_.Follow(peers);
   totals_.Follow(peers);
   std::erase_if(links_, [&](const auto& l) { return members_.Find(l.first) == nullptr; });
 }
 
-std::vector<Slot> Node::AliveSlots() const {
-  std::vector<Slot> alive;
+std::vector<MemberId> Node::AliveMembers() const {
+  std::vector<MemberId> alive;
   for (const auto& m : members_.Members()) {
-    if (m.standing == Standing::kAlive) alive.push_back(m.slot);
+    if (m.state == MemberState::kAlive) alive.push_back(m.member_id);
   }
   return alive;
 }
 
 // A datagram under way to `to`: the one of this turn, if there is one.
-Datagram& Node::To(Micros now, Slot to, Out& out, bool news) {
-  const auto with_news = [&](Datagram& d) -> Datagram& {
-    if (news && d.members.empty()) d.members = members_.News(to, kRoomMembers);
+Datagram& Node::To(Micros now, MemberId to, Outbox& out, bool update) {
+  const auto with_updates = [&](Datagram& d) -> Datagram& {
+    if (update && d.member_updates.empty()) d.member_updates = members_.UpdatesFor(to, kRoomMembers);
     return d;
   };
   for (Outgoing& o : out) {
-    if (o.to == to) return with_news(o.datagram);
+    if (o.to == to) return with_updates(o.datagram);
   }
   Link& link = links_[to];
   Datagram d;
   d.from = settings_.self;
   d.name = name_;
-  d.life = members_.SelfLife();
   d.incarnation = members_.SelfIncarnation();
+  d.refutations = members_.SelfRefutations();
   d.seq = ++link.sent_seq;
-  d.slots = settings_.slots;
-  if (link.heard_life) {
-    d.echo_run = RunOf(link.heard_life);
+  d.fleet_size = settings_.fleet_size;
+  if (link.heard_incarnation) {
+    d.echo_run = RunOf(link.heard_incarnation);
     d.echo_seq = link.heard_seq;
     d.echo_held = now - link.heard_at;
   }
@@ -85,13 +88,13 @@
   if (link.sent_at.size() > kMostSentAt) link.sent_at.pop_front();
   ++counts_.out;
   out.push_back({to, std::move(d)});
-  return with_news(out.back().datagram);
+  return with_updates(out.back().datagram);
 }
 
 // The datagram left its sender after ours, which it names, had come there, and was held there for the time
 // that it tells. All else of the time since ours went out may have been its way.
 std::optional<Micros> Node::Transit(Micros now, const Link& link, const Datagram& d) const {
-  if (d.echo_run != RunOf(members_.SelfLife())) return std::nullopt;
+  if (d.echo_run != RunOf(members_.SelfIncarnation())) return std::nullopt;
   for (const auto& [seq, at] : link.sent_at) {
     // Either clock may be the fast one.
     if (seq == d.echo_seq) return std::max(Micros(0), AtLeast(now - at) - AtMost(d.echo_held));
@@ -100,42 +103,42 @@
 }
 
 void Node::Report(Micros now) {
-  if (reported_ && accounts_.Changes() == reported_changes_) {  // Still true: it is as of now.
-    totals_.Own(now, members_.SelfLife(), report_, accounts_.Rows());
+  if (reported_ && local_connections_.Changes() == reported_changes_) {  // Still true: it is as of now.
+    totals_.SetLocal(now, members_.SelfIncarnation(), report_, local_connections_.Rows());
     return;
   }
   if (reported_ && now < reported_at_ + FleetCounts::ReportPause(members_.Members().size() + 1)) return;
   reported_ = true;
   reported_at_ = now;
-  reported_changes_ = accounts_.Changes();
-  totals_.Own(now, members_.SelfLife(), ++report_, accounts_.Rows());
+  reported_changes_ = local_connections_.Changes();
+  totals_.SetLocal(now, members_.SelfIncarnation(), ++report_, local_connections_.Rows());
 }
 
 FleetCounts::Total Node::Sum(Micros now, std::optional<std::uint32_t> class_index,
                              std::optional<std::string_view> group) {
   // Our own part is what it is now. The version rises, so that nobody takes two states for one.
-  if (!reported_ || accounts_.Changes() != reported_changes_) {
+  if (!reported_ || local_connections_.Changes() != reported_changes_) {
     reported_ = true;
-    reported_changes_ = accounts_.Changes();
+    reported_changes_ = local_connections_.Changes();
     ++report_;
   }
-  totals_.Own(now, members_.SelfLife(), report_, accounts_.Rows());
+  totals_.SetLocal(now, members_.SelfIncarnation(), report_, local_connections_.Rows());
   return totals_.Sum(now, class_index, group);
 }
 
-void Node::NoteSent(Micros now, const std::string& server) {
-  sends_.emplace_back(now, server);
-  while (sends_.size() > kMostSends || (!sends_.empty() && sends_.front().first + kUnseen <= now))
+void Node::OnRequestSent(Micros now, const std::string& endpoint) {
+  sends_.emplace_back(now, endpoint);
+  while (sends_.size() > kMostSends || (!sends_.empty() && sends_.front().first + kUnreportedFor <= now))
     sends_.pop_front();
 }
 
-std::optional<double> Node::UnseenByOthers(Micros now, const std::string& server) const {
+std::optional<double> Node::UnreportedInFlight(Micros now, const std::string& endpoint) const {
   double told = 0;
   std::size_t relays = 0;
-  for (const auto& [slot, link] : links_) {
+  for (const auto& [member_id, link] : links_) {
     if (!link.sent_told || now >= link.sent_told_at + kSentNews) continue;
     ++relays;
-    const auto at = link.sent.find(server);
+    const auto at = link.sent.find(endpoint);
     if (at != link.sent.end()) told += at->second;
   }
   if (relays == 0) return std::nullopt;
@@ -143,118 +146,123 @@
          static_cast<double>(relays);
 }
 
-bool Node::Spend(Micros now, const std::string& budget, Out& out) {
-  if (budgets_.Spend(now, budget)) return true;
-  if (now >= asked_at_ + kAskPause) {
-    Ask(now, out);
-    Trim(out);
+bool Node::TryAcquire(Micros now, const std::string& quota, Outbox& out) {
+  if (quotas_.TryAcquire(now, quota)) return true;
+  if (now >= requested_at_ + kRequestInterval) {
+    RequestLeases(now, out);
+    TrimToSize(out);
   }
   return false;
 }
 
-void Node::Ask(Micros now, Out& out) {
-  asked_at_ = now;
-  const std::vector<Slot> alive = AliveSlots();
-  for (const Budgets::Wanted& w : budgets_.Tick(now)) {
-    const auto lender = w.lender ? w.lender : budgets_.LenderFor(now, w.ask.budget, alive);
+void Node::RequestLeases(Micros now, Outbox& out) {
+  requested_at_ = now;
+  const std::vector<MemberId> alive = AliveMembers();
+  for (const QuotaLeases::DueRequest& w : quotas_.Tick(now)) {
+    const auto lender = w.lender ? w.lender : quotas_.LenderFor(now, w.request.quota, alive);
     if (!lender) continue;
     Datagram& d = To(now, *lender, out);
-    if (SizeOf(d) + 64 + w.ask.budget.size() > kMostDatagram) continue;
-    d.asks.push_back(w.ask);
-    budgets_.Asked(now, *lender, w.ask);
+    if (SizeOf(d) + 64 + w.request.quota.size() > kMaxDatagramBytes) continue;
+    d.lease_requests.push_back(w.request);
+    quotas_.OnRequestSent(now, *lender, w.request);
   }
 }
 
-void Node::Tick(Micros now, Out& out) {
+void Node::Tick(Micros now, Outbox& out) {
   Turn(now, out);
-  Trim(out);
+  TrimToSize(out);
 }
 
-void Node::OnDatagram(Micros now, const Datagram& d, Out& out) {
+void Node::OnDatagram(Micros now, const Datagram& d, Outbox& out) {
   Take(now, d, out);
-  Trim(out);
+  TrimToSize(out);
 }
 
-void Node::Turn(Micros now, Out& out) {
+void Node::Turn(Micros now, Outbox& out) {
   Report(now);
-  for (const auto& [slot, look] : members_.Tick(now)) {
-    Datagram& d = To(now, slot, out, true);
-    // Two looks for one peer in a turn: the one that is for somebody else waits for its next chance.
-    if (!d.look) d.look = look;
+  for (const auto& [member_id, ping] : members_.Tick(now)) {
+    Datagram& d = To(now, member_id, out, true);
+    // Two pings for one peer in a turn: the one that is for somebody else waits for its next chance.
+    if (!d.ping) d.ping = ping;
   }
-  Ask(now, out);
+  RequestLeases(now, out);
   for (const auto& m : members_.Members()) {
-    if (!m.life || m.standing == Standing::kLeft) continue;
-    const std::vector<LeaseReturn> returns = budgets_.Returns(m.slot);
+    if (!m.incarnation || m.state == MemberState::kLeft) continue;
+    const std::vector<LeaseReturn> returns = quotas_.Returns(m.member_id);
     if (returns.empty()) continue;
-    Datagram& d = To(now, m.slot, out);
+    Datagram& d = To(now, m.member_id, out);
     for (std::size_t k = 0; k < returns.size() && k < kMostReturns; ++k) d.returns.push_back(returns[k]);
   }
-  for (const Budgets::Lease& l : budgets_.Lent(now)) {  // A level's lease that ended and was not given back.
+  for (const QuotaLeases::Lease& l :
+       quotas_.Lent(now)) {  // A level's lease that ended and was not given back.
     if (!l.ended) continue;
-    To(now, l.other, out).who_holds = true;
+    To(now, l.other, out).wants_held_leases = true;
   }
   if (now < next_gossip_) return;
   next_gossip_ = now + GossipPause(settings_.tick, members_.Members().size());
   auto to = members_.AnyAlive();
   if (!to && !members_.Members().empty())
-    to = members_.Members()[random_.Below(members_.Members().size())].slot;
+    to = members_.Members()[random_.Below(members_.Members().size())].member_id;
   if (!to) return;
   Datagram& d = To(now, *to, out, true);
-  d.digest = true;
-  d.roster_from = totals_.RosterWanted(now, *to);
+  d.periodic = true;
+  d.member_list_from = totals_.MemberListWanted(now, *to);
   const auto left = [&](std::size_t most) {
     const std::size_t size = SizeOf(d);
-    return size >= kMostDatagram ? 0 : std::min(most, kMostDatagram - size);
+    return size >= kMaxDatagramBytes ? 0 : std::min(most, kMaxDatagramBytes - size);
   };
-  d.evidence = judgements_.News(now, members_.SelfLife(), left(kRoomEvidence), members_.Members().size() + 1);
-  d.have = totals_.Have(now, left(kRoomHave));
+  d.evidence = outliers_.EvidenceToGossip(now, members_.SelfIncarnation(), left(kRoomEvidence),
+                                          members_.Members().size() + 1);
+  d.digests = totals_.Have(now, left(kRoomHave));
   std::map<std::string, std::uint32_t> sent;
-  for (const auto& [at, server] : sends_) {
-    if (now < at + kUnseen) ++sent[server];
+  for (const auto& [at, endpoint] : sends_) {
+    if (now < at + kUnreportedFor) ++sent[endpoint];
   }
-  for (const auto& [server, count] : sent) {
-    const Sent part{server, count};
-    if (d.sent.size() < kMostSentTold && SizeOf(part) <= left(kMostDatagram)) d.sent.push_back(part);
+  for (const auto& [endpoint, count] : sent) {
+    const UnreportedSends part{endpoint, count};
+    if (d.unreported_sends.size() < kMostSentTold && SizeOf(part) <= left(kMaxDatagramBytes))
+      d.unreported_sends.push_back(part);
   }
-  std::vector<Idle> idle = budgets_.IdleNow(now);
+  std::vector<IdleUnits> idle = quotas_.IdleUnitsNow(now);
   random_.Shuffle(idle);
-  for (const Idle& part : idle) {
-    if (d.idle.size() < kMostIdleTold && SizeOf(part) <= left(kMostDatagram)) d.idle.push_back(part);
+  for (const IdleUnits& part : idle) {
+    if (d.idle_units.size() < kMostIdleTold && SizeOf(part) <= left(kMaxDatagramBytes))
+      d.idle_units.push_back(part);
   }
-  d.who_holds = d.who_holds || budgets_.WantsHeldOf(*to);
+  d.wants_held_leases = d.wants_held_leases || quotas_.NeedsHeldFrom(*to);
 }
 
-void Node::Take(Micros now, const Datagram& d, Out& out) {
+void Node::Take(Micros now, const Datagram& d, Outbox& out) {
   const Membership::Member* m = members_.Find(d.from);
-  if (m == nullptr || m->name != d.name || d.from == settings_.self || !d.life) {
+  if (m == nullptr || m->name != d.name || d.from == settings_.self || !d.incarnation) {
     ++counts_.strangers;
     return;
   }
   ++counts_.in;
-  const auto hear = [&](const MemberNews& news) {
-    const Membership::Change change = members_.Hear(now, news);
-    if (change.left) totals_.Over(now, news.slot, news.life);
+  const auto hear = [&](const MemberUpdate& update) {
+    const Membership::Change change = members_.OnUpdate(now, update);
+    if (change.left) totals_.OnIncarnationEnded(now, update.member_id, update.incarnation);
     if (!change.superseded) {
-      if (members_.Present(news.slot, news.life) && news.standing != Standing::kLeft)
-        totals_.Heard(now, news.slot, news.life);
+      if (members_.Present(update.member_id, update.incarnation) && update.state != MemberState::kLeft)
+        totals_.Heard(now, update.member_id, update.incarnation);
       return;
     }
-    budgets_.OnSuperseded(news.slot, change.former);
-    judgements_.Over(news.slot, change.former);
-    totals_.Over(now, news.slot, change.former, news.life);
-    totals_.Heard(now, news.slot, news.life);
+    quotas_.OnIncarnationSuperseded(update.member_id, change.former);
+    outliers_.OnIncarnationEnded(update.member_id, change.former);
+    totals_.OnIncarnationEnded(now, update.member_id, change.former, update.incarnation);
+    totals_.Heard(now, update.member_id, update.incarnation);
   };
-  hear({d.from, d.life, d.incarnation, Standing::kAlive});
-  if (!members_.Present(d.from, d.life)) {
-    // Of a run that is over, or of one that does not know that it came after another: told, it raises itself.
+  hear({d.from, d.incarnation, d.refutations, MemberState::kAlive});
+  if (!members_.Present(d.from, d.incarnation)) {
+    // Of a run that is ended, or of one that does not know that it came after another: told, it raises
+    // itself.
     ++counts_.former_runs;
-    To(now, d.from, out).members.push_back({d.from, m->life, m->incarnation, m->standing});
+    To(now, d.from, out).member_updates.push_back({d.from, m->incarnation, m->refutations, m->state});
     return;
   }
   Link& link = links_[d.from];
-  if (link.heard_life.id != d.life.id) {
-    link.heard_life = d.life;
+  if (link.heard_incarnation.id != d.incarnation.id) {
+    link.heard_incarnation = d.incarnation;
     link.heard_seq = 0;
     link.sent_told = false;
   }
@@ -262,126 +270,133 @@
   if (d.seq > link.heard_seq) {
     link.heard_seq = d.seq;
     link.heard_at = now;
-    link.slots = d.slots;
+    link.fleet_size = d.fleet_size;
   }
-  if (d.slots != settings_.slots) ++counts_.other_size;
-  for (const MemberNews& news : d.members) hear(news);
-  if (d.look) {
-    if (const auto pass = members_.Asked(d.from, *d.look)) {
+  if (d.fleet_size != settings_.fleet_size) ++counts_.other_size;
+  for (const MemberUpdate& update : d.member_updates) hear(update);
+  if (d.ping) {
+    if (const auto pass = members_.OnPingRequest(d.from, *d.ping)) {
       Datagram& on = To(now, pass->first, out);
-      if (!on.look) on.look = pass->second;
-    } else if (!d.look->target || *d.look->target == settings_.self) {
-      To(now, d.from, out, true).answer = d.look->nonce;
+      if (!on.ping) on.ping = pass->second;
+    } else if (!d.ping->target || *d.ping->target == settings_.self) {
+      To(now, d.from, out, true).ack = d.ping->nonce;
     }
   }
-  if (d.answer) {
-    if (const auto for_other = members_.Answered(now, d.from, *d.answer)) {
-      To(now, for_other->first, out).answer = for_other->second;
+  if (d.ack) {
+    if (const auto for_other = members_.OnAck(now, d.from, *d.ack)) {
+      To(now, for_other->first, out).ack = for_other->second;
     }
   }
-  for (const CountsNews& c : d.counts) totals_.OnNews(now, c, transit);
-  for (const CountsHave& h : d.have) totals_.OnHave(now, h, transit);
-  if (d.roster_from) To(now, d.from, out).roster = totals_.Roster(*d.roster_from, kRoomRoster);
-  if (d.roster) {
-    if (const auto next = totals_.OnRoster(now, d.from, *d.roster)) To(now, d.from, out).roster_from = next;
+  for (const CountsUpdate& c : d.counts_updates) totals_.OnUpdate(now, c, transit);
+  for (const CountsDigest& h : d.digests) totals_.OnDigest(now, h, transit);
+  if (d.member_list_from)
+    To(now, d.from, out).member_list = totals_.MemberList(*d.member_list_from, kRoomRoster);
+  if (d.member_list) {
+    if (const auto next = totals_.OnMemberList(now, d.from, *d.member_list))
+      To(now, d.from, out).member_list_from = next;
   }
-  for (const Evidence& e : d.evidence) judgements_.Hear(now, e, transit);
+  for (const Evidence& e : d.evidence) outliers_.OnEvidence(now, e, transit);
   // An older datagram that came late must not undo what a newer one told.
-  if (d.seq == link.heard_seq && d.digest) {
+  if (d.seq == link.heard_seq && d.periodic) {
     link.sent.clear();
-    for (const Sent& s : d.sent) link.sent[s.server] = s.count;
+    for (const UnreportedSends& s : d.unreported_sends) link.sent[s.endpoint] = s.count;
     link.sent_told_at = now;
     link.sent_told = true;
-    budgets_.NoteIdle(now, d.from, d.idle);
+    quotas_.OnIdleUnits(now, d.from, d.idle_units);
   }
-  for (const LeaseAsk& a : d.asks) {
-    To(now, d.from, out).grants.push_back(budgets_.OnAsk(now, d.from, d.life, a));
+  for (const LeaseRequest& a : d.lease_requests) {
+    To(now, d.from, out).grants.push_back(quotas_.OnRequest(now, d.from, d.incarnation, a));
   }
-  for (const LeaseGrant& g : d.grants) budgets_.OnGrant(now, d.from, d.life, members_.SelfLife(), g);
+  for (const LeaseGrant& g : d.grants)
+    quotas_.OnGrant(now, d.from, d.incarnation, members_.SelfIncarnation(), g);
   for (const LeaseReturn& r : d.returns) {
-    if (const auto settled = budgets_.OnReturn(now, d.from, members_.SelfLife(), r)) {
-      To(now, d.from, out).settled.push_back(*settled);
+    if (const auto settled = quotas_.OnReturn(now, d.from, members_.SelfIncarnation(), r)) {
+      To(now, d.from, out).return_acks.push_back(*settled);
     }
   }
-  for (const LeaseSettled& s : d.settled) budgets_.OnSettled(d.from, s);
-  if (d.who_holds) To(now, d.from, out).held = budgets_.HeldOf(d.from, d.life);
-  if (d.held) budgets_.OnHeld(now, d.from, d.life, members_.SelfLife(), *d.held);
-  if (!d.have.empty()) {
-    // Only to a digest, never to an answer that asks: two relays must not answer each other for ever.
-    const auto lacking = d.digest ? totals_.Lacking(now, d.have) : std::vector<CountsHave>();
-    const auto missing = totals_.Missing(now, d.have, kRoomCounts);
-    const auto fresher = d.digest ? totals_.Fresher(now, d.have, kRoomFresher) : std::vector<CountsHave>();
+  for (const LeaseReturnAck& s : d.return_acks) quotas_.OnReturnAck(d.from, s);
+  if (d.wants_held_leases) To(now, d.from, out).held_leases = quotas_.HeldFrom(d.from, d.incarnation);
+  if (d.held_leases)
+    quotas_.OnHeldLeases(now, d.from, d.incarnation, members_.SelfIncarnation(), *d.held_leases);
+  if (!d.digests.empty()) {
+    // Only to a digest, never to an ack that requests: two relays must not ack quota_templates other for
+    // ever.
+    const auto lacking = d.periodic ? totals_.Lacking(now, d.digests) : std::vector<CountsDigest>();
+    const auto missing = totals_.Missing(now, d.digests, kRoomCounts);
+    const auto fresher =
+        d.periodic ? totals_.Fresher(now, d.digests, kRoomFresher) : std::vector<CountsDigest>();
     if (!lacking.empty() || !missing.empty() || !fresher.empty()) {
-      Datagram& answer = To(now, d.from, out);
-      std::size_t size = SizeOf(answer);
-      for (const CountsNews& c : missing) {
-        if (size + SizeOf(c) > kMostDatagram) break;
+      Datagram& ack = To(now, d.from, out);
+      std::size_t size = SizeOf(ack);
+      for (const CountsUpdate& c : missing) {
+        if (size + SizeOf(c) > kMaxDatagramBytes) break;
         size += SizeOf(c);
-        answer.counts.push_back(c);
+        ack.counts_updates.push_back(c);
       }
       for (const auto* list : {&lacking, &fresher}) {
-        for (const CountsHave& h : *list) {
-          if (size + SizeOf(h) > kMostDatagram) break;
+        for (const CountsDigest& h : *list) {
+          if (size + SizeOf(h) > kMaxDatagramBytes) break;
           size += SizeOf(h);
-          answer.have.push_back(h);
+          ack.digests.push_back(h);
         }
       }
     }
   }
 }
 
-void Node::Leave(Micros now, Out& out) {
-  std::vector<Slot> alive = AliveSlots();
+void Node::Leave(Micros now, Outbox& out) {
+  std::vector<MemberId> alive = AliveMembers();
   random_.Shuffle(alive);
   if (alive.size() > kTellLeave) alive.resize(kTellLeave);
   Sum(now);  // The last report is the final one.
-  const std::vector<CountsHave> nothing{{settings_.self, 0, 0, std::nullopt, false}};
-  for (const Slot slot : alive) {
-    Datagram& d = To(now, slot, out);
-    d.members.push_back(members_.Leave());
-    d.counts = totals_.Missing(now, nothing, kRoomCounts);
+  const std::vector<CountsDigest> nothing{{settings_.self, 0, 0, std::nullopt, false}};
+  for (const MemberId member_id : alive) {
+    Datagram& d = To(now, member_id, out);
+    d.member_updates.push_back(members_.Leave());
+    d.counts_updates = totals_.Missing(now, nothing, kRoomCounts);
   }
-  Trim(out);
+  TrimToSize(out);
 }
 
-void Node::Trim(Out& out) {
+void Node::TrimToSize(Outbox& out) {
   for (Outgoing& o : out) {
     Datagram& d = o.datagram;
     std::size_t size = SizeOf(d);
-    if (size <= kMostDatagram) continue;
+    if (size <= kMaxDatagramBytes) continue;
     ++counts_.oversized;
     const auto shed = [&](auto& parts) {
-      while (size > kMostDatagram && !parts.empty()) {
+      while (size > kMaxDatagramBytes && !parts.empty()) {
         size -= SizeOf(parts.back());
         parts.pop_back();
       }
     };
-    shed(d.idle);
-    shed(d.sent);
-    shed(d.counts);
-    if (size > kMostDatagram && d.roster) {  // It is asked for again.
-      size -= SizeOf(*d.roster);
-      d.roster.reset();
+    shed(d.idle_units);
+    shed(d.unreported_sends);
+    shed(d.counts_updates);
+    if (size > kMaxDatagramBytes && d.member_list) {  // It is asked for again.
+      size -= SizeOf(*d.member_list);
+      d.member_list.reset();
     }
     shed(d.evidence);
-    shed(d.have);
-    shed(d.asks);
+    shed(d.digests);
+    shed(d.lease_requests);
     shed(d.returns);
-    shed(d.members);
-    if (size > kMostDatagram && d.held) {
+    shed(d.member_updates);
+    if (size > kMaxDatagramBytes && d.held_leases) {
       // Half a statement would say that the rest is not held.
-      size -= SizeOf(*d.held);
-      d.held.reset();
+      size -= SizeOf(*d.held_leases);
+      d.held_leases.reset();
     }
-    shed(d.settled);
+    shed(d.return_acks);
     shed(d.grants);
   }
 }
 
-std::vector<std::pair<Slot, std::uint32_t>> Node::OtherSizes() const {
-  std::vector<std::pair<Slot, std::uint32_t>> out;
-  for (const auto& [slot, link] : links_) {
-    if (link.slots != 0 && link.slots != settings_.slots) out.emplace_back(slot, link.slots);
+std::vector<std::pair<MemberId, std::uint32_t>> Node::OtherSizes() const {
+  std::vector<std::pair<MemberId, std::uint32_t>> out;
+  for (const auto& [member_id, link] : links_) {
+    if (link.fleet_size != 0 && link.fleet_size != settings_.fleet_size)
+      out.emplace_back(member_id, link.fleet_size);
   }
   return out;
 }
--- a/src/simulation/simulated_fleet.cpp
+++ b/src/simulation/simulated_fleet.cpp
@@ -21,12 +21,12 @@
 namespace {
 
 using fleet::Datagram;
-using fleet::Life;
+using fleet::HealthVerdict;
+using fleet::Incarnation;
+using fleet::MemberId;
 using fleet::Node;
-using fleet::Out;
+using fleet::Outbox;
 using fleet::Random;
-using fleet::Slot;
-using fleet::Verdict;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -75,7 +75,7 @@
 
  private:
   struct Connection {
-    fleet::Accounts::Ticket ticket;
+    fleet::LocalConnectionCounts::Handle ticket;
     std::string budget;  // Of the level it holds; empty: none.
     bool ended = false;
   };
@@ -137,16 +137,16 @@
   fleet::Settings SettingsOf(std::size_t k) const {
     fleet::Settings s;
     s.fleet = "lab";
-    s.self = static_cast<Slot>(k);
-    s.slots = static_cast<std::uint32_t>(schedule_.relays);
+    s.self = static_cast<MemberId>(k);
+    s.fleet_size = static_cast<std::uint32_t>(schedule_.relays);
     for (std::size_t n = 0; n < schedule_.relays; ++n) {
-      if (n != k) s.peers.push_back({static_cast<Slot>(n), RelayName(n)});
+      if (n != k) s.peers.push_back({static_cast<MemberId>(n), RelayName(n)});
     }
-    s.each = {{"cold", ColdUnits(), kWindow}};
-    s.budgets = {{"retry", RetryUnits(), kWindow}};
-    for (std::size_t g = 0; g < kGroups; ++g) s.budgets.push_back({Group(g), GroupUnits(), Micros(0)});
-    s.taken_per_s = 50;
-    s.most_open = 500;
+    s.quota_templates = {{"cold", ColdUnits(), kWindow}};
+    s.quotas = {{"retry", RetryUnits(), kWindow}};
+    for (std::size_t g = 0; g < kGroups; ++g) s.quotas.push_back({Group(g), GroupUnits(), Micros(0)});
+    s.max_accepted_per_s = 50;
+    s.max_open = 500;
     return s;
   }
   std::uint32_t Size() const { return static_cast<std::uint32_t>(schedule_.relays); }
@@ -165,16 +165,16 @@
       r.name = RelayName(k);
       // Clocks that began at other times and run fast or slow, within what is allowed.
       r.offset = seconds(1000 + static_cast<std::int64_t>(random_.Below(1'000'000)));
-      r.rate = 1 + (random_.Unit() * 2 - 1) * 0.95 * fleet::kClockRate;
+      r.rate = 1 + (random_.Unit() * 2 - 1) * 0.95 * fleet::kMaxClockDrift;
     }
-    for (const auto& b : s.budgets)
+    for (const auto& b : s.quotas)
       budgets +=
           fmt::format(R"({{"name":"{}","units":{},"window_us":{}}},)", b.name, b.units, b.window.count());
-    budgets += fmt::format(R"({{"name":"cold:","units":{},"window_us":{}}})", s.each[0].units,
-                           s.each[0].window.count());
+    budgets += fmt::format(R"({{"name":"cold:","units":{},"window_us":{}}})", s.quota_templates[0].units,
+                           s.quota_templates[0].window.count());
     Tell(R"("e":"fleet","relays":[{}],"budgets":[{}],"slack_us":0,"avoid_part":{},"evidence_us":{},)"
          R"("own_us":{},"hearsay_us":{},"witnesses":2}})",
-         relays, budgets, s.most_avoided, kEvidenceUs, kOwnUs, kHearsayUs);
+         relays, budgets, s.max_ejected_fraction, kEvidenceUs, kOwnUs, kHearsayUs);
     for (std::size_t k = 0; k < schedule_.servers; ++k) servers_.push_back({ServerName(k), false, 1});
     for (std::size_t k = 0; k < relays_.size(); ++k)
       At(milliseconds(static_cast<std::int64_t>(random_.Below(400))), [this, k] { Start(k); });
@@ -196,7 +196,7 @@
     // The generation is wall-clock time in a process; here a clock that a restart sometimes finds set back.
     const auto wall = static_cast<std::uint64_t>(1'000'000 + now_.count() / 1000);
     const std::uint64_t generation = random_.Chance(0.2) ? 1 + random_.Below(1000) : wall;
-    r.node = std::make_unique<Node>(SettingsOf(k), r.name, Life{generation, random_.Next() | 1U},
+    r.node = std::make_unique<Node>(SettingsOf(k), r.name, Incarnation{generation, random_.Next() | 1U},
                                     random_.Next(), Local(r));
     TakeList(r);
     Tell(R"("e":"up","r":"{}"}})", r.name);
@@ -218,18 +218,18 @@
   }
 
   void TakeList(Relay& r) {
-    std::vector<std::pair<std::string, std::int64_t>> listed;
-    for (const Server& s : servers_) listed.emplace_back(s.name, s.start);
-    r.node->Servers().Listed(listed);
+    std::vector<FleetClient::ListedEndpoint> listed;
+    for (const Server& s : servers_) listed.push_back({s.name, s.start});
+    r.node->Outliers().SetEndpoints(listed);
   }
 
   // ---- the network ----
 
-  void Send(std::size_t from, Out& out) {
+  void Send(std::size_t from, Outbox& out) {
     Relay& r = *relays_[from];
     for (fleet::Outgoing& o : out) {
       const std::size_t size = SizeOf(o.datagram);
-      if (size > fleet::kMostDatagram) ++figures_.oversized;
+      if (size > fleet::kMaxDatagramBytes) ++figures_.oversized;
       if (r.lies) Lie(r, o.datagram);
       ++figures_.datagrams;
       figures_.bytes += size;
@@ -260,7 +260,7 @@
           told_.insert({from, sender, to, r.run}).second) {
         Tell(R"("e":"told","r":"{}","by":"{}"}})", r.name, relays_[from]->name);
       }
-      Out out;
+      Outbox out;
       r.node->OnDatagram(Local(r), *d, out);
       Send(to, out);
     };
@@ -276,10 +276,10 @@
     const Server& s = servers_[random_.Below(servers_.size())];
     fleet::Evidence e;
     e.author = d.from;
-    e.life = d.life;
-    e.server = s.name;
-    e.server_start = s.start;
-    e.verdict = Verdict::kFailing;
+    e.incarnation = d.incarnation;
+    e.endpoint = s.name;
+    e.endpoint_start = s.start;
+    e.verdict = HealthVerdict::kFailing;
     e.observations = 1000;
     e.version = 1'000'000 + next_;
     e.age = Micros(0);
@@ -291,26 +291,26 @@
   // ---- what relays do ----
 
   void Tick(Relay& r, std::size_t k) {
-    Out out;
+    Outbox out;
     r.node->Tick(Local(r), out);
     Send(k, out);
     GiveUpExcess(r);
     if (!r.node->Balanced()) ++figures_.unbalanced;
-    for (const auto& m : r.node->Members().Members()) figures_.false_twins += m.twins ? 1 : 0;
-    const fleet::Tally t = r.node->Own().Sum();
+    for (const auto& m : r.node->Members().Members()) figures_.false_twins += m.duplicate ? 1 : 0;
+    const fleet::ConnectionCounts t = r.node->LocalConnections().Sum();
     Tell(R"("e":"accounts","r":"{}","taken":{},"served":{},"refused":{},"failed":{},"open":{}}})", r.name,
-         t.taken, t.served, t.refused, t.failed, t.open);
+         t.accepted, t.served, t.rejected, t.failed, t.open);
   }
 
   // A level's units that are no longer this relay's: their connections are moved away at once.
   void GiveUpExcess(Relay& r) {
     for (std::size_t g = 0; g < kGroups; ++g) {
-      std::uint32_t excess = r.node->Purses().Excess(Local(r), Group(g));
+      std::uint32_t excess = r.node->Quotas().Excess(Local(r), Group(g));
       for (auto& c : r.open) {
         if (excess == 0) break;
         if (c->ended || c->budget != Group(g)) continue;
         --excess;
-        End(r, *c, fleet::Accounts::End::kServed);
+        End(r, *c, fleet::LocalConnectionCounts::Outcome::kServed);
       }
     }
   }
@@ -330,9 +330,9 @@
 
   void Want(Relay& r, std::size_t k) {
     const auto spend = [this, &r, k](const std::string& budget) {
-      Out out;
+      Outbox out;
       ++figures_.wanted;
-      if (r.node->Spend(Local(r), budget, out)) {
+      if (r.node->TryAcquire(Local(r), budget, out)) {
         ++figures_.spent;
         if (now_ >= setup_.settled) ++settled_spends_[budget];
         Tell(R"("e":"spend","r":"{}","b":"{}"}})", r.name, budget);
@@ -357,15 +357,15 @@
     In(r, Wait(rate), [this, &r, k] {
       auto c = std::make_shared<Connection>();
       const std::size_t g = random_.Below(kGroups + 1);
-      c->ticket =
-          r.node->Own().Take(static_cast<std::uint32_t>(random_.Below(2)), g < kGroups ? Group(g) : "");
+      c->ticket = r.node->LocalConnections().Begin(static_cast<std::uint32_t>(random_.Below(2)),
+                                                   g < kGroups ? Group(g) : "");
       Tell(R"("e":"take","r":"{}"}})", r.name);
       r.open.push_back(c);
-      Out out;
-      const bool held = g >= kGroups || r.node->Spend(Local(r), Group(g), out);
+      Outbox out;
+      const bool held = g >= kGroups || r.node->TryAcquire(Local(r), Group(g), out);
       Send(k, out);
       if (!held) {
-        End(r, *c, fleet::Accounts::End::kRefused);
+        End(r, *c, fleet::LocalConnectionCounts::Outcome::kRejected);
       } else {
         if (g < kGroups) {
           c->budget = Group(g);
@@ -373,7 +373,9 @@
         }
         In(r, milliseconds(200 + static_cast<std::int64_t>(random_.Below(7000))), [this, &r, c] {
           if (!c->ended) {
-            End(r, *c, random_.Chance(0.9) ? fleet::Accounts::End::kServed : fleet::Accounts::End::kFailed);
+            End(r, *c,
+                random_.Chance(0.9) ? fleet::LocalConnectionCounts::Outcome::kServed
+                                    : fleet::LocalConnectionCounts::Outcome::kFailed);
           }
         });
       }
@@ -382,9 +384,9 @@
     });
   }
 
-  void End(Relay& r, Connection& c, fleet::Accounts::End how) {
+  void End(Relay& r, Connection& c, fleet::LocalConnectionCounts::Outcome how) {
     c.ended = true;
-    r.node->Own().Finish(c.ticket, how);
+    r.node->LocalConnections().End(c.ticket, how);
     if (!c.budget.empty()) {
       r.node->Release(c.budget);
       Tell(R"("e":"release","r":"{}","b":"{}"}})", r.name, c.budget);
@@ -397,30 +399,30 @@
     const auto t = r.node->Sum(Local(r));
     Tell(R"("e":"sum","r":"{}","oldest_us":{},"taken":[{},{}],"served":[{},{}],"refused":[{},{}],)"
          R"("failed":[{},{}],"open":[{},{}]}})",
-         r.name, t.oldest.count(), t.taken.low, t.taken.high, t.served.low, t.served.high, t.refused.low,
-         t.refused.high, t.failed.low, t.failed.high, t.open.low, t.open.high);
+         r.name, t.oldest.count(), t.accepted.low, t.accepted.high, t.served.low, t.served.high,
+         t.rejected.low, t.rejected.high, t.failed.low, t.failed.high, t.open.low, t.open.high);
   }
 
   void Look(Relay& r, const Server& s) {
     const bool bad = r.bad_link || s.bad;
-    r.node->Servers().Observe(Local(r), s.name, bad ? Verdict::kFailing : Verdict::kFine);
+    r.node->Outliers().Observe(Local(r), s.name, bad ? HealthVerdict::kFailing : HealthVerdict::kHealthy);
     Tell(R"("e":"saw","r":"{}","s":"{}","v":"{}"}})", r.name, s.name, bad ? "failing" : "fine");
   }
 
   void Try(Relay& r) {
     In(r, Wait(setup_.tries), [this, &r] {
       const Server& s = servers_[random_.Below(servers_.size())];
-      r.node->NoteSent(Local(r), s.name);
+      r.node->OnRequestSent(Local(r), s.name);
       Look(r, s);
       Try(r);
     });
   }
 
   void Hearsay(Relay& r) {
-    const std::set<std::string> avoided = r.node->Servers().OnHearsay(Local(r));
+    const std::set<std::string> avoided = r.node->Outliers().EndpointsToEject(Local(r));
     if (bad_at_.count() > 0 && r.avoided_at.count() == 0) {
-      const auto own = r.node->Servers().Own(Local(r), first_bad_);
-      if (avoided.contains(first_bad_) || (own && *own != Verdict::kFine)) r.avoided_at = now_;
+      const auto own = r.node->Outliers().OwnVerdict(Local(r), first_bad_);
+      if (avoided.contains(first_bad_) || (own && *own != HealthVerdict::kHealthy)) r.avoided_at = now_;
     }
     for (const std::string& s : avoided) {
       if (!servers_[IndexOf(s)].bad) r.wrongly.try_emplace(s, now_);
@@ -510,9 +512,9 @@
   void Leave(Relay& r, std::size_t k) {
     if (!r.node || r.paused) return;
     for (auto& c : r.open) {
-      if (!c->ended) End(r, *c, fleet::Accounts::End::kServed);
+      if (!c->ended) End(r, *c, fleet::LocalConnectionCounts::Outcome::kServed);
     }
-    Out out;
+    Outbox out;
     r.node->Leave(Local(r), out);
     Send(k, out);
     Kill(r);
--- a/tests/simulation/schedules_test.cpp
+++ b/tests/simulation/schedules_test.cpp
@@ -22,7 +22,7 @@
 history::Findings Played(const Schedule& s) { return history::Check(Play(s).history); }
 
 TEST_CASE("no bound breaks in drawn schedules of three, five and nine relays") {
-  fleet::planted = Fault::kNone;
+  fleet::injected_fault = Fault::kNone;
   std::size_t spends = 0, holds = 0, hearsays = 0, unbounded = 0, sums = 0;
   for (std::uint64_t seed = 1; seed <= 120; ++seed) {
     const std::size_t relays = seed % 3 == 0 ? 3 : seed % 3 == 1 ? 5 : 9;
@@ -86,24 +86,24 @@
 const Plant kPlants[] = {
     {Fault::kLeaseIgnoresPause, "a lease that ignores pauses", "window"},
     {Fault::kLeaseCountsFromGrant, "a lease that counts from its grant", "window", kToAndFro},
-    {Fault::kLenderForgetsWindow, "a lender that forgets the window", "window"},
-    {Fault::kLenderForgetsRestart, "a share that is whole at a restart", "window"},
+    {Fault::kLenderIgnoresWindow, "a lender that forgets the window", "window"},
+    {Fault::kLenderIgnoresRestart, "a share that is whole at a restart", "window"},
     {Fault::kGrantTakenTwice, "a grant that counts twice", "window"},
-    {Fault::kLevelEndsByClock, "a level that its lender takes back by the clock", "level"},
-    {Fault::kLoansForgottenByRestart, "a restarted lender that asks nobody", "level"},
-    {Fault::kCountWithoutLife, "counts without the run they are of", "sum"},
+    {Fault::kConcurrencyLeaseEndsByClock, "a level that its lender takes back by the clock", "level"},
+    {Fault::kLentLeasesForgottenByRestart, "a restarted lender that asks nobody", "level"},
+    {Fault::kCountWithoutIncarnation, "counts without the run they are of", "sum"},
     {Fault::kCountAddedTwice, "late counts that are added", "sum"},
     {Fault::kAgeWithoutTransit, "ages without the time under way", "sum"},
-    {Fault::kJudgementWithoutEnd, "a judgement without end", "hearsay"},
-    {Fault::kOneWitnessIsEnough, "one witness that is enough", "hearsay"},
-    {Fault::kNoCapOnHearsay, "any number avoided on hearsay", "hearsay"},
-    {Fault::kHearsayBeforeOwn, "hearsay before one's own eyes", "hearsay"},
+    {Fault::kEvidenceNeverExpires, "a judgement without end", "hearsay"},
+    {Fault::kOneWitnessSuffices, "one witness that is enough", "hearsay"},
+    {Fault::kNoEjectionCap, "any number avoided on hearsay", "hearsay"},
+    {Fault::kRemoteEvidenceFirst, "hearsay before one's own eyes", "hearsay"},
 };
 
 TEST_CASE("the checker finds each fault planted in the modules, and the schedule shrinks") {
   for (const Plant& plant : kPlants) {
     SECTION(plant.name) {
-      fleet::planted = plant.fault;
+      fleet::injected_fault = plant.fault;
       Schedule broken;
       bool found = false;
       for (std::uint64_t seed = 1; seed <= 4000 && !found; ++seed) {
@@ -123,15 +123,15 @@
       CHECK(shrunk.steps.size() <= broken.steps.size());
       // Its text is the schedule.
       CHECK_FALSE(Played(Schedule::Parse(shrunk.Text(), "shrunk")).Sound());
-      fleet::planted = Fault::kNone;
+      fleet::injected_fault = Fault::kNone;
       CHECK(Played(shrunk).Sound());
     }
   }
-  fleet::planted = Fault::kNone;
+  fleet::injected_fault = Fault::kNone;
 }
 
 TEST_CASE("schedules that once broke a bound hold now") {
-  fleet::planted = Fault::kNone;
+  fleet::injected_fault = Fault::kNone;
   std::size_t played = 0;
   for (const auto& entry : std::filesystem::directory_iterator(FLEET_SCHEDULES)) {
     std::ifstream in(entry.path());
