--- a/src/fleet/connection_counts.cpp
+++ b/src/fleet/connection_counts.cpp
@@ -261,7 +261,7 @@
 
 FleetCounts::Record* FleetCounts::Named(Place& place, std::uint32_t run) {
   for (auto& [id, r] : place.incarnations) {
-    if (RunOf(r.incarnation) == run) return &r;
+    if (ShortIncarnationId(r.incarnation) == run) return &r;
   }
   return nullptr;
 }
@@ -305,7 +305,7 @@
   for (auto at = places_.lower_bound(from); at != places_.end(); ++at) {
     const std::size_t before = page.incarnations.size();
     for (const auto& [id, r] : at->second.incarnations)
-      page.incarnations.emplace_back(at->first, r.incarnation);
+      page.incarnations.push_back({at->first, r.incarnation});
     if (SizeOf(page) > room && before > 0) {
       page.incarnations.resize(before);
       page.next = at->first;
@@ -385,7 +385,8 @@
     std::vector<CountsDigest> of_place;
     std::size_t size = 0;
     for (const auto& [id, r] : place.incarnations) {
-      of_place.push_back({member_id, RunOf(r.incarnation), r.version, ReportedAge(r, now), r.ended});
+      of_place.push_back(
+          {member_id, ShortIncarnationId(r.incarnation), r.version, ReportedAge(r, now), r.ended});
       size += SizeOf(of_place.back());
     }
     if (of_place.empty()) {
@@ -420,7 +421,7 @@
     const auto place = places_.find(h.member_id);
     if (place == places_.end()) continue;
     for (const auto& [id, r] : place->second.incarnations) {
-      const std::uint32_t run = RunOf(r.incarnation);
+      const std::uint32_t run = ShortIncarnationId(r.incarnation);
       const std::uint64_t version = r.version;
       const bool has = std::any_of(theirs.begin(), theirs.end(), [&](const CountsDigest& t) {
         return t.member_id == h.member_id && t.run == run && t.version >= version;
@@ -474,7 +475,8 @@
     asked.push_back(t.member_id);
     if (place->second.incarnations.empty()) out.push_back({t.member_id, 0, 0, std::nullopt, false});
     for (const auto& [id, r] : place->second.incarnations)
-      out.push_back({t.member_id, RunOf(r.incarnation), r.version, ReportedAge(r, now), r.ended});
+      out.push_back(
+          {t.member_id, ShortIncarnationId(r.incarnation), r.version, ReportedAge(r, now), r.ended});
   }
   return out;
 }
@@ -488,7 +490,7 @@
     if (place == places_.end() || place->second.incarnations.size() != 1) continue;
     const Record& r = place->second.incarnations.begin()->second;
     const auto age = AgeOf(r, now);
-    if (RunOf(r.incarnation) != t.run || r.version != t.version || r.ended || !age) continue;
+    if (ShortIncarnationId(r.incarnation) != t.run || r.version != t.version || r.ended || !age) continue;
     if (t.age && *t.age <= *age + kWorthTelling) continue;
     const CountsDigest fresher{t.member_id, t.run, r.version, age, false};
     if (SizeOf(fresher) > room) break;
--- a/src/fleet/io/codec.cpp
+++ b/src/fleet/io/codec.cpp
@@ -6,6 +6,8 @@
 #include <array>
 #include <cstddef>
 #include <optional>
+#include <utility>
+#include <vector>
 
 #include "fleet.pb.h"
 
@@ -13,252 +15,369 @@
 namespace {
 
 constexpr std::string_view kMagic = "SF";
-constexpr std::size_t kHead = 2 + 1 + 8;
-// No list in a datagram of 1,200 bytes is longer; a bound for what a forged one could make us keep.
-constexpr int kMostItems = 1200;
-constexpr std::uint64_t kMostUs = 400ULL * 24 * 3600 * 1'000'000;  // Longer times are nonsense.
+constexpr std::size_t kSchemaAt = 2, kChecksumAt = 3, kChecksumBytes = 8;
+constexpr std::size_t kEnvelopeBytes = kChecksumAt + kChecksumBytes;
+// No list in a datagram of 1,200 bytes is longer; bounds the memory that a forged one takes.
+constexpr int kMaxItems = 1200;
+constexpr std::uint64_t kMaxTimeUs = 400ULL * 24 * 3600 * 1'000'000;  // Longer times are implausible.
 
-std::uint64_t Sum(std::string_view bytes, const std::string& fleet) {
-  return XXH64(bytes.data(), bytes.size(), XXH64(fleet.data(), fleet.size(), kSchema));
+std::uint64_t Checksum(std::string_view body, const std::string& fleet) {
+  return XXH64(body.data(), body.size(), XXH64(fleet.data(), fleet.size(), kSchema));
 }
 
+// ---- fields ----
+
 void Put(const Incarnation& incarnation, wire::Incarnation* out) {
   out->set_generation(incarnation.generation);
   out->set_id(incarnation.id);
 }
+
 Incarnation Get(const wire::Incarnation& incarnation) { return {incarnation.generation(), incarnation.id()}; }
 
-std::uint64_t Us(Micros t) { return static_cast<std::uint64_t>(std::max<std::int64_t>(0, t.count())); }
-std::uint64_t AgeUs(const std::optional<Micros>& age) { return age ? Us(*age) + 1 : 0; }
-Micros Time(std::uint64_t us) { return Micros(static_cast<std::int64_t>(std::min(us, kMostUs))); }
-// An age so long that it is nonsense bounds nothing.
-std::optional<Micros> Age(std::uint64_t us) {
-  return us == 0 || us > kMostUs ? std::nullopt : std::optional(Micros(static_cast<std::int64_t>(us - 1)));
+std::uint64_t ToUs(Micros time) {
+  return static_cast<std::uint64_t>(std::max<std::int64_t>(0, time.count()));
 }
 
-}  // namespace
+// An age is an upper bound plus one; 0 says that no bound is known.
+std::uint64_t ToAgeUs(const std::optional<Micros>& age) { return age ? ToUs(*age) + 1 : 0; }
 
-std::string Encode(const Datagram& d, const std::string& fleet) {
-  wire::Datagram w;
-  w.set_from(d.from);
-  w.set_name(d.name);
-  Put(d.incarnation, w.mutable_incarnation());
-  w.set_refutations(d.refutations);
-  w.set_seq(d.seq);
-  w.set_fleet_size(d.fleet_size);
-  if (d.echo_run != 0) {
-    w.set_echo_run(d.echo_run);
-    w.set_echo_seq(d.echo_seq);
-    w.set_echo_held_us(Us(d.echo_held));
-  }
-  if (d.ping) {
-    w.mutable_ping()->set_nonce(d.ping->nonce);
-    if (d.ping->target) w.mutable_ping()->set_target(*d.ping->target + 1);
-  }
-  if (d.ack) w.set_ack(*d.ack);
-  for (const MemberUpdate& m : d.member_updates) {
-    auto* out = w.add_member_updates();
-    out->set_member_id(m.member_id);
-    Put(m.incarnation, out->mutable_incarnation());
-    out->set_refutations(m.refutations);
-    out->set_state(static_cast<std::uint32_t>(m.state));
-  }
-  for (const CountsUpdate& c : d.counts_updates) {
-    auto* out = w.add_counts_updates();
-    out->set_member_id(c.member_id);
-    Put(c.incarnation, out->mutable_incarnation());
-    out->set_version(c.version);
-    out->set_part(c.part);
-    out->set_parts(c.parts);
-    out->set_age_us(AgeUs(c.age));
-    out->set_ended(c.ended);
-    for (const ConnectionCountsRow& r : c.rows) {
-      auto* row = out->add_rows();
-      row->set_group(r.group);
-      row->set_class_index(r.class_index);
-      row->set_accepted(r.counts.accepted);
-      row->set_served(r.counts.served);
-      row->set_rejected(r.counts.rejected);
-      row->set_failed(r.counts.failed);
-      row->set_open(r.counts.open);
-    }
-  }
-  for (const CountsDigest& h : d.digests) {
-    auto* out = w.add_digests();
-    out->set_member_id(h.member_id);
-    out->set_run(h.run);
-    out->set_version(h.version);
-    out->set_age_us(AgeUs(h.age));
-    out->set_ended(h.ended);
-  }
-  w.set_periodic(d.periodic);
-  if (d.member_list_from) w.set_member_list_from(*d.member_list_from + 1);
-  if (d.member_list) {
-    auto* page = w.mutable_member_list();
-    page->set_from(d.member_list->from);
-    page->set_next(d.member_list->next);
-    page->set_complete(d.member_list->complete);
-    page->set_basis(d.member_list->basis);
-    for (const auto& [member_id, incarnation] : d.member_list->incarnations) {
-      auto* run = page->add_runs();
-      run->set_member_id(member_id);
-      Put(incarnation, run->mutable_incarnation());
-    }
-  }
-  for (const Evidence& e : d.evidence) {
-    auto* out = w.add_evidence();
-    out->set_author(e.author);
-    Put(e.incarnation, out->mutable_incarnation());
-    out->set_endpoint(e.endpoint);
-    out->set_endpoint_start(e.endpoint_start);
-    out->set_verdict(static_cast<std::uint32_t>(e.verdict));
-    out->set_observations(e.observations);
-    out->set_version(e.version);
-    out->set_age_us(AgeUs(e.age));
-    out->set_valid_us(Us(e.valid));
-  }
-  for (const UnreportedSends& s : d.unreported_sends) {
-    auto* out = w.add_unreported_sends();
-    out->set_endpoint(s.endpoint);
-    out->set_count(s.count);
-  }
-  for (const LeaseRequest& a : d.lease_requests) {
-    auto* out = w.add_lease_requests();
-    out->set_nonce(a.nonce);
-    out->set_quota(a.quota);
-    out->set_units(a.units);
-    out->set_renews(a.renews);
-  }
-  for (const LeaseGrant& g : d.grants) {
-    auto* out = w.add_grants();
-    out->set_nonce(g.nonce);
-    out->set_lease(g.lease);
-    out->set_quota(g.quota);
-    out->set_units(g.units);
-    out->set_length_us(Us(g.length));
-    Put(g.borrower, out->mutable_borrower());
-  }
-  for (const LeaseReturn& r : d.returns) {
-    auto* out = w.add_returns();
-    out->set_lease(r.lease);
-    Put(r.lender, out->mutable_lender());
-    out->set_quota(r.quota);
-    out->set_units(r.units);
-  }
-  for (const LeaseReturnAck& s : d.return_acks) {
-    auto* out = w.add_return_acks();
-    out->set_lease(s.lease);
-    out->set_quota(s.quota);
-    out->set_units(s.units);
-    Put(s.borrower, out->mutable_borrower());
+Micros FromUs(std::uint64_t us) { return Micros(static_cast<std::int64_t>(std::min(us, kMaxTimeUs))); }
+
+// An implausible age bounds nothing.
+std::optional<Micros> FromAgeUs(std::uint64_t us) {
+  return us == 0 || us > kMaxTimeUs ? std::nullopt : std::optional(Micros(static_cast<std::int64_t>(us - 1)));
+}
+
+// ---- parts, to the wire ----
+
+void PutHeader(const Datagram& datagram, wire::Datagram* out) {
+  out->set_from(datagram.from);
+  out->set_name(datagram.name);
+  Put(datagram.incarnation, out->mutable_incarnation());
+  out->set_refutations(datagram.refutations);
+  out->set_seq(datagram.seq);
+  out->set_fleet_size(datagram.fleet_size);
+  if (datagram.echo_run == 0) return;
+  out->set_echo_run(datagram.echo_run);
+  out->set_echo_seq(datagram.echo_seq);
+  out->set_echo_held_us(ToUs(datagram.echo_held));
+}
+
+void Put(const Ping& ping, wire::Ping* out) {
+  out->set_nonce(ping.nonce);
+  if (ping.target) out->set_target(*ping.target + 1);
+}
+
+void Put(const MemberUpdate& update, wire::MemberUpdate* out) {
+  out->set_member_id(update.member_id);
+  Put(update.incarnation, out->mutable_incarnation());
+  out->set_refutations(update.refutations);
+  out->set_state(static_cast<std::uint32_t>(update.state));
+}
+
+void Put(const ConnectionCountsRow& row, wire::ConnectionCountsRow* out) {
+  out->set_group(row.group);
+  out->set_class_index(row.class_index);
+  out->set_accepted(row.counts.accepted);
+  out->set_served(row.counts.served);
+  out->set_rejected(row.counts.rejected);
+  out->set_failed(row.counts.failed);
+  out->set_open(row.counts.open);
+}
+
+void Put(const CountsUpdate& update, wire::CountsUpdate* out) {
+  out->set_member_id(update.member_id);
+  Put(update.incarnation, out->mutable_incarnation());
+  out->set_version(update.version);
+  out->set_part(update.part);
+  out->set_parts(update.parts);
+  out->set_age_us(ToAgeUs(update.age));
+  out->set_ended(update.ended);
+  for (const ConnectionCountsRow& row : update.rows) Put(row, out->add_rows());
+}
+
+void Put(const CountsDigest& digest, wire::CountsDigest* out) {
+  out->set_member_id(digest.member_id);
+  out->set_run(digest.run);
+  out->set_version(digest.version);
+  out->set_age_us(ToAgeUs(digest.age));
+  out->set_ended(digest.ended);
+}
+
+void Put(const MemberListPage& page, wire::MemberListPage* out) {
+  out->set_from(page.from);
+  out->set_next(page.next);
+  out->set_complete(page.complete);
+  out->set_basis(page.basis);
+  for (const MemberIncarnation& known : page.incarnations) {
+    wire::MemberListPage::Run* run = out->add_runs();
+    run->set_member_id(known.member_id);
+    Put(known.incarnation, run->mutable_incarnation());
   }
-  if (d.held_leases) {
-    Put(d.held_leases->lender, w.mutable_held_leases()->mutable_lender());
-    w.mutable_held_leases()->set_covers(d.held_leases->covers);
-    for (const HeldLeases::Item& i : d.held_leases->items) {
-      auto* out = w.mutable_held_leases()->add_items();
-      out->set_quota(i.quota);
-      out->set_lease(i.lease);
-      out->set_units(i.units);
-    }
+}
+
+void Put(const Evidence& evidence, wire::Evidence* out) {
+  out->set_author(evidence.author);
+  Put(evidence.incarnation, out->mutable_incarnation());
+  out->set_endpoint(evidence.endpoint);
+  out->set_endpoint_start(evidence.endpoint_start);
+  out->set_verdict(static_cast<std::uint32_t>(evidence.verdict));
+  out->set_observations(evidence.observations);
+  out->set_version(evidence.version);
+  out->set_age_us(ToAgeUs(evidence.age));
+  out->set_valid_us(ToUs(evidence.valid));
+}
+
+void Put(const UnreportedSends& sends, wire::UnreportedSends* out) {
+  out->set_endpoint(sends.endpoint);
+  out->set_count(sends.count);
+}
+
+void Put(const LeaseRequest& request, wire::LeaseRequest* out) {
+  out->set_nonce(request.nonce);
+  out->set_quota(request.quota);
+  out->set_units(request.units);
+  out->set_renews(request.renews);
+}
+
+void Put(const LeaseGrant& grant, wire::LeaseGrant* out) {
+  out->set_nonce(grant.nonce);
+  out->set_lease(grant.lease);
+  out->set_quota(grant.quota);
+  out->set_units(grant.units);
+  out->set_length_us(ToUs(grant.length));
+  Put(grant.borrower, out->mutable_borrower());
+}
+
+void Put(const LeaseReturn& lease_return, wire::LeaseReturn* out) {
+  out->set_lease(lease_return.lease);
+  Put(lease_return.lender, out->mutable_lender());
+  out->set_quota(lease_return.quota);
+  out->set_units(lease_return.units);
+}
+
+void Put(const LeaseReturnAck& ack, wire::LeaseReturnAck* out) {
+  out->set_lease(ack.lease);
+  out->set_quota(ack.quota);
+  out->set_units(ack.units);
+  Put(ack.borrower, out->mutable_borrower());
+}
+
+void Put(const HeldLeases& held, wire::HeldLeases* out) {
+  Put(held.lender, out->mutable_lender());
+  out->set_covers(held.covers);
+  for (const HeldLeases::Item& item : held.items) {
+    wire::HeldLeases::Item* out_item = out->add_items();
+    out_item->set_quota(item.quota);
+    out_item->set_lease(item.lease);
+    out_item->set_units(item.units);
   }
-  w.set_wants_held_leases(d.wants_held_leases);
-  for (const IdleUnits& i : d.idle_units) {
-    auto* out = w.add_idle_units();
-    out->set_quota(i.quota);
-    out->set_units(i.units);
+}
+
+void Put(const IdleUnits& idle, wire::IdleUnits* out) {
+  out->set_quota(idle.quota);
+  out->set_units(idle.units);
+}
+
+template <typename Part, typename WirePart>
+void PutAll(const std::vector<Part>& parts, google::protobuf::RepeatedPtrField<WirePart>* out) {
+  for (const Part& part : parts) Put(part, out->Add());
+}
+
+wire::Datagram ToWire(const Datagram& datagram) {
+  wire::Datagram out;
+  PutHeader(datagram, &out);
+  if (datagram.ping) Put(*datagram.ping, out.mutable_ping());
+  if (datagram.ack) out.set_ack(*datagram.ack);
+  PutAll(datagram.member_updates, out.mutable_member_updates());
+  PutAll(datagram.counts_updates, out.mutable_counts_updates());
+  PutAll(datagram.digests, out.mutable_digests());
+  out.set_periodic(datagram.periodic);
+  if (datagram.member_list_from) out.set_member_list_from(*datagram.member_list_from + 1);
+  if (datagram.member_list) Put(*datagram.member_list, out.mutable_member_list());
+  PutAll(datagram.evidence, out.mutable_evidence());
+  PutAll(datagram.unreported_sends, out.mutable_unreported_sends());
+  PutAll(datagram.lease_requests, out.mutable_lease_requests());
+  PutAll(datagram.grants, out.mutable_grants());
+  PutAll(datagram.returns, out.mutable_returns());
+  PutAll(datagram.return_acks, out.mutable_return_acks());
+  if (datagram.held_leases) Put(*datagram.held_leases, out.mutable_held_leases());
+  out.set_wants_held_leases(datagram.wants_held_leases);
+  PutAll(datagram.idle_units, out.mutable_idle_units());
+  return out;
+}
+
+// ---- parts, from the wire; false: malformed ----
+
+bool Get(const wire::Ping& ping, Ping* out) {
+  out->nonce = ping.nonce();
+  if (ping.target() > 0) out->target = ping.target() - 1;
+  return true;
+}
+
+bool Get(const wire::MemberUpdate& update, MemberUpdate* out) {
+  if (update.state() > static_cast<std::uint32_t>(MemberState::kLeft)) return false;
+  *out = {update.member_id(), Get(update.incarnation()), update.refutations(),
+          static_cast<MemberState>(update.state())};
+  return true;
+}
+
+bool Get(const wire::ConnectionCountsRow& row, ConnectionCountsRow* out) {
+  *out = {row.group(),
+          row.class_index(),
+          {row.accepted(), row.served(), row.rejected(), row.failed(), row.open()}};
+  return out->counts.Balanced();  // No relay reports counts that don't balance.
+}
+
+bool Get(const wire::CountsUpdate& update, CountsUpdate* out) {
+  *out = {update.member_id(), Get(update.incarnation()),  update.version(), update.part(),
+          update.parts(),     FromAgeUs(update.age_us()), update.ended(),   {}};
+  for (const wire::ConnectionCountsRow& row : update.rows()) {
+    if (!Get(row, &out->rows.emplace_back())) return false;
   }
-  std::string bytes(kHead, '\0');
-  w.AppendToString(&bytes);
-  const std::uint64_t sum = Sum(std::string_view(bytes).substr(kHead), fleet);
+  return true;
+}
+
+bool Get(const wire::CountsDigest& digest, CountsDigest* out) {
+  *out = {digest.member_id(), digest.run(), digest.version(), FromAgeUs(digest.age_us()), digest.ended()};
+  return true;
+}
+
+bool Get(const wire::MemberListPage& page, MemberListPage* out) {
+  if (page.runs_size() > kMaxItems) return false;
+  *out = {page.from(), page.next(), page.complete(), page.basis(), {}};
+  for (const wire::MemberListPage::Run& run : page.runs())
+    out->incarnations.push_back({run.member_id(), Get(run.incarnation())});
+  return true;
+}
+
+bool Get(const wire::Evidence& evidence, Evidence* out) {
+  if (evidence.verdict() > static_cast<std::uint32_t>(HealthVerdict::kHealthy)) return false;
+  *out = {evidence.author(),
+          Get(evidence.incarnation()),
+          evidence.endpoint(),
+          evidence.endpoint_start(),
+          static_cast<HealthVerdict>(evidence.verdict()),
+          evidence.observations(),
+          evidence.version(),
+          FromAgeUs(evidence.age_us()),
+          FromUs(evidence.valid_us())};
+  return true;
+}
+
+bool Get(const wire::UnreportedSends& sends, UnreportedSends* out) {
+  *out = {sends.endpoint(), sends.count()};
+  return true;
+}
+
+bool Get(const wire::LeaseRequest& request, LeaseRequest* out) {
+  *out = {request.nonce(), request.quota(), request.units(), request.renews()};
+  return true;
+}
+
+bool Get(const wire::LeaseGrant& grant, LeaseGrant* out) {
+  *out = {grant.nonce(),        grant.lease(), grant.quota(), grant.units(), FromUs(grant.length_us()),
+          Get(grant.borrower())};
+  return true;
+}
+
+bool Get(const wire::LeaseReturn& lease_return, LeaseReturn* out) {
+  *out = {lease_return.lease(), Get(lease_return.lender()), lease_return.quota(), lease_return.units()};
+  return true;
+}
+
+bool Get(const wire::LeaseReturnAck& ack, LeaseReturnAck* out) {
+  *out = {ack.lease(), ack.quota(), ack.units(), Get(ack.borrower())};
+  return true;
+}
+
+bool Get(const wire::HeldLeases& held, HeldLeases* out) {
+  *out = {Get(held.lender()), held.covers(), {}};
+  for (const wire::HeldLeases::Item& item : held.items())
+    out->items.push_back({item.quota(), item.lease(), item.units()});
+  return true;
+}
+
+bool Get(const wire::IdleUnits& idle, IdleUnits* out) {
+  *out = {idle.quota(), idle.units()};
+  return true;
+}
+
+template <typename WirePart, typename Part>
+bool GetAll(const google::protobuf::RepeatedPtrField<WirePart>& parts, std::vector<Part>* out) {
+  if (parts.size() > kMaxItems) return false;
+  return std::all_of(parts.begin(), parts.end(),
+                     [&](const WirePart& part) { return Get(part, &out->emplace_back()); });
+}
+
+template <typename WirePart, typename Part>
+bool GetIf(bool present, const WirePart& part, std::optional<Part>* out) {
+  return !present || Get(part, &out->emplace());
+}
+
+void GetHeader(const wire::Datagram& datagram, Datagram* out) {
+  out->from = datagram.from();
+  out->name = datagram.name();
+  out->incarnation = Get(datagram.incarnation());
+  out->refutations = datagram.refutations();
+  out->seq = datagram.seq();
+  out->fleet_size = datagram.fleet_size();
+  out->echo_run = datagram.echo_run();
+  out->echo_seq = datagram.echo_seq();
+  out->echo_held = FromUs(datagram.echo_held_us());
+}
+
+std::optional<Datagram> FromWire(const wire::Datagram& datagram) {
+  Datagram out;
+  GetHeader(datagram, &out);
+  if (datagram.ack() != 0) out.ack = datagram.ack();
+  out.periodic = datagram.periodic();
+  if (datagram.member_list_from() > 0) out.member_list_from = datagram.member_list_from() - 1;
+  out.wants_held_leases = datagram.wants_held_leases();
+  const bool well_formed =
+      GetIf(datagram.has_ping(), datagram.ping(), &out.ping) &&
+      GetAll(datagram.member_updates(), &out.member_updates) &&
+      GetAll(datagram.counts_updates(), &out.counts_updates) && GetAll(datagram.digests(), &out.digests) &&
+      GetIf(datagram.has_member_list(), datagram.member_list(), &out.member_list) &&
+      GetAll(datagram.evidence(), &out.evidence) &&
+      GetAll(datagram.unreported_sends(), &out.unreported_sends) &&
+      GetAll(datagram.lease_requests(), &out.lease_requests) && GetAll(datagram.grants(), &out.grants) &&
+      GetAll(datagram.returns(), &out.returns) && GetAll(datagram.return_acks(), &out.return_acks) &&
+      GetIf(datagram.has_held_leases(), datagram.held_leases(), &out.held_leases) &&
+      GetAll(datagram.idle_units(), &out.idle_units);
+  return well_formed ? std::optional(std::move(out)) : std::nullopt;
+}
+
+std::uint64_t ReadChecksum(std::string_view bytes) {
+  std::uint64_t checksum = 0;
+  for (std::size_t k = 0; k < kChecksumBytes; ++k)
+    checksum |= std::uint64_t{static_cast<unsigned char>(bytes[kChecksumAt + k])} << (8 * k);
+  return checksum;
+}
+
+}  // namespace
+
+std::string Encode(const Datagram& datagram, const std::string& fleet) {
+  std::string bytes(kEnvelopeBytes, '\0');
+  ToWire(datagram).AppendToString(&bytes);
+  const std::uint64_t checksum = Checksum(std::string_view(bytes).substr(kEnvelopeBytes), fleet);
   std::copy(kMagic.begin(), kMagic.end(), bytes.begin());
-  bytes[2] = static_cast<char>(kSchema);
-  for (std::size_t k = 0; k < 8; ++k) bytes[3 + k] = static_cast<char>(sum >> (8 * k));
+  bytes[kSchemaAt] = static_cast<char>(kSchema);
+  for (std::size_t k = 0; k < kChecksumBytes; ++k)
+    bytes[kChecksumAt + k] = static_cast<char>(checksum >> (8 * k));
   return bytes;
 }
 
 std::variant<Datagram, DecodeError> Decode(std::string_view bytes, const std::string& fleet) {
-  if (bytes.size() < kHead || !bytes.starts_with(kMagic)) return DecodeError::kNotOurs;
-  if (static_cast<std::uint8_t>(bytes[2]) != kSchema) return DecodeError::kSchema;
-  std::uint64_t sum = 0;
-  for (std::size_t k = 0; k < 8; ++k)
-    sum |= std::uint64_t{static_cast<unsigned char>(bytes[3 + k])} << (8 * k);
-  const std::string_view body = bytes.substr(kHead);
-  if (sum != Sum(body, fleet)) return DecodeError::kChecksum;
-  wire::Datagram w;
-  if (!w.ParseFromArray(body.data(), static_cast<int>(body.size()))) return DecodeError::kMalformed;
-  for (const int n : {w.member_updates_size(), w.counts_updates_size(), w.digests_size(), w.evidence_size(),
-                      w.unreported_sends_size(), w.lease_requests_size(), w.grants_size(), w.returns_size(),
-                      w.return_acks_size(), w.idle_units_size(), w.member_list().runs_size()}) {
-    if (n > kMostItems) return DecodeError::kMalformed;
-  }
-  Datagram d;
-  d.from = w.from();
-  d.name = w.name();
-  d.incarnation = Get(w.incarnation());
-  d.refutations = w.refutations();
-  d.seq = w.seq();
-  d.fleet_size = w.fleet_size();
-  d.echo_run = w.echo_run();
-  d.echo_seq = w.echo_seq();
-  d.echo_held = Time(w.echo_held_us());
-  if (w.has_ping()) {
-    d.ping = Ping{w.ping().nonce(), std::nullopt};
-    if (w.ping().target() > 0) d.ping->target = w.ping().target() - 1;
-  }
-  if (w.ack() != 0) d.ack = w.ack();
-  for (const auto& m : w.member_updates()) {
-    if (m.state() > static_cast<std::uint32_t>(MemberState::kLeft)) return DecodeError::kMalformed;
-    d.member_updates.push_back(
-        {m.member_id(), Get(m.incarnation()), m.refutations(), static_cast<MemberState>(m.state())});
-  }
-  for (const auto& c : w.counts_updates()) {
-    CountsUpdate update{c.member_id(), Get(c.incarnation()), c.version(), c.part(),
-                        c.parts(),     Age(c.age_us()),      c.ended(),   {}};
-    for (const auto& r : c.rows()) {
-      const ConnectionCounts t{r.accepted(), r.served(), r.rejected(), r.failed(), r.open()};
-      // No relay reports what does not balance.
-      if (!t.Balanced()) return DecodeError::kMalformed;
-      update.rows.push_back({r.group(), r.class_index(), t});
-    }
-    d.counts_updates.push_back(std::move(update));
-  }
-  for (const auto& h : w.digests())
-    d.digests.push_back({h.member_id(), h.run(), h.version(), Age(h.age_us()), h.ended()});
-  d.periodic = w.periodic();
-  if (w.member_list_from() > 0) d.member_list_from = w.member_list_from() - 1;
-  if (w.has_member_list()) {
-    d.member_list = MemberListPage{w.member_list().from(),
-                                   w.member_list().next(),
-                                   w.member_list().complete(),
-                                   w.member_list().basis(),
-                                   {}};
-    for (const auto& run : w.member_list().runs())
-      d.member_list->incarnations.emplace_back(run.member_id(), Get(run.incarnation()));
-  }
-  for (const auto& e : w.evidence()) {
-    if (e.verdict() > static_cast<std::uint32_t>(HealthVerdict::kHealthy)) return DecodeError::kMalformed;
-    d.evidence.push_back({e.author(), Get(e.incarnation()), e.endpoint(), e.endpoint_start(),
-                          static_cast<HealthVerdict>(e.verdict()), e.observations(), e.version(),
-                          Age(e.age_us()), Time(e.valid_us())});
-  }
-  for (const auto& s : w.unreported_sends()) d.unreported_sends.push_back({s.endpoint(), s.count()});
-  for (const auto& a : w.lease_requests())
-    d.lease_requests.push_back({a.nonce(), a.quota(), a.units(), a.renews()});
-  for (const auto& g : w.grants()) {
-    d.grants.push_back({g.nonce(), g.lease(), g.quota(), g.units(), Time(g.length_us()), Get(g.borrower())});
-  }
-  for (const auto& r : w.returns()) d.returns.push_back({r.lease(), Get(r.lender()), r.quota(), r.units()});
-  for (const auto& s : w.return_acks())
-    d.return_acks.push_back({s.lease(), s.quota(), s.units(), Get(s.borrower())});
-  if (w.has_held_leases()) {
-    d.held_leases = HeldLeases{Get(w.held_leases().lender()), w.held_leases().covers(), {}};
-    for (const auto& i : w.held_leases().items())
-      d.held_leases->items.push_back({i.quota(), i.lease(), i.units()});
-  }
-  d.wants_held_leases = w.wants_held_leases();
-  for (const auto& i : w.idle_units()) d.idle_units.push_back({i.quota(), i.units()});
-  return d;
+  if (bytes.size() < kEnvelopeBytes || !bytes.starts_with(kMagic)) return DecodeError::kNotOurs;
+  if (static_cast<std::uint8_t>(bytes[kSchemaAt]) != kSchema) return DecodeError::kSchema;
+  const std::string_view body = bytes.substr(kEnvelopeBytes);
+  if (ReadChecksum(bytes) != Checksum(body, fleet)) return DecodeError::kChecksum;
+  wire::Datagram parsed;
+  if (!parsed.ParseFromArray(body.data(), static_cast<int>(body.size()))) return DecodeError::kMalformed;
+  std::optional<Datagram> datagram = FromWire(parsed);
+  if (!datagram) return DecodeError::kMalformed;
+  return *std::move(datagram);
 }
 
 }  // namespace stoatrun::fleet
--- a/src/fleet/node.cpp
+++ b/src/fleet/node.cpp
@@ -80,7 +80,7 @@
   d.seq = ++link.sent_seq;
   d.fleet_size = settings_.fleet_size;
   if (link.heard_incarnation) {
-    d.echo_run = RunOf(link.heard_incarnation);
+    d.echo_run = ShortIncarnationId(link.heard_incarnation);
     d.echo_seq = link.heard_seq;
     d.echo_held = now - link.heard_at;
   }
@@ -94,7 +94,7 @@
 // The datagram left its sender after ours, which it names, had come there, and was held there for the time
 // that it tells. All else of the time since ours went out may have been its way.
 std::optional<Micros> Node::Transit(Micros now, const Link& link, const Datagram& d) const {
-  if (d.echo_run != RunOf(members_.SelfIncarnation())) return std::nullopt;
+  if (d.echo_run != ShortIncarnationId(members_.SelfIncarnation())) return std::nullopt;
   for (const auto& [seq, at] : link.sent_at) {
     // Either clock may be the fast one.
     if (seq == d.echo_seq) return std::max(Micros(0), AtLeast(now - at) - AtMost(d.echo_held));
--- a/src/fleet/types.h
+++ b/src/fleet/types.h
@@ -1,5 +1,8 @@
-// What all parts of the fleet's shared state speak of: places, incarnations, quotas. Pure: no clocks, no
-// sockets.
+// The vocabulary that all modules of the fleet's shared state use: members, incarnations, quotas, settings.
+//
+// All modules in src/fleet are deterministic: time, randomness and datagrams are passed in, no clock is read
+// and no socket is opened (src/fleet/io does that). None of them is thread-safe; the event loop's thread owns
+// them.
 #ifndef STOATRUN_FLEET_TYPES_H_
 #define STOATRUN_FLEET_TYPES_H_
 
@@ -11,69 +14,76 @@
 
 namespace stoatrun::fleet {
 
-using Micros = std::chrono::microseconds;  // A duration, or a time on the relay's own monotonic clock.
+// A duration, or a point in time on the relay's own monotonic clock.
+using Micros = std::chrono::microseconds;
 
-// A place in the fleet, given by the operator file: 0 to `fleet_size` - 1. Who sits there may change, the
-// place's share of quota_templates quota does not.
+// A member's place in the fleet as the operator file numbers it: 0 to `fleet_size` - 1. The process at a
+// place may change; the place's share of each quota does not.
 using MemberId = std::uint32_t;
 
-// One run of a process. A later run of the same name is greater; `id` is drawn at random at the start, so
-// that two runs that chose the same generation are told apart.
+// Identifies one run of a member's process and orders it against other runs of the same member, also where a
+// disk was lost or a wall clock was set back. A later run compares greater.
 struct Incarnation {
-  std::uint64_t generation = 0;  // 0: nobody has been heard.
+  // Wall-clock milliseconds at the start; raised by a process that learns of a run greater than itself. 0: no
+  // run.
+  std::uint64_t generation = 0;
+  // Drawn at random at the start, so that two runs that chose the same generation differ.
   std::uint64_t id = 0;
-  // NOLINTNEXTLINE(modernize-use-nullptr): the generated comparison with 0 is accepted for one with a
-  // pointer.
+  // NOLINTNEXTLINE(modernize-use-nullptr): the generated comparison with 0 is taken for one with a pointer.
   auto operator<=>(const Incarnation&) const = default;
+  // True if this names a run.
   explicit operator bool() const { return generation != 0; }
 };
 
-// A clock may be fast or slow against real time by this part, at the most. Every bound that spans two clocks
-// allows for it on both sides.
+// The largest relative rate error of a clock that every bound spanning two clocks allows for, on both sides.
 constexpr double kMaxClockDrift = 0.01;
 
-// No earlier than `t` of real time, and no later: how long to wait on a clock that may be fast, or slow.
+// The reading a fast clock may show after `t` of real time: waiting that long waits for at least `t`.
 inline Micros AtLeast(Micros t) {
   return Micros(static_cast<std::int64_t>(static_cast<double>(t.count()) * (1 + kMaxClockDrift)) + 1);
 }
+// The reading a slow clock may show after `t` of real time: waiting that long waits for at most `t`.
 inline Micros AtMost(Micros t) {
   return Micros(static_cast<std::int64_t>(static_cast<double>(t.count()) * (1 - kMaxClockDrift)));
 }
 
-// The longest lease, for all fleets: a new run waits that long for what its former one lent, so that it must
+// The longest lease, in all fleets. A new run waits that long for what its former run lent, so the value must
 // not depend on a setting that the former run may have had otherwise.
 constexpr Micros kLeaseDuration = std::chrono::seconds(2);
 
+// Another member as the operator file names it.
 struct Peer {
   MemberId member_id = 0;
   std::string name;
 };
 
-// What is spent is gone for `window` (a send, an attempt, a probe); a window of 0 is a level: what is
-// accepted stays accepted until it is given back (a connection that stands).
+// A quota of the whole fleet. A rate quota has a window: a unit that was acquired is available again a window
+// later (a send, an attempt, a health check). A concurrency quota has none: a unit stays acquired until it is
+// released (an established connection).
 struct QuotaRule {
-  std::string name;         // Unique; the name's part before a ':' is its kind, as in `cold:s-1`.
-  std::uint32_t units = 0;  // Of the complete fleet.
-  Micros window{0};
+  std::string name;         // Unique; the part before a ':' names its template, as in `cold:s-1`.
+  std::uint32_t units = 0;  // Of the whole fleet.
+  Micros window{0};         // 0: a concurrency quota.
+  // True for a concurrency quota, false for a rate quota.
   bool IsConcurrencyQuota() const { return window.count() == 0; }
 };
 
+// What the operator file and the configuration say of the fleet.
 struct Settings {
-  std::string fleet;  // Datagrams of another name are not ours.
+  std::string fleet;  // The fleet's name; datagrams of another fleet are dropped.
   MemberId self = 0;
   std::uint32_t fleet_size = 1;
-  std::vector<Peer> peers;  // Without self.
-  // QuotaLeases that are there from the start. `quota_templates`: rules for quotas made as needed, by kind
-  // (`cold` for `cold:s-1`).
-  std::vector<QuotaRule> quotas;
-  std::vector<QuotaRule> quota_templates;
-  Micros period = std::chrono::seconds(1);  // Of the members' checks.
-  Micros tick = std::chrono::milliseconds(250);
-  Micros stale_after = std::chrono::seconds(10);  // Counts older than that are widened.
-  std::uint32_t max_accepted_per_s =
-      1000;                           // A relay takes no more connections than that: the widening's slope.
-  std::uint32_t max_open = 10000;     // Nor does it hold more at once.
-  double max_ejected_fraction = 0.3;  // Part of the endpoints that may be ejected on hearsay.
+  std::vector<Peer> peers;                       // All members but this one.
+  std::vector<QuotaRule> quotas;                 // Exist from the start.
+  std::vector<QuotaRule> quota_templates;        // Quotas made on demand, by the part of the name before ':'.
+  Micros period = std::chrono::seconds(1);       // Between two pings that a member sends.
+  Micros tick = std::chrono::milliseconds(250);  // Between two calls of FleetNode::Tick.
+  Micros stale_after = std::chrono::seconds(10);  // Counts older than that are widened to an interval.
+  // Bounds on what a relay may do while nothing is heard of it: connections accepted a second, and open at
+  // once.
+  std::uint32_t max_accepted_per_s = 1000;
+  std::uint32_t max_open = 10000;
+  double max_ejected_fraction = 0.3;  // Of the listed endpoints, on remote evidence alone.
 };
 
 }  // namespace stoatrun::fleet
