--- a/bench/ledger_bench.cpp
+++ b/bench/ledger_bench.cpp
@@ -74,12 +74,12 @@
                         {{"feed", 400'000'000, 90}, {"sync", 200'000'000, 70}, {"watch", 300'000'000, 80}}});
   }
   p.period_s = 3600;
-  p.lives_us = std::int64_t{900'000'000} * groups;
+  p.connection_time_us = std::int64_t{900'000'000} * groups;
   for (int k = 0; k < periods; ++k) {
     p.number = static_cast<std::uint64_t>(k) + 1;
     p.period_start_s = kHour + 3600 * k;
     p.wall_us = p.period_start_s * 1'000'000;
-    p.left = true;
+    p.period_ended = true;
     store.Apply(p, {});
   }
 }
@@ -99,7 +99,7 @@
     benchmark::DoNotOptimize(store.State());
   }
   state.counters["file_mib"] =
-      static_cast<double>(std::filesystem::file_size(Store::PathIn(folder.path))) / (1024 * 1024);
+      static_cast<double>(std::filesystem::file_size(Store::DatabasePath(folder.path))) / (1024 * 1024);
 }
 BENCHMARK(BM_Recovery)->Args({100, 100})->Args({10000, 100})->Unit(benchmark::kMillisecond)->Iterations(5);
 
@@ -127,7 +127,7 @@
       }
     }
     state.counters["file_mib"] =
-        static_cast<double>(std::filesystem::file_size(Store::PathIn(folder.path))) / (1024 * 1024);
+        static_cast<double>(std::filesystem::file_size(Store::DatabasePath(folder.path))) / (1024 * 1024);
   }
 }
 BENCHMARK(BM_MillionConnections)->Unit(benchmark::kSecond)->Iterations(1);
@@ -167,7 +167,7 @@
         out << line.text;
       }
     }
-    out << MakeEnd({relay, "b", 1, seq, prev});
+    out << MakeTrailer({relay, "b", 1, seq, prev});
   }
 }
 
--- a/src/base/usage_meter.h
+++ b/src/base/usage_meter.h
@@ -19,8 +19,8 @@
   virtual ~UsageMeter() = default;
   // A connection stands from now on: its client is being handed UP. `group` may be empty.
   virtual UsageHandle Begin(std::string_view group, std::size_t class_index) = 0;
-  // It has ended. A ticket that is not open is passed by.
-  virtual void End(UsageHandle& ticket) = 0;
+  // It has ended. A handle that is not open is passed by.
+  virtual void End(UsageHandle& handle) = 0;
 };
 
 }  // namespace stoatrun
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -42,7 +42,7 @@
     return kBadUsage;
   } catch (const ledger::StoreError& e) {
     std::cerr << "stoatrun: " << e.what() << '\n';
-    return e.fault == ledger::StoreFault::kRefused ? kBadUsage : kFailed;
+    return e.code == ledger::StoreErrorCode::kRejected ? kBadUsage : kFailed;
   } catch (const ConfigError& e) {
     std::cerr << "stoatrun: bad configuration: " << e.what() << '\n';
     return kBadUsage;
--- a/src/cli/ledger.cpp
+++ b/src/cli/ledger.cpp
@@ -132,7 +132,7 @@
   table.Print(std::cout, o.format);
   const ledger::StoreState state = store.State();
   std::cerr << fmt::format("ledger of {}, book {}: {} records, {} delivered, {} unattested intervals\n",
-                           state.relay, state.book, state.head_seq, state.delivered_seq, unattested);
+                           state.relay, state.ledger_id, state.head_seq, state.delivered_seq, unattested);
   return kDone;
 }
 
@@ -141,7 +141,7 @@
   try {
     wrong = OpenStore(o).Verify();
   } catch (const ledger::StoreError& e) {
-    if (e.fault != ledger::StoreFault::kDamaged) throw;
+    if (e.code != ledger::StoreErrorCode::kCorrupt) throw;
     wrong.emplace_back(e.what());
   }
   Table table({"fault"}, 1);
@@ -153,7 +153,7 @@
 
 int Export(const Options& o) {
   Store store = OpenStore(o);
-  const ledger::FileEnd end = ledger::WriteExport(store, o.since, o.out);
+  const ledger::ExportTrailer end = ledger::WriteExport(store, o.since, o.out);
   if (end.to < end.from) {
     std::cerr << fmt::format("{}: no records from {} on\n", o.out, end.from);
   } else {
@@ -165,14 +165,14 @@
 int Correct(const Options& o) {
   Store store = OpenStore(o);
   const std::uint64_t seq =
-      store.Enter({o.group, PeriodOf(o.period), o.seconds, o.reason, o.by, o.reference, WallUs()});
+      store.EnterCorrection({o.group, PeriodOf(o.period), o.seconds, o.reason, o.by, o.reference, WallUs()});
   std::cout << "entered as record " << seq << '\n';
   return kDone;
 }
 
 int Reconcile(const Options& o) {
   const unsigned threads = o.threads != 0 ? o.threads : std::max(1U, std::thread::hardware_concurrency());
-  const ledger::Reconciled r = ledger::ReconcileFiles(o.paths, threads);
+  const ledger::ReconcileReport r = ledger::ReconcileFiles(o.paths, threads);
   Table totals({"period", "group", "use_s", "within_s", "beyond_s", "corrected_s", "relay_records"}, 2);
   for (const auto& [key, t] : r.totals) {
     totals.Add({When(key.first), key.second, Seconds(t.use_us), Seconds(t.within_us), Seconds(t.beyond_us),
@@ -203,7 +203,7 @@
       {{"totals", &totals}, {"corrections", &corrections}, {"unattested", &unattested}, {"faults", &faults}});
   std::cerr << fmt::format(
       "{} relays, {} books, {} files, {} records, {} duplicates, {} clock steps, {} faults\n", r.relays,
-      r.books, r.files, r.records, r.duplicates, r.clock_steps, r.faults.size() + r.faults_left_out);
+      r.ledgers, r.files, r.records, r.duplicates, r.clock_steps, r.faults.size() + r.omitted_faults);
   return r.faults.empty() ? kDone : kFoundWrong;
 }
 
--- a/src/cli/ledger_setup.cpp
+++ b/src/cli/ledger_setup.cpp
@@ -13,40 +13,40 @@
 
 }  // namespace
 
-ledger::KeeperSetup KeeperSetupOf(const Config& config, const config::Ledger& file) {
-  ledger::KeeperSetup setup;
+ledger::UsageRecorderSetup MakeUsageRecorderSetup(const Config& config, const config::Ledger& file) {
+  ledger::UsageRecorderSetup setup;
   setup.accounts.period = std::chrono::seconds(file.period_s());
   setup.accounts.classes = config.site.class_names;
-  setup.accounts.most_strangers = file.most_strangers();
+  setup.accounts.max_unlisted_groups = file.most_strangers();
   for (const auto& g : config.site.groups) {
     ledger::GroupSetup group{g.name, std::nullopt};
-    if (g.quota >= 0) group.share_milli = std::llround(g.quota * 1000 / config.site.module.replicas);
+    if (g.quota >= 0) group.quota_milli = std::llround(g.quota * 1000 / config.site.module.replicas);
     setup.accounts.groups.push_back(group);
   }
   for (const config::Share& s : file.share()) {
     auto& groups = setup.accounts.groups;
     auto it = std::find_if(groups.begin(), groups.end(), [&](const auto& g) { return g.name == s.group(); });
     if (it == groups.end()) it = groups.insert(groups.end(), {s.group(), std::nullopt});
-    it->share_milli = static_cast<std::int64_t>(s.milli_connections());
+    it->quota_milli = static_cast<std::int64_t>(s.milli_connections());
   }
   std::random_device random;
   setup.store = {file.folder(), config.name, fmt::format("{:08x}{:08x}", random(), random()),
                  nullptr,       true,        file.checkpoint_ms()};
   setup.checkpoint = std::chrono::milliseconds(file.checkpoint_ms());
-  setup.most_cells = std::size_t{file.backlog_kib()} * 1024 / kCellBytes;
+  setup.max_backlog_cells = std::size_t{file.backlog_kib()} * 1024 / kCellBytes;
   return setup;
 }
 
-ledger::CourierSetup CourierSetupOf(const config::Receiver& file, std::uint64_t seed) {
-  ledger::CourierSetup setup;
+ledger::ExportClientSetup MakeExportClientSetup(const config::Receiver& file, std::uint64_t seed) {
+  ledger::ExportClientSetup setup;
   setup.receiver = Address::Parse(file.address()).value();
   setup.host = file.address();
   setup.path = file.path();
-  setup.answer_wait = std::chrono::milliseconds(file.answer_wait_ms());
-  setup.delivery.first_retry = std::chrono::milliseconds(file.first_retry_ms());
-  setup.delivery.last_retry =
+  setup.response_timeout = std::chrono::milliseconds(file.answer_wait_ms());
+  setup.delivery.initial_backoff = std::chrono::milliseconds(file.first_retry_ms());
+  setup.delivery.max_backoff =
       std::chrono::milliseconds(std::max(file.first_retry_ms(), file.last_retry_ms()));
-  setup.delivery.most_records = file.most_records();
+  setup.delivery.max_batch_records = file.most_records();
   setup.seed = seed;
   return setup;
 }
--- a/src/cli/ledger_setup.h
+++ b/src/cli/ledger_setup.h
@@ -10,8 +10,8 @@
 namespace stoatrun::cli {
 
 // A share of the operator file goes before the settings' quota, which is that of all relays together.
-ledger::KeeperSetup KeeperSetupOf(const Config& config, const config::Ledger& file);
-ledger::CourierSetup CourierSetupOf(const config::Receiver& file, std::uint64_t seed);
+ledger::UsageRecorderSetup MakeUsageRecorderSetup(const Config& config, const config::Ledger& file);
+ledger::ExportClientSetup MakeExportClientSetup(const config::Receiver& file, std::uint64_t seed);
 
 }  // namespace stoatrun::cli
 
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -39,18 +39,19 @@
   Service(const Common& common, const Config& config, const config::OperatorFile& file)
       : common_(common), file_(file) {
     if (file.has_ledger()) {
-      keeper_.emplace(loop_, KeeperSetupOf(config, file.ledger()), [] {
+      usage_recorder_.emplace(loop_, MakeUsageRecorderSetup(config, file.ledger()), [] {
         return std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch());
       });
       if (file.ledger().has_receiver()) {
-        courier_.emplace(loop_, *keeper_, CourierSetupOf(file.ledger().receiver(), config.site.module.seed));
+        export_client_.emplace(loop_, *usage_recorder_,
+                               MakeExportClientSetup(file.ledger().receiver(), config.site.module.seed));
       }
     }
     if (file.has_fleet()) {
       transport_.emplace(loop_, FleetSetupOf(config, file.fleet()));
       seat_.emplace(loop_, *transport_, QuotasOf(config, file.fleet()));
     }
-    relay_.emplace(loop_, config, keeper_ ? &*keeper_ : nullptr, seat_ ? &*seat_ : nullptr);
+    relay_.emplace(loop_, config, usage_recorder_ ? &*usage_recorder_ : nullptr, seat_ ? &*seat_ : nullptr);
     if (config.management) management_.emplace(loop_, static_cast<ManagementEvents&>(*this));
     Watch(term_, SIGTERM, OnEnd);
     Watch(interrupt_, SIGINT, OnEnd);
@@ -73,7 +74,7 @@
     LogLine(Level::kInfo, "ready").Field("name", config.name).Field("port", relay_->Port());
     loop_.Run();
     if (transport_) transport_->Leave();
-    const bool kept = !keeper_ || keeper_->Finish(kLedgerEnd);
+    const bool kept = !usage_recorder_ || usage_recorder_->Finish(kLedgerEnd);
     Print();
     // A thread that hangs in a call to the disk can't be waited for, nor may its objects go.
     if (!kept) std::_Exit(kDone);
@@ -146,11 +147,11 @@
   }
 
   void Print() {
-    if (keeper_) keeper_->CheckNow();
+    if (usage_recorder_) usage_recorder_->CheckBalance();
     LogLine record(Level::kInfo, "counters");
     AddFields(record, relay_->Counts());
-    if (keeper_) keeper_->AddFields(record);
-    if (courier_) courier_->AddFields(record);
+    if (usage_recorder_) usage_recorder_->AddFields(record);
+    if (export_client_) export_client_->AddFields(record);
     if (transport_) {
       record.Field("legs_held_back", relay_->Counts().legs_held_back);
       transport_->AddFields(record);
@@ -160,8 +161,8 @@
   const Common& common_;
   config::OperatorFile file_;
   EventLoop loop_;
-  std::optional<ledger::Keeper> keeper_;
-  std::optional<ledger::Courier> courier_;
+  std::optional<ledger::UsageRecorder> usage_recorder_;
+  std::optional<ledger::ExportClient> export_client_;
   std::optional<fleet::GossipTransport> transport_;
   std::optional<fleet::FleetMember> seat_;
   std::optional<Proxy> relay_;  // Ends before what it tells.
--- a/src/ledger/accounts.cpp
+++ b/src/ledger/accounts.cpp
@@ -24,7 +24,7 @@
   period_start_s_ = StartOf(wall);
   for (const GroupSetup& g : setup_.groups) {
     if (numbers_.try_emplace(g.name, static_cast<std::uint32_t>(groups_.size())).second) {
-      groups_.push_back({.name = g.name, .share_milli = g.share_milli, .settled_us = latest_us_});
+      groups_.push_back({.name = g.name, .quota_milli = g.quota_milli, .settled_us = latest_us_});
       row_of_.emplace_back(setup_.classes.size());
     }
   }
@@ -43,14 +43,14 @@
   }
   auto it = numbers_.find(key);
   if (it == numbers_.end() && key != kMissingGroup && key != kOtherGroups &&
-      strangers_++ >= setup_.most_strangers) {
-    strangers_ = setup_.most_strangers;
+      unlisted_groups_++ >= setup_.max_unlisted_groups) {
+    unlisted_groups_ = setup_.max_unlisted_groups;
     key = kOtherGroups;
     it = numbers_.find(key);
   }
   if (it == numbers_.end()) {
     it = numbers_.emplace(key, static_cast<std::uint32_t>(groups_.size())).first;
-    groups_.push_back({.name = key, .share_milli = std::nullopt, .settled_us = latest_us_});
+    groups_.push_back({.name = key, .quota_milli = std::nullopt, .settled_us = latest_us_});
     row_of_.emplace_back(setup_.classes.size());
   }
   return it->second;
@@ -78,11 +78,11 @@
   group.settled_us = now_us;
   group.use_us += span * group.open;
   const std::int64_t open_milli = group.open * kMilli;
-  if (!group.share_milli || *group.share_milli >= open_milli) {
+  if (!group.quota_milli || *group.quota_milli >= open_milli) {
     group.within_us += span * group.open;
     return;
   }
-  const std::int64_t within_milli = span * *group.share_milli + group.carry_milli;
+  const std::int64_t within_milli = span * *group.quota_milli + group.carry_milli;
   group.within_us += within_milli / kMilli;
   group.carry_milli = within_milli % kMilli;
 }
@@ -110,23 +110,23 @@
   return {now.count(), index, true};
 }
 
-void Accounts::End(Micros now, UsageHandle& ticket) {
-  if (!ticket.open) return;
+void Accounts::End(Micros now, UsageHandle& handle) {
+  if (!handle.open) return;
   Advance(now);
-  Row& row = rows_[ticket.row];
+  Row& row = rows_[handle.row];
   Group& g = groups_[row.group];
   Settle(row, now.count());
   Settle(g, now.count());
-  ticket.open = false;
+  handle.open = false;
   if (row.open == 0) {  // Ended twice, by way of a copy: counted, and nothing is taken off.
-    ++breaches_;
+    ++double_ends_;
     return;
   }
   --row.open;
   --g.open;
   --open_;
-  since_sum_us_ -= ticket.since_us;
-  ended_us_ += now.count() - ticket.since_us;
+  since_sum_us_ -= handle.since_us;
+  ended_us_ += now.count() - handle.since_us;
 }
 
 void Accounts::Advance(Micros now) {
@@ -141,16 +141,16 @@
   latest_us_ = now.count();
 }
 
-void Accounts::Cut(std::int64_t at_us, bool left) {
+void Accounts::Cut(std::int64_t at_us, bool period_ended) {
   SettleAll(at_us);
   Posting p;
   p.period_start_s = period_start_s_;
   p.period_s = setup_.period.count() / 1'000'000;
   p.wall_us = at_us + offset_.count();
-  p.left = left;
+  p.period_ended = period_ended;
   p.steps = std::exchange(steps_, {});
   const std::int64_t lives = ended_us_ + static_cast<std::int64_t>(open_) * at_us - since_sum_us_;
-  p.lives_us = lives - std::exchange(lives_taken_us_, lives);
+  p.connection_time_us = lives - std::exchange(posted_connection_time_us_, lives);
   std::vector<std::size_t> place(groups_.size());
   for (std::size_t k = 0; k < groups_.size(); ++k) {
     Group& g = groups_[k];
@@ -159,12 +159,12 @@
     p.groups.push_back({g.name,
                         std::exchange(g.use_us, 0),
                         std::exchange(g.within_us, 0),
-                        g.share_milli.value_or(-1),
+                        g.quota_milli.value_or(-1),
                         g.peak,
                         {}});
     g.peak = g.open;
     g.touched = false;
-    taken_us_ += p.groups.back().use_us;
+    posted_row_time_us_ += p.groups.back().use_us;
   }
   for (Row& row : rows_) {
     if (row.use_us == 0 && row.begun == 0) continue;
@@ -197,10 +197,10 @@
   Advance(now);
   SettleAll(now.count());
   Sums sums;
-  sums.breaches = breaches_;
-  sums.booked_us = taken_us_;
-  for (const Row& row : rows_) sums.booked_us += row.use_us;
-  sums.lives_us = ended_us_ + static_cast<std::int64_t>(open_) * now.count() - since_sum_us_;
+  sums.double_ends = double_ends_;
+  sums.row_time_us = posted_row_time_us_;
+  for (const Row& row : rows_) sums.row_time_us += row.use_us;
+  sums.connection_time_us = ended_us_ + static_cast<std::int64_t>(open_) * now.count() - since_sum_us_;
   return sums;
 }
 
--- a/src/ledger/accounts.h
+++ b/src/ledger/accounts.h
@@ -5,8 +5,8 @@
 // connections; the integral over time of its open connections up to the share is use within it, the rest is
 // use beyond it.
 //
-// What the caller guarantees: `now` never goes backwards; each ticket is ended once. What is broken all the
-// same (a ticket ended twice, say) shows in Check, which compares two sums that are kept apart: the rows, and
+// What the caller guarantees: `now` never goes backwards; each handle is ended once. What is broken all the
+// same (a handle ended twice, say) shows in Check, which compares two sums that are kept apart: the rows, and
 // the lives of the connections.
 #ifndef STOATRUN_LEDGER_ACCOUNTS_H_
 #define STOATRUN_LEDGER_ACCOUNTS_H_
@@ -27,14 +27,14 @@
 
 struct GroupSetup {
   std::string name;
-  std::optional<std::int64_t> share_milli;  // Thousandths of a connection; nothing: all use is within.
+  std::optional<std::int64_t> quota_milli;  // Thousandths of a connection; nothing: all use is within.
 };
 
 struct AccountsSetup {
   Micros period{0};                // Over 0.
   std::vector<GroupSetup> groups;  // Named by the settings or the operator file.
   std::vector<std::string> classes;
-  std::size_t most_strangers = 64;  // Groups that nobody named get rows of their own up to this many.
+  std::size_t max_unlisted_groups = 64;  // Groups that nobody named get rows of their own up to this many.
 };
 
 class Accounts {
@@ -42,10 +42,10 @@
   // `wall` is Unix time.
   Accounts(const AccountsSetup& setup, Micros now, Micros wall);
 
-  // An empty name is a missing group. Names beyond `most_strangers`, or not of a name's form, share one row:
-  // callers must not buy memory with names.
+  // An empty name is a missing group. Names beyond `max_unlisted_groups`, or not of a name's form, share one
+  // row: callers must not buy memory with names.
   UsageHandle Begin(Micros now, std::string_view group, std::size_t class_index);
-  void End(Micros now, UsageHandle& ticket);
+  void End(Micros now, UsageHandle& handle);
 
   // Compares the wall clock with what the monotonic one led to expect. A difference over the slack is a step:
   // it is recorded, and the period that holds the new time goes on from here. A smaller one moves the
@@ -57,9 +57,9 @@
 
   // What is booked in rows, and the lives of connections, up to now; equal unless the code is wrong.
   struct Sums {
-    std::int64_t booked_us = 0, lives_us = 0;
-    std::uint64_t breaches = 0;  // Tickets ended that were not open.
-    bool Balance() const { return booked_us == lives_us && breaches == 0; }
+    std::int64_t row_time_us = 0, connection_time_us = 0;
+    std::uint64_t double_ends = 0;  // Tickets ended that were not open.
+    bool Balance() const { return row_time_us == connection_time_us && double_ends == 0; }
   };
   Sums Check(Micros now);
 
@@ -80,7 +80,7 @@
  private:
   struct Group {
     std::string name;
-    std::optional<std::int64_t> share_milli;
+    std::optional<std::int64_t> quota_milli;
     std::uint32_t open = 0, peak = 0;
     std::int64_t settled_us = 0;  // Monotonic time up to which it is settled.
     std::int64_t use_us = 0, within_us = 0, carry_milli = 0;
@@ -99,7 +99,7 @@
   void SettleAll(std::int64_t now_us);
   // Cuts at each border that lies before `now`.
   void Advance(Micros now);
-  void Cut(std::int64_t at_us, bool left);
+  void Cut(std::int64_t at_us, bool period_ended);
   std::int64_t StartOf(Micros wall) const;
 
   const AccountsSetup setup_;
@@ -108,15 +108,16 @@
   std::int64_t latest_us_ = 0;  // Nothing is settled beyond this time.
   std::vector<Group> groups_;
   std::unordered_map<std::string, std::uint32_t> numbers_;
-  std::size_t strangers_ = 0;
+  std::size_t unlisted_groups_ = 0;
   std::vector<Row> rows_;
   std::vector<std::vector<std::uint32_t>> row_of_;  // By group and class; 0: none, else the row and one.
   std::vector<Posting> ready_;
   std::vector<ClockStep> steps_;
   // The lives, kept apart from the rows.
-  std::uint64_t open_ = 0, breaches_ = 0;
+  std::uint64_t open_ = 0, double_ends_ = 0;
   std::int64_t since_sum_us_ = 0, ended_us_ = 0;
-  std::int64_t taken_us_ = 0, lives_taken_us_ = 0;  // Booked and lived, as far as postings hold them.
+  std::int64_t posted_row_time_us_ = 0,
+               posted_connection_time_us_ = 0;  // Booked and lived, as far as postings hold them.
 };
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/delivery.cpp
+++ b/src/ledger/delivery.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void Delivery::Known(Micros now, std::uint64_t head, std::uint64_t delivered) {
+void Delivery::UpdateState(Micros now, std::uint64_t head, std::uint64_t delivered) {
   const bool had = head_ > delivered_;
   head_ = head;
   delivered_ = delivered;
@@ -18,54 +18,55 @@
   if (!had && failures_ == 0) due_ = now;
 }
 
-std::optional<Micros> Delivery::DueAt() const {
-  if (is_out_ || head_ <= delivered_) return std::nullopt;
+std::optional<Micros> Delivery::NextAttemptAt() const {
+  if (awaiting_response_ || head_ <= delivered_) return std::nullopt;
   return due_;
 }
 
-Delivery::Batch Delivery::Send() {
-  out_ = {delivered_ + 1, std::min(head_, delivered_ + most_)};
-  is_out_ = true;
-  return out_;
+Delivery::Batch Delivery::StartBatch() {
+  in_flight_ = {delivered_ + 1, std::min(head_, delivered_ + max_batch_records_)};
+  awaiting_response_ = true;
+  return in_flight_;
 }
 
 // Half of each wait is left to chance: relays that failed together must not come back together.
 void Delivery::RetryLater(Micros now, double chance, Micros at_least) {
   const Micros longest =
-      std::min(setup_.last_retry, setup_.first_retry * (1 << std::min(failures_, kMostDoublings)));
+      std::min(setup_.max_backoff, setup_.initial_backoff * (1 << std::min(failures_, kMostDoublings)));
   ++failures_;
   const auto half = static_cast<double>(longest.count()) / 2;
   const Micros wait(static_cast<std::int64_t>(half + half * chance));
-  due_ = now + std::max(wait, std::min(at_least, setup_.last_retry));
+  due_ = now + std::max(wait, std::min(at_least, setup_.max_backoff));
 }
 
-Delivery::Verdict Delivery::On(Micros now, const Answer& answer, double chance) {
+Delivery::Verdict Delivery::OnResponse(Micros now, const ReceiverResponse& answer, double chance) {
   const bool ok = answer.status >= kOk && answer.status < kEndOfOk;
-  if ((ok || answer.status == kConflict) && answer.held_seq) {
-    if (*answer.held_seq <= head_) return Verdict::kConfirm;  // The request stays out until it is confirmed.
-    is_out_ = false;
+  if ((ok || answer.status == kConflict) && answer.acknowledged_seq) {
+    if (*answer.acknowledged_seq <= head_)
+      return Verdict::kVerify;  // The request stays out until it is confirmed.
+    awaiting_response_ = false;
     failures_ = kMostDoublings;
-    RetryLater(now, chance, setup_.last_retry);
-    return Verdict::kDisagrees;
+    RetryLater(now, chance, setup_.max_backoff);
+    return Verdict::kConflict;
   }
-  is_out_ = false;
-  if (answer.status == kTooLarge && most_ > 1) {
-    most_ = std::max<std::uint64_t>(1, most_ / 2);
+  awaiting_response_ = false;
+  if (answer.status == kTooLarge && max_batch_records_ > 1) {
+    max_batch_records_ = std::max<std::uint64_t>(1, max_batch_records_ / 2);
     due_ = now;
-    return Verdict::kAgain;
+    return Verdict::kRetry;
   }
   const bool refused = answer.status >= kEndOfOk && answer.status < kServerError && answer.status != kTooMany;
   if (refused) failures_ = kMostDoublings;
   RetryLater(now, chance, answer.retry_after);
-  return refused ? Verdict::kRefused : Verdict::kAgain;
+  return refused ? Verdict::kRejected : Verdict::kRetry;
 }
 
-Delivery::Verdict Delivery::Confirmed(Micros now, std::uint64_t held, bool ours, double chance) {
-  is_out_ = false;
+Delivery::Verdict Delivery::OnVerified(Micros now, std::uint64_t held, bool ours, double chance) {
+  awaiting_response_ = false;
   if (!ours) {
     failures_ = kMostDoublings;
-    RetryLater(now, chance, setup_.last_retry);
-    return Verdict::kDisagrees;
+    RetryLater(now, chance, setup_.max_backoff);
+    return Verdict::kConflict;
   }
   // It may hold less than it once said: taken back from an older copy, say. What it lacks goes again.
   if (held < delivered_) ++rewinds_;
@@ -77,7 +78,7 @@
   } else {
     RetryLater(now, chance, Micros(0));  // It answers, but takes nothing, or loses what it took.
   }
-  return Verdict::kAgain;
+  return Verdict::kRetry;
 }
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/io/checked_vfs.cpp
+++ b/src/ledger/io/checked_vfs.cpp
@@ -47,7 +47,8 @@
   const int code = Real(f)->pMethods->xRead(Real(f), to, amount, offset);
   if (code != SQLITE_OK || !Of(f)->checked || !IsPage(amount, offset)) return code;
   const std::string_view page(static_cast<const char*>(to), kPageSize);
-  return PageHolds(page, static_cast<std::uint64_t>(offset / kPageSize) + 1) ? SQLITE_OK : SQLITE_IOERR_DATA;
+  return IsPageValid(page, static_cast<std::uint64_t>(offset / kPageSize) + 1) ? SQLITE_OK
+                                                                               : SQLITE_IOERR_DATA;
 }
 
 int Write(sqlite3_file* f, const void* from, int amount, sqlite3_int64 offset) {
@@ -157,14 +158,14 @@
   if (code != SQLITE_OK) throw SqlError(code, "no room for checksums in the pages");
 }
 
-bool PageHolds(std::string_view page, std::uint64_t number) {
+bool IsPageValid(std::string_view page, std::uint64_t number) {
   std::uint64_t sum = 0;
   std::memcpy(&sum, page.data() + kBody, sizeof sum);
   if (sum == Sum(page.data(), number)) return true;
   return std::all_of(page.begin(), page.end(), [](char c) { return c == 0; });
 }
 
-std::optional<std::uint64_t> FirstBadPage(sqlite3* db) {
+std::optional<std::uint64_t> FindInvalidPage(sqlite3* db) {
   sqlite3_file* file = nullptr;
   sqlite3_int64 size = 0;
   int code = sqlite3_file_control(db, "main", SQLITE_FCNTL_FILE_POINTER, static_cast<void*>(&file));
--- a/src/ledger/io/checked_vfs.h
+++ b/src/ledger/io/checked_vfs.h
@@ -27,12 +27,12 @@
 void Prepare(sqlite3* db);
 
 // Is this page, of kPageSize bytes, as it was written? A page of zeros was never written and is.
-bool PageHolds(std::string_view page, std::uint64_t number);
+bool IsPageValid(std::string_view page, std::uint64_t number);
 
 // Reads every page of the main database, also those that no table uses; gives the number of the first that
 // does not hold, from 1. By the connection's own file: opening the file once more and closing it would drop
 // the locks of the whole process. Throws SqlError if it can't be read.
-std::optional<std::uint64_t> FirstBadPage(sqlite3* db);
+std::optional<std::uint64_t> FindInvalidPage(sqlite3* db);
 
 }  // namespace stoatrun::ledger
 
--- a/src/ledger/io/export_client.h
+++ b/src/ledger/io/export_client.h
@@ -1,8 +1,8 @@
 // Carries records to the billing receiver: HTTP/1.1 POST of record lines, as ledger/delivery decides.
 //
 // The request: POST PATH, `Content-Type: application/x-ndjson`, `Idempotency-Key: RELAY-BOOK-FROM-TO-HASH`
-// (HASH: of the last line). The answer, 200 or 409: {"seq":N,"hash":"..."}, the last record of this book that
-// the receiver holds durably. Anything else is no receipt.
+// (HASH: of the last line). The answer, 200 or 409: {"seq":N,"hash":"..."}, the last record of this ledger_id
+// that the receiver holds durably. Anything else is no receipt.
 #ifndef STOATRUN_LEDGER_IO_EXPORT_CLIENT_H_
 #define STOATRUN_LEDGER_IO_EXPORT_CLIENT_H_
 
@@ -21,23 +21,23 @@
 
 namespace stoatrun::ledger {
 
-struct CourierSetup {
+struct ExportClientSetup {
   Address receiver;
   std::string host, path = "/";
-  Micros answer_wait = std::chrono::seconds(10);
+  Micros response_timeout = std::chrono::seconds(10);
   DeliverySetup delivery;
   std::uint64_t seed = 0;
 };
 
-struct CourierCounters {
+struct ExportClientCounters {
   std::uint64_t requests = 0, records = 0, failures = 0, refused = 0, disagreements = 0;
 };
 
-class Courier : public TcpConnectionHandler {
+class ExportClient : public TcpConnectionHandler {
  public:
-  Courier(EventLoop& loop, Keeper& keeper, const CourierSetup& setup);
+  ExportClient(EventLoop& loop, UsageRecorder& recorder, const ExportClientSetup& setup);
 
-  const CourierCounters& Counts() const { return counts_; }
+  const ExportClientCounters& Counts() const { return counts_; }
   std::uint64_t Backlog() const { return delivery_.Backlog(); }
   void AddFields(LogLine& record) const;
 
@@ -47,7 +47,7 @@
 
  private:
   struct Call {
-    Call(SlotId slot, Courier& all) : id(slot), stream(all.loop_, all, slot) {}
+    Call(SlotId slot, ExportClient& all) : id(slot), stream(all.loop_, all, slot) {}
     SlotId id;
     TcpConnection stream;
   };
@@ -55,8 +55,8 @@
   void Wait();
   void Send();
   void Connect(const std::vector<StoredRecord>& records);
-  Answer ReadAnswer() const;  // Of a response that is whole.
-  void Finish(const Answer& answer);
+  ReceiverResponse ReadAnswer() const;  // Of a response that is whole.
+  void Finish(const ReceiverResponse& answer);
   void Confirm(std::uint64_t seq, const std::string& hash);
   void Told(Delivery::Verdict verdict, std::string_view why);
   double Chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
@@ -66,19 +66,19 @@
   static int OnComplete(http_parser* p);
 
   EventLoop& loop_;
-  Keeper& keeper_;
-  const CourierSetup setup_;
+  UsageRecorder& usage_recorder_;
+  const ExportClientSetup setup_;
   Delivery delivery_;
   std::mt19937_64 random_;
   StoreState state_;
-  Timer due_, patience_;
+  Timer due_, response_timer_;
   SlotMap<Call> calls_;
   SlotId call_;
   std::string request_, field_, body_, retry_after_;
   bool complete_ = false, begun_ = false;
   http_parser parser_{};
   http_parser_settings parser_settings_{};
-  CourierCounters counts_;
+  ExportClientCounters counts_;
   LogRateLimiter told_;
 };
 
--- a/src/ledger/io/export_file.cpp
+++ b/src/ledger/io/export_file.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::size_t kWriteAtOnce = std::size_t{1} << 20U;
 constexpr std::size_t kReadAtOnce = std::size_t{1} << 18U;
-constexpr std::size_t kMostLine = std::size_t{1} << 20U;  // A record's line is a few hundred bytes.
+constexpr std::size_t kMaxLineSize = std::size_t{1} << 20U;  // A record's line is a few hundred bytes.
 
 [[noreturn]] void FailOf(const std::string& path) {
   throw std::runtime_error(path + ": " +
@@ -83,10 +83,10 @@
 
 }  // namespace
 
-FileEnd WriteExport(Store& store, std::uint64_t from_seq, const std::string& path) {
+ExportTrailer WriteExport(Store& store, std::uint64_t from_seq, const std::string& path) {
   const std::string beside = fmt::format("{}.{}.part", path, getpid());
   const StoreState state = store.State();
-  FileEnd end{state.relay, state.book, from_seq, from_seq - 1, FirstHash()};
+  ExportTrailer end{state.relay, state.ledger_id, from_seq, from_seq - 1, FirstHash()};
   try {
     File out(beside, O_WRONLY | O_CREAT | O_TRUNC);
     std::string text;
@@ -100,7 +100,7 @@
       out.Write(text);
       text.clear();
     });
-    out.Write(text + MakeEnd(end));
+    out.Write(text + MakeTrailer(end));
     out.Sync();
     if (rename(beside.c_str(), path.c_str()) != 0) FailOf(path);
   } catch (...) {
@@ -118,7 +118,7 @@
   std::size_t size = 0;
   for (;;) {
     if (size + simdjson::SIMDJSON_PADDING == buffer.size()) {
-      if (size >= kMostLine) throw std::runtime_error(path + ": a line of over 1 MiB");
+      if (size >= kMaxLineSize) throw std::runtime_error(path + ": a line of over 1 MiB");
       buffer.resize(2 * buffer.size());
     }
     const std::size_t n = in.Read(buffer.data() + size, buffer.size() - simdjson::SIMDJSON_PADDING - size);
@@ -137,10 +137,10 @@
   }
 }
 
-Reconciled ReconcileFiles(const std::vector<std::string>& paths, unsigned threads) {
+ReconcileReport ReconcileFiles(const std::vector<std::string>& paths, unsigned threads) {
   namespace fs = std::filesystem;
   std::set<std::string> files;
-  Reconciled all;
+  ReconcileReport all;
   for (const std::string& path : paths) {
     if (!fs::is_directory(path)) {
       files.insert(path);
@@ -150,12 +150,12 @@
       if (entry.path().extension() == ".jsonl") files.insert(entry.path());
     }
   }
-  std::map<std::pair<std::string, std::string>, std::vector<Part>> books;
+  std::map<std::pair<std::string, std::string>, std::vector<Part>> ledgers;
   std::set<std::string> relays;
   for (const std::string& file : files) {
     try {
       const FileHead head = ReadHead(FirstLine(file));
-      books[{head.relay, head.book}].push_back({head.first_seq, file});
+      ledgers[{head.relay, head.ledger_id}].push_back({head.first_seq, file});
       relays.insert(head.relay);
     } catch (const std::runtime_error& e) {
       ++all.files;
@@ -163,18 +163,18 @@
     }
   }
   std::vector<std::pair<const std::pair<std::string, std::string>*, std::vector<Part>*>> work;
-  for (auto& [book, parts] : books) {
+  for (auto& [ledger_id, parts] : ledgers) {
     std::sort(parts.begin(), parts.end());
-    work.emplace_back(&book, &parts);
+    work.emplace_back(&ledger_id, &parts);
   }
   std::atomic<std::size_t> next = 0;
-  std::vector<Reconciled> results(std::max(1U, threads));
+  std::vector<ReconcileReport> results(std::max(1U, threads));
   std::vector<std::thread> pool;
   pool.reserve(results.size());
-  for (Reconciled& result : results) {
+  for (ReconcileReport& result : results) {
     pool.emplace_back([&] {
       for (std::size_t k = 0; (k = next++) < work.size();) {
-        BookReader reader(work[k].first->first, work[k].first->second, result);
+        ExportReader reader(work[k].first->first, work[k].first->second, result);
         for (const Part& part : *work[k].second) {
           reader.BeginFile(part.path);
           try {
@@ -188,7 +188,7 @@
     });
   }
   for (std::thread& t : pool) t.join();
-  for (Reconciled& result : results) all.Merge(std::move(result));
+  for (ReconcileReport& result : results) all.Merge(std::move(result));
   all.relays = relays.size();
   all.CheckPeriods();
   return all;
--- a/src/ledger/io/store.cpp
+++ b/src/ledger/io/store.cpp
@@ -38,22 +38,22 @@
     R"(ALTER TABLE cell ADD COLUMN begun INTEGER NOT NULL DEFAULT 0;
        CREATE INDEX record_period ON record(start_s, grp);)"};
 
-StoreFault FaultOf(int code) {
+StoreErrorCode FaultOf(int code) {
   switch (code & 0xff) {
     case SQLITE_FULL:
-      return StoreFault::kFull;
+      return StoreErrorCode::kFull;
     case SQLITE_READONLY:
     case SQLITE_PERM:
     case SQLITE_CANTOPEN:
-      return StoreFault::kReadOnly;
+      return StoreErrorCode::kReadOnly;
     case SQLITE_CORRUPT:
     case SQLITE_NOTADB:
-      return StoreFault::kDamaged;
+      return StoreErrorCode::kCorrupt;
     case SQLITE_BUSY:
     case SQLITE_LOCKED:
-      return StoreFault::kTaken;
+      return StoreErrorCode::kLocked;
     default:
-      return code == SQLITE_IOERR_DATA ? StoreFault::kDamaged : StoreFault::kIo;
+      return code == SQLITE_IOERR_DATA ? StoreErrorCode::kCorrupt : StoreErrorCode::kIo;
   }
 }
 
@@ -65,7 +65,7 @@
 
 }  // namespace
 
-std::string_view NameOf(StoreFault fault) {
+std::string_view NameOf(StoreErrorCode fault) {
   constexpr std::array<std::string_view, 8> kNames{"full",  "io_error", "read_only", "foreign",
                                                    "taken", "newer",    "damaged",   "refused"};
   return kNames[static_cast<std::size_t>(fault)];
@@ -80,7 +80,8 @@
   }
 }
 
-Store::Store(const StoreSetup& setup) : path_(PathIn(setup.folder)), checkpoint_ms_(setup.checkpoint_ms) {
+Store::Store(const StoreSetup& setup)
+    : path_(DatabasePath(setup.folder)), checkpoint_ms_(setup.checkpoint_ms) {
   if (setup.lock_folder) {
     const std::string lock = setup.folder + "/relay.lock";
     lock_fd_ = open(lock.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
@@ -88,20 +89,20 @@
       const int error = errno;
       const bool full = error == ENOSPC || error == EDQUOT;
       throw StoreError(
-          full           ? StoreFault::kFull
-          : error == EIO ? StoreFault::kIo
-                         : StoreFault::kReadOnly,
+          full           ? StoreErrorCode::kFull
+          : error == EIO ? StoreErrorCode::kIo
+                         : StoreErrorCode::kReadOnly,
           lock + ": " + std::strerror(error));  // NOLINT(concurrency-mt-unsafe): glibc's is safe.
     }
     if (flock(lock_fd_, LOCK_EX | LOCK_NB) != 0) {
       close(lock_fd_);
-      throw StoreError(StoreFault::kTaken, setup.folder + ": another relay uses this folder");
+      throw StoreError(StoreErrorCode::kLocked, setup.folder + ": another relay uses this folder");
     }
   }
   try {
     Guarded([&] {
       Open(setup);
-      TakeBook(setup);
+      LoadIdentity(setup);
     });
   } catch (...) {
     if (lock_fd_ >= 0) close(lock_fd_);
@@ -136,7 +137,7 @@
   Transaction t(*db_, Transaction::Kind::kWrite);
   const std::int64_t from = version();  // Another process may have been first.
   if (from > kSchema) {
-    throw StoreError(StoreFault::kNewer,
+    throw StoreError(StoreErrorCode::kNewerSchema,
                      fmt::format("{}: its schema is {}, this program knows up to {}", path_, from, kSchema));
   }
   for (auto k = static_cast<std::size_t>(from); k < kMigrations.size(); ++k) db_->Do(kMigrations[k]);
@@ -156,22 +157,22 @@
       .Run();
 }
 
-void Store::TakeBook(const StoreSetup& setup) {
+void Store::LoadIdentity(const StoreSetup& setup) {
   relay_ = Meta("relay");
   if (relay_.empty()) {
-    if (!setup.lock_folder) throw StoreError(StoreFault::kDamaged, path_ + ": no relay has used it yet");
+    if (!setup.lock_folder) throw StoreError(StoreErrorCode::kCorrupt, path_ + ": no relay has used it yet");
     Transaction t(*db_, Transaction::Kind::kWrite);
     SetMeta("relay", setup.relay);
-    SetMeta("book", setup.book);
+    SetMeta("book", setup.ledger_id);
     SetMeta("head_seq", "0");
     SetMeta("head_hash", FirstHash());
     SetMeta("delivered_seq", "0");
     t.Commit();
     relay_ = setup.relay;
   }
-  book_ = Meta("book");
+  ledger_id_ = Meta("book");
   if (!setup.relay.empty() && relay_ != setup.relay) {
-    throw StoreError(StoreFault::kForeign,
+    throw StoreError(StoreErrorCode::kWrongRelay,
                      fmt::format("{}: it is the ledger of {}, this relay is {}", path_, relay_, setup.relay));
   }
 }
@@ -180,7 +181,7 @@
                             std::string_view group, std::string_view reference) {
   const std::uint64_t seq = NumberOf(Meta("head_seq")) + 1;
   record.set_relay(relay_);
-  record.set_book(book_);
+  record.set_book(ledger_id_);
   record.set_seq(seq);
   const Line line = MakeLine(record, Meta("head_hash"));
   Query q(*db_,
@@ -200,7 +201,7 @@
 std::int64_t Store::BeginRun(std::int64_t wall_us, std::int64_t period_start_s) {
   return Guarded([&] {
     Transaction t(*db_, Transaction::Kind::kWrite);
-    NoteLeftOver(wall_us);
+    RecordUnattested(wall_us);
     CloseOthers(period_start_s);
     Query(*db_, "INSERT INTO run(began_wall_us, last_wall_us, last_number) VALUES(?, ?, 0)")
         .Bind(wall_us)
@@ -229,7 +230,7 @@
   for (const std::int64_t id : left) ClosePeriod(id);
 }
 
-void Store::NoteLeftOver(std::int64_t wall_us) {
+void Store::RecordUnattested(std::int64_t wall_us) {
   Query last(*db_, "SELECT id, last_wall_us, ended FROM run ORDER BY id DESC LIMIT 1");
   if (!last.Step() || last.Int(2) != 0) return;
   wire::Record record;
@@ -271,7 +272,7 @@
   Guarded([&] {
     Transaction t(*db_, Transaction::Kind::kWrite);
     Query last(*db_, "SELECT last_number FROM run WHERE id = ?");
-    if (!last.Bind(run_).Step()) throw StoreError(StoreFault::kDamaged, path_ + ": the run is gone");
+    if (!last.Bind(run_).Step()) throw StoreError(StoreErrorCode::kCorrupt, path_ + ": the run is gone");
     // The commit of an earlier try may have held although its answer was an error.
     if (static_cast<std::uint64_t>(last.Int(0)) >= posting.number) return;
     CloseOthers(posting.period_start_s);
@@ -287,7 +288,7 @@
             .Bind(g.name)
             .Bind(g.use_us)
             .Bind(g.within_us)
-            .Bind(g.share_milli)
+            .Bind(g.quota_milli)
             .Bind(g.peak)
             .Run();
         for (const ClassUse& c : g.classes) {
@@ -304,7 +305,7 @@
         }
       }
       Query(*db_, "UPDATE period SET lives_us = lives_us + ? WHERE id = ?")
-          .Bind(posting.lives_us)
+          .Bind(posting.connection_time_us)
           .Bind(period)
           .Run();
     }
@@ -314,16 +315,16 @@
       record.mutable_clock_step()->set_to_wall_us(s.to_wall_us);
       Append(std::move(record), "clock_step", 0, {}, {});
     }
-    if (posting.unkept_us != 0) {
+    if (posting.unrecorded_us != 0) {
       wire::Record record;
       wire::Unattested& u = *record.mutable_unattested();
       u.set_from_wall_us(posting.unkept_from_wall_us);
       u.set_to_wall_us(posting.wall_us);
       u.set_checkpoint_ms(checkpoint_ms_);
-      u.set_unkept_us(posting.unkept_us);
+      u.set_unkept_us(posting.unrecorded_us);
       Append(std::move(record), "unattested", 0, {}, {});
     }
-    if (posting.left) {
+    if (posting.period_ended) {
       if (const auto open_period = OpenPeriod(posting.period_start_s)) ClosePeriod(*open_period);
     }
     Query(*db_, "UPDATE run SET last_number = ?, last_wall_us = ? WHERE id = ?")
@@ -395,24 +396,26 @@
   });
 }
 
-std::uint64_t Store::Enter(const Correct& c) {
+std::uint64_t Store::EnterCorrection(const CorrectionRequest& c) {
   return Guarded([&] {
     Transaction t(*db_, Transaction::Kind::kWrite);
     if (OpenPeriod(c.period_start_s)) {
-      throw StoreError(StoreFault::kRefused, fmt::format("the period {} is not closed yet: its use is still "
-                                                         "being counted; correct it once it is exported",
-                                                         c.period_start_s));
+      throw StoreError(StoreErrorCode::kRejected,
+                       fmt::format("the period {} is not closed yet: its use is still "
+                                   "being counted; correct it once it is exported",
+                                   c.period_start_s));
     }
     Query period(*db_, "SELECT length_s FROM period WHERE start_s = ? LIMIT 1");
     if (!period.Bind(c.period_start_s).Step()) {
-      throw StoreError(StoreFault::kRefused,
+      throw StoreError(StoreErrorCode::kRejected,
                        fmt::format("no period starts at {}: this ledger has counted none", c.period_start_s));
     }
     if (!c.reference.empty()) {
       Query same(*db_, "SELECT seq FROM record WHERE reference = ?");
       if (same.Bind(c.reference).Step()) {
-        throw StoreError(StoreFault::kRefused, fmt::format("reference {} is entered already, as record {}",
-                                                           c.reference, same.Int(0)));
+        throw StoreError(
+            StoreErrorCode::kRejected,
+            fmt::format("reference {} is entered already, as record {}", c.reference, same.Int(0)));
       }
     }
     Query original(*db_,
@@ -439,7 +442,8 @@
   return Guarded([&] {
     Transaction t(*db_, Transaction::Kind::kRead);
     StoreState s{
-        relay_, book_, NumberOf(Meta("head_seq")), NumberOf(Meta("delivered_seq")), Meta("head_hash"), 0};
+        relay_, ledger_id_, NumberOf(Meta("head_seq")), NumberOf(Meta("delivered_seq")), Meta("head_hash"),
+        0};
     Query open(*db_, "SELECT count(*) FROM period WHERE closed = 0");
     open.Step();
     s.open_periods = static_cast<std::uint64_t>(open.Int(0));
@@ -506,7 +510,7 @@
     try {
       // Holds the read lock, so that no page changes under the check.
       const std::string head = Meta("head_seq");
-      if (const auto page = FirstBadPage(db_->native_handle()))
+      if (const auto page = FindInvalidPage(db_->native_handle()))
         wrong.push_back(fmt::format("{}: page {} is damaged", path_, *page));
       Query check(*db_, "PRAGMA integrity_check");
       while (check.Step()) {
--- a/src/ledger/io/store.h
+++ b/src/ledger/io/store.h
@@ -23,13 +23,13 @@
 
 namespace stoatrun::ledger {
 
-enum class StoreFault { kFull, kIo, kReadOnly, kForeign, kTaken, kNewer, kDamaged, kRefused };
-std::string_view NameOf(StoreFault fault);
+enum class StoreErrorCode { kFull, kIo, kReadOnly, kWrongRelay, kLocked, kNewerSchema, kCorrupt, kRejected };
+std::string_view NameOf(StoreErrorCode fault);
 
 class StoreError : public std::runtime_error {
  public:
-  StoreError(StoreFault f, const std::string& what) : std::runtime_error(what), fault(f) {}
-  StoreFault fault;
+  StoreError(StoreErrorCode f, const std::string& what) : std::runtime_error(what), code(f) {}
+  StoreErrorCode code;
 };
 
 inline constexpr int kSchema = 2;
@@ -37,13 +37,13 @@
 struct StoreSetup {
   std::string folder;
   std::string relay;
-  std::string book;           // Taken for a new folder: any text that no other book has.
+  std::string ledger_id;      // Taken for a new folder: any text that no other ledger has.
   const char* vfs = nullptr;  // Below the checked layer; null: the system's.
   bool lock_folder = true;    // The relay's own store: no second relay on the folder.
   std::uint64_t checkpoint_ms = 0;
 };
 
-struct Correct {
+struct CorrectionRequest {
   std::string group;
   std::int64_t period_start_s = 0;
   std::int64_t seconds = 0;
@@ -58,7 +58,7 @@
 };
 
 struct StoreState {
-  std::string relay, book;
+  std::string relay, ledger_id;
   std::uint64_t head_seq = 0, delivered_seq = 0;
   std::string head_hash;
   std::uint64_t open_periods = 0;
@@ -93,8 +93,8 @@
   // Ends the run in order: nothing is left unattested. Also of use to close what is open.
   void EndRun(std::int64_t wall_us);
 
-  // Enters a correction as a record of its own. Throws kRefused for a period that is not closed.
-  std::uint64_t Enter(const Correct& correct);
+  // Enters a correction as a record of its own. Throws kRejected for a period that is not closed.
+  std::uint64_t EnterCorrection(const CorrectionRequest& correct);
 
   StoreState State();
   std::vector<StoredRecord> Records(std::uint64_t from_seq, std::size_t most);
@@ -106,12 +106,12 @@
   // Every page, SQLite's own check, the chain and the sums. What is wrong, in words; empty: nothing.
   std::vector<std::string> Verify();
 
-  static std::string PathIn(const std::string& folder) { return folder + "/ledger.db"; }
+  static std::string DatabasePath(const std::string& folder) { return folder + "/ledger.db"; }
 
  private:
   void Migrate();
   void Open(const StoreSetup& setup);
-  void TakeBook(const StoreSetup& setup);
+  void LoadIdentity(const StoreSetup& setup);
   std::string Meta(std::string_view key);
   void SetMeta(std::string_view key, std::string_view value);
   // All inside a transaction of the caller's.
@@ -121,7 +121,7 @@
   void CloseOthers(std::int64_t period_start_s);
   std::optional<std::int64_t> OpenPeriod(std::int64_t start_s);
   std::int64_t PeriodFor(const Posting& posting);
-  void NoteLeftOver(std::int64_t wall_us);
+  void RecordUnattested(std::int64_t wall_us);
   template <typename F>
   auto Guarded(F&& f) -> decltype(f());
 
@@ -129,7 +129,7 @@
   std::uint64_t checkpoint_ms_;
   int lock_fd_ = -1;
   std::optional<Sql> db_;
-  std::string relay_, book_;
+  std::string relay_, ledger_id_;
   std::int64_t run_ = 0;
 };
 
--- a/src/ledger/io/usage_recorder.h
+++ b/src/ledger/io/usage_recorder.h
@@ -20,30 +20,30 @@
 
 namespace stoatrun::ledger {
 
-struct KeeperSetup {
+struct UsageRecorderSetup {
   AccountsSetup accounts;
   StoreSetup store;
   Micros checkpoint = std::chrono::seconds(5);
-  std::size_t most_cells = 65536;  // In memory while the disk is away; a cell takes about 100 bytes.
+  std::size_t max_backlog_cells = 65536;  // In memory while the disk is away; a cell takes about 100 bytes.
 };
 
-struct KeeperCounters {
+struct UsageRecorderCounters {
   std::uint64_t begun = 0, ended = 0, checkpoints = 0, store_failures = 0, imbalances = 0, clock_steps = 0;
-  std::int64_t unkept_us = 0;
+  std::int64_t unrecorded_us = 0;
 };
 
-class Keeper : public UsageMeter {
+class UsageRecorder : public UsageMeter {
  public:
   using WallClock = std::function<Micros()>;  // Unix time.
 
-  Keeper(EventLoop& loop, const KeeperSetup& setup, WallClock wall);
+  UsageRecorder(EventLoop& loop, const UsageRecorderSetup& setup, WallClock wall);
   // Without Finish it is as if the process were killed: what was not kept is lost.
-  ~Keeper() override;
-  Keeper(const Keeper&) = delete;
-  Keeper& operator=(const Keeper&) = delete;
+  ~UsageRecorder() override;
+  UsageRecorder(const UsageRecorder&) = delete;
+  UsageRecorder& operator=(const UsageRecorder&) = delete;
 
   UsageHandle Begin(std::string_view group, std::size_t class_index) override;
-  void End(UsageHandle& ticket) override;
+  void End(UsageHandle& handle) override;
 
   // A planned end: all is kept, or `bound` has passed. False: it was given up, and the process should end
   // without clearing up. What could not be kept is logged.
@@ -56,11 +56,11 @@
   void OnState(std::function<void(const StoreState&)> f) { on_state_ = std::move(f); }
 
   // Compares both sums now; logs and counts a difference.
-  bool CheckNow();
+  bool CheckBalance();
 
   bool Idle() const { return worker_.Idle(); }
   bool DiskRests() const { return worker_.Resting(); }
-  const KeeperCounters& Counts() const { return counts_; }
+  const UsageRecorderCounters& Counts() const { return counts_; }
   std::size_t BacklogCells() const;
   void AddFields(LogLine& record) const;
 
@@ -71,7 +71,7 @@
     std::int64_t run = 0;
   };
   struct Result {
-    std::optional<StoreFault> fault;
+    std::optional<StoreErrorCode> fault;
     std::string why;
     StoreState state;
     std::size_t kept = 0;     // Postings from the front of the backlog.
@@ -83,26 +83,26 @@
   };
 
   void Due();
-  void Collect();
+  void CollectPostings();
   void Keep(Posting posting);
-  void Hand(bool ending);
+  void SubmitBacklog(bool ending);
   void Take(const Result& result);
-  static Result KeepOnDisk(Disk& disk, const StoreSetup& setup, const std::vector<Posting>& postings,
-                           const OpenCounts& open, const Moment& began, std::int64_t wall_us, bool ending);
+  static Result WriteToStore(Disk& disk, const StoreSetup& setup, const std::vector<Posting>& postings,
+                             const OpenCounts& open, const Moment& began, std::int64_t wall_us, bool ending);
 
   EventLoop& loop_;
-  const KeeperSetup setup_;
+  const UsageRecorderSetup setup_;
   WallClock wall_;
   Accounts accounts_;
-  const Moment began_;
+  const Moment start_;
   std::deque<Posting> backlog_;
-  std::size_t handed_ = 0;  // From the front: their numbers are given and nothing is joined to them.
-  bool out_ = false;        // A job is with the worker.
+  std::size_t submitted_ = 0;  // From the front: their numbers are given and nothing is joined to them.
+  bool job_pending_ = false;   // A job is with the worker.
   bool ended_ = false;
   std::uint64_t next_number_ = 1;
-  KeeperCounters counts_;
-  std::optional<StoreFault> fault_;
-  Micros fault_told_{0}, next_checkpoint_{0};
+  UsageRecorderCounters counts_;
+  std::optional<StoreErrorCode> fault_;
+  Micros fault_logged_at_{0}, next_checkpoint_{0};
   std::function<void(const StoreState&)> on_state_;
   std::shared_ptr<Disk> disk_ = std::make_shared<Disk>();
   Timer checkpoint_;
--- a/src/ledger/posting.cpp
+++ b/src/ledger/posting.cpp
@@ -33,7 +33,7 @@
     GroupUse& to = Named(into.groups, g.name);
     to.use_us += g.use_us;
     to.within_us += g.within_us;
-    to.share_milli = g.share_milli;
+    to.quota_milli = g.quota_milli;
     to.peak = std::max(to.peak, g.peak);
     for (const ClassUse& c : g.classes) {
       ClassUse& sum = Named(to.classes, c.name);
@@ -43,11 +43,11 @@
   }
   into.number = from.number;
   into.period_start_s = from.period_start_s;
-  if (into.unkept_us == 0) into.unkept_from_wall_us = from.unkept_from_wall_us;
-  into.unkept_us += from.unkept_us;
+  if (into.unrecorded_us == 0) into.unkept_from_wall_us = from.unkept_from_wall_us;
+  into.unrecorded_us += from.unrecorded_us;
   into.wall_us = from.wall_us;
-  into.lives_us += from.lives_us;
-  into.left = from.left;
+  into.connection_time_us += from.connection_time_us;
+  into.period_ended = from.period_ended;
   into.steps.insert(into.steps.end(), from.steps.begin(), from.steps.end());
   into.stretches += from.stretches;
 }
@@ -56,9 +56,9 @@
   constexpr std::size_t kMostSteps = 16;  // A clock that jumps all the time must not fill the memory either.
   Posting bare = posting;
   bare.groups.clear();
-  bare.lives_us = 0;
-  bare.unkept_us = posting.unkept_us + posting.UseUs();
-  if (posting.unkept_us == 0) bare.unkept_from_wall_us = posting.wall_us;
+  bare.connection_time_us = 0;
+  bare.unrecorded_us = posting.unrecorded_us + posting.UseUs();
+  if (posting.unrecorded_us == 0) bare.unkept_from_wall_us = posting.wall_us;
   if (bare.steps.size() > kMostSteps) bare.steps.resize(kMostSteps);
   return bare;
 }
--- a/src/ledger/posting.h
+++ b/src/ledger/posting.h
@@ -26,7 +26,7 @@
 struct GroupUse {
   std::string name;
   std::int64_t use_us = 0, within_us = 0;  // Beyond the share is the rest.
-  std::int64_t share_milli = -1;           // Under 0: no share is set.
+  std::int64_t quota_milli = -1;           // Under 0: no share is set.
   std::uint32_t peak = 0;                  // The most connections open at once.
   std::vector<ClassUse> classes;
   std::int64_t BeyondUs() const { return use_us - within_us; }
@@ -37,15 +37,16 @@
 };
 
 struct Posting {
-  std::uint64_t number = 0;  // Of this run of the relay, given by the keeper; the store takes each once.
+  std::uint64_t number = 0;  // Of this run of the relay, given by the recorder; the store takes each once.
   std::int64_t period_start_s = 0, period_s = 0;
-  std::int64_t wall_us = 0;   // When the stretch ended, by the wall clock.
-  std::int64_t lives_us = 0;  // Of connections in the stretch: the sum that the rows must add up to.
-  bool left = false;          // The period is left: it can be closed.
+  std::int64_t wall_us = 0;  // When the stretch ended, by the wall clock.
+  std::int64_t connection_time_us =
+      0;                      // Of connections in the stretch: the sum that the rows must add up to.
+  bool period_ended = false;  // The period is left: it can be closed.
   std::vector<GroupUse> groups;
   std::vector<ClockStep> steps;
   // Use of stretches whose rows found no room in memory while the disk was away: told, never billed.
-  std::int64_t unkept_us = 0, unkept_from_wall_us = 0;
+  std::int64_t unrecorded_us = 0, unkept_from_wall_us = 0;
   std::uint64_t stretches = 1;  // So many were joined.
 
   std::int64_t UseUs() const;
--- a/src/ledger/reconcile.cpp
+++ b/src/ledger/reconcile.cpp
@@ -12,7 +12,7 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-constexpr std::size_t kMostFaults =
+constexpr std::size_t kMaxReportedFaults =
     1000;  // Told one by one; a broken disk must not fill the memory with them.
 constexpr std::string_view kEndHead = R"({"end":{"relay":")", kEndHash = R"(,"hash":")", kEndTail = "\"}\n";
 
@@ -44,22 +44,22 @@
 
 }  // namespace
 
-std::string MakeEnd(const FileEnd& end) {
+std::string MakeTrailer(const ExportTrailer& end) {
   std::string text = fmt::format(R"({}{}","book":"{}","from":{},"to":{},"head":"{}"}})", kEndHead, end.relay,
-                                 end.book, end.from, end.to, end.head);
+                                 end.ledger_id, end.from, end.to, end.head);
   const std::string hash = Sha256Hex(text);
   return text.append(kEndHash).append(hash).append(kEndTail);
 }
 
-void Reconciled::Add(Fault fault) {
-  if (faults.size() < kMostFaults) {
+void ReconcileReport::Add(Fault fault) {
+  if (faults.size() < kMaxReportedFaults) {
     faults.push_back(std::move(fault));
   } else {
-    ++faults_left_out;
+    ++omitted_faults;
   }
 }
 
-void Reconciled::Merge(Reconciled&& other) {
+void ReconcileReport::Merge(ReconcileReport&& other) {
   for (const auto& [key, t] : other.totals) {
     PeriodTotal& sum = totals[key];
     sum.use_us += t.use_us;
@@ -80,15 +80,15 @@
   std::move(other.corrections.begin(), other.corrections.end(), std::back_inserter(corrections));
   std::move(other.unattested.begin(), other.unattested.end(), std::back_inserter(unattested));
   for (Fault& f : other.faults) Add(std::move(f));
-  faults_left_out += other.faults_left_out;
-  books += other.books;
+  omitted_faults += other.omitted_faults;
+  ledgers += other.ledgers;
   files += other.files;
   records += other.records;
   duplicates += other.duplicates;
   clock_steps += other.clock_steps;
 }
 
-void Reconciled::CheckPeriods() {
+void ReconcileReport::CheckPeriods() {
   std::int64_t end = INT64_MIN, start_of_end = 0;
   for (const auto& [start, length] : lengths) {
     if (start < end) {
@@ -129,24 +129,24 @@
   throw std::runtime_error("its first line is no record");
 }
 
-BookReader::BookReader(std::string relay, std::string book, Reconciled& out)
-    : relay_(std::move(relay)), book_(std::move(book)), out_(out), last_hash_(FirstHash()) {
-  ++out_.books;
+ExportReader::ExportReader(std::string relay, std::string ledger_id, ReconcileReport& out)
+    : relay_(std::move(relay)), ledger_id_(std::move(ledger_id)), report_(out), last_hash_(FirstHash()) {
+  ++report_.ledgers;
 }
 
-void BookReader::Wrong(std::uint64_t seq, std::string what) {
-  out_.Add({file_, line_, seq, std::move(what)});
+void ExportReader::Wrong(std::uint64_t seq, std::string what) {
+  report_.Add({file_, line_, seq, std::move(what)});
 }
 
-void BookReader::BeginFile(const std::string& name) {
-  ++out_.files;
+void ExportReader::BeginFile(const std::string& name) {
+  ++report_.files;
   file_ = name;
   line_ = file_first_ = file_last_ = 0;
   file_hash_.clear();
   ended_ = broken_ = false;
 }
 
-void BookReader::Take(std::string_view line) {
+void ExportReader::Take(std::string_view line) {
   ++line_;
   if (broken_) return;  // Nothing after a broken line can be trusted to follow from it.
   if (ended_) return Wrong(0, "more lines after the end of the export");
@@ -169,14 +169,14 @@
   }
 }
 
-void BookReader::TakeRecord(std::string_view line, const LineParts& parts) {
+void ExportReader::TakeRecord(std::string_view line, const LineParts& parts) {
   const element root = parser_.parse(line.data(), line.size(), false);
   const object record = root["record"];
   const auto seq = static_cast<std::uint64_t>(Whole(record, "seq"));
-  if (Text(record, "relay") != relay_ || Text(record, "book") != book_) {
+  if (Text(record, "relay") != relay_ || Text(record, "book") != ledger_id_) {
     broken_ = true;
     return Wrong(seq, fmt::format("it is of {} book {}, the file began with {} book {}",
-                                  Text(record, "relay"), Text(record, "book"), relay_, book_));
+                                  Text(record, "relay"), Text(record, "book"), relay_, ledger_id_));
   }
   if (file_first_ == 0) file_first_ = seq;
   if (file_last_ != 0 && seq != file_last_ + 1) {
@@ -190,7 +190,7 @@
   file_hash_ = parts.hash;
   if (seq == 0) return Wrong(0, "record without a number");
   if (seq <= last_seq_) {
-    ++out_.duplicates;
+    ++report_.duplicates;
     const bool same = seq <= seen_.size() && seen_[seq - 1] == Beginning(parts.hash);
     return Wrong(seq, same ? "duplicate: the same record came before, it counts once"
                            : "fork: another record came before under this number, this one is not counted");
@@ -205,11 +205,11 @@
   seen_[seq - 1] = Beginning(parts.hash);
   last_seq_ = seq;
   last_hash_ = parts.hash;
-  ++out_.records;
+  ++report_.records;
   object body;
   if (record.at_key("use").get(body) == simdjson::SUCCESS) return TakeUse(body, seq);
   if (record.at_key("clock_step").get(body) == simdjson::SUCCESS) {
-    ++out_.clock_steps;
+    ++report_.clock_steps;
     return;
   }
   // The rest is rare: read by the schema itself.
@@ -217,12 +217,12 @@
   if (!parsed) return Wrong(seq, "not a record of the schema");
   if (parsed->has_correction()) {
     const wire::Correction& c = parsed->correction();
-    PeriodTotal& total = out_.totals[{c.period_start_s(), c.group()}];
+    PeriodTotal& total = report_.totals[{c.period_start_s(), c.group()}];
     total.corrected_s += c.seconds();
     ++total.corrections;
-    out_.corrections.push_back({relay_, seq, c});
+    report_.corrections.push_back({relay_, seq, c});
   } else if (parsed->has_unattested()) {
-    out_.unattested.push_back({relay_, seq, parsed->unattested()});
+    report_.unattested.push_back({relay_, seq, parsed->unattested()});
   } else if (parsed->has_imbalance()) {
     Wrong(seq, fmt::format("the relay itself found period {} out of balance",
                            parsed->imbalance().period_start_s()));
@@ -231,7 +231,7 @@
   }
 }
 
-void BookReader::TakeUse(object use, std::uint64_t seq) {
+void ExportReader::TakeUse(object use, std::uint64_t seq) {
   const std::int64_t start = Whole(use, "period_start_s"), length = Whole(use, "period_s");
   const std::int64_t total = Whole(use, "use_us"), within = Whole(use, "within_us"),
                      beyond = Whole(use, "beyond_us");
@@ -248,19 +248,19 @@
   if (!uses_.emplace(start, static_cast<std::uint64_t>(Whole(use, "supplement")), group).second) {
     Wrong(seq, fmt::format("overlapping periods: group {} has a record of period {} already", group, start));
   }
-  const auto [it, fresh] = out_.lengths.try_emplace(start, length, file_);
+  const auto [it, fresh] = report_.lengths.try_emplace(start, length, file_);
   if (!fresh && it->second.first != length) {
     Wrong(seq, fmt::format("overlapping periods: the one from {} lasts {} s here, {} s in {}", start, length,
                            it->second.first, it->second.second));
   }
-  PeriodTotal& sum = out_.totals[{start, group}];
+  PeriodTotal& sum = report_.totals[{start, group}];
   sum.use_us += total;
   sum.within_us += within;
   sum.beyond_us += beyond;
   ++sum.records;
 }
 
-bool BookReader::TakeEnd(std::string_view line) {
+bool ExportReader::TakeEnd(std::string_view line) {
   const std::size_t after = kEndHash.size() + kHashSize + kEndTail.size();
   if (line.size() < after || !line.ends_with(kEndTail)) return false;
   const std::string_view body = line.substr(0, line.size() - after);
@@ -270,7 +270,8 @@
   const object end = root["end"];
   const auto from = static_cast<std::uint64_t>(Whole(end, "from")),
              to = static_cast<std::uint64_t>(Whole(end, "to"));
-  if (Text(end, "relay") != relay_ || Text(end, "book") != book_) Wrong(0, "the end line is of another book");
+  if (Text(end, "relay") != relay_ || Text(end, "book") != ledger_id_)
+    Wrong(0, "the end line is of another book");
   const bool empty = to < from;
   if (empty ? file_last_ != 0
             : (file_first_ != from || file_last_ != to || Text(end, "head") != file_hash_)) {
@@ -280,7 +281,7 @@
   return true;
 }
 
-void BookReader::EndFile() {
+void ExportReader::EndFile() {
   if (!ended_ && !broken_)
     Wrong(0, fmt::format("cut short after record {}: the end line is missing", file_last_));
 }
--- a/src/ledger/reconcile.h
+++ b/src/ledger/reconcile.h
@@ -1,7 +1,8 @@
-// Reconciles relays' exports: checks each book's chain and adds up what it says. Pure: fed line by line.
+// Reconciles relays' exports: checks each ledger's chain and adds up what it says. Pure: fed line by line.
 //
-// A book is one relay's ledger from its first record on. Its files may come in any number of parts; those of
-// one book must be fed in the order of their first records. A record that comes twice counts once.
+// A ledger is one relay's ledger from its first record on. Its files may come in any number of parts;
+// those of one ledger_id must be fed in the order of their first records. A record that comes twice counts
+// once.
 #ifndef STOATRUN_LEDGER_RECONCILE_H_
 #define STOATRUN_LEDGER_RECONCILE_H_
 
@@ -23,12 +24,12 @@
 namespace stoatrun::ledger {
 
 // The last line of an export file tells what the file holds, so that one cut short between two lines shows.
-struct FileEnd {
-  std::string relay, book;
+struct ExportTrailer {
+  std::string relay, ledger_id;
   std::uint64_t from = 0, to = 0;  // `to` under `from`: no records.
   std::string head;                // The hash of the last record.
 };
-std::string MakeEnd(const FileEnd& end);
+std::string MakeTrailer(const ExportTrailer& end);
 
 struct Fault {
   std::string file;
@@ -53,33 +54,34 @@
   wire::Unattested entry;
 };
 
-// What has been read of some books; those of several threads are added together.
-struct Reconciled {
+// What has been read of some ledgers; those of several threads are added together.
+struct ReconcileReport {
   std::map<std::pair<std::int64_t, std::string>, PeriodTotal> totals;    // By period and group.
   std::map<std::int64_t, std::pair<std::int64_t, std::string>> lengths;  // Of each period, and who says so.
   std::vector<CorrectionEntry> corrections;
   std::vector<UnattestedEntry> unattested;
   std::vector<Fault> faults;
-  std::uint64_t faults_left_out = 0;
-  std::uint64_t relays = 0, books = 0, files = 0, records = 0, duplicates = 0, clock_steps = 0;
+  std::uint64_t omitted_faults = 0;
+  std::uint64_t relays = 0, ledgers = 0, files = 0, records = 0, duplicates = 0, clock_steps = 0;
 
   void Add(Fault fault);
-  void Merge(Reconciled&& other);
+  void Merge(ReconcileReport&& other);
   // To be called once, after all: names periods that overlap.
   void CheckPeriods();
 };
 
-// The first line's relay, book and number, to sort files by. Throws std::runtime_error if it is no record.
+// The first line's relay, ledger_id and number, to sort files by. Throws std::runtime_error if it is no
+// record.
 struct FileHead {
-  std::string relay, book;
+  std::string relay, ledger_id;
   std::uint64_t first_seq = 0;
 };
 FileHead ReadHead(std::string_view first_line);
 
-class BookReader {
+class ExportReader {
  public:
   // `out` outlives it.
-  BookReader(std::string relay, std::string book, Reconciled& out);
+  ExportReader(std::string relay, std::string ledger_id, ReconcileReport& out);
 
   void BeginFile(const std::string& name);
   // With its end, if it has one. `line` must be followed by SIMDJSON_PADDING readable bytes.
@@ -92,8 +94,8 @@
   void TakeUse(simdjson::dom::object use, std::uint64_t seq);
   void Wrong(std::uint64_t seq, std::string what);
 
-  const std::string relay_, book_;
-  Reconciled& out_;
+  const std::string relay_, ledger_id_;
+  ReconcileReport& report_;
   std::string file_;
   std::uint64_t line_ = 0, file_first_ = 0, file_last_ = 0, last_seq_ = 0;
   std::string file_hash_, last_hash_;
--- a/tests/ledger/accounts_test.cpp
+++ b/tests/ledger/accounts_test.cpp
@@ -43,9 +43,9 @@
           begun += c.begun;
         }
       }
-      CHECK(posted == p.lives_us);
+      CHECK(posted == p.connection_time_us);
       CHECK(posted == p.UseUs());
-      lives += p.lives_us;
+      lives += p.connection_time_us;
       steps += p.steps.size();
     }
   }
@@ -88,8 +88,8 @@
   const bool holds = rc::check([] {
     Accounts accounts(Setup(), kStart, kWall);
     Naive naive;
-    Books books;
-    std::vector<UsageHandle> tickets;
+    Books ledgers;
+    std::vector<UsageHandle> handles;
     Micros now = kStart;
     std::int64_t offset = (kWall - kStart).count();
     const std::vector<std::string> groups{"wetland", "coast", "garden", "(missing)"};
@@ -104,20 +104,20 @@
         case 1: {
           const std::string group = *rc::gen::elementOf(groups);
           const std::size_t c = *rc::gen::inRange<std::size_t>(0, 2);
-          tickets.push_back(accounts.Begin(now, group == "(missing)" ? "" : group, c));
+          handles.push_back(accounts.Begin(now, group == "(missing)" ? "" : group, c));
           naive.Open(group, Setup().classes[c]);
           break;
         }
         case 2:
-          if (!tickets.empty()) {
-            const auto at = *rc::gen::inRange<std::size_t>(0, tickets.size());
-            accounts.End(now, tickets[at]);
-            tickets.erase(tickets.begin() + static_cast<std::ptrdiff_t>(at));
+          if (!handles.empty()) {
+            const auto at = *rc::gen::inRange<std::size_t>(0, handles.size());
+            accounts.End(now, handles[at]);
+            handles.erase(handles.begin() + static_cast<std::ptrdiff_t>(at));
             naive.Shut(at);
           }
           break;
         case 3:
-          books.Add(accounts.Take(now, false));
+          ledgers.Add(accounts.Take(now, false));
           break;
         default: {  // Steps of up to three hours either way; under the slack it is no step.
           std::int64_t step = *rc::gen::inRange<std::int64_t>(-10'800'000'000, 10'800'000'000);
@@ -129,15 +129,15 @@
       }
       RC_ASSERT(accounts.Check(now).Balance());
     }
-    books.Add(accounts.Take(now, true));
-    std::erase_if(books.rows, [](const auto& r) { return r.second == 0; });
+    ledgers.Add(accounts.Take(now, true));
+    std::erase_if(ledgers.rows, [](const auto& r) { return r.second == 0; });
     std::erase_if(naive.rows, [](const auto& r) { return r.second == 0; });
-    RC_ASSERT(books.rows == naive.rows);
+    RC_ASSERT(ledgers.rows == naive.rows);
     // What is under a microsecond is carried into the next period of its group.
     std::map<std::string, std::int64_t> ours, theirs;
-    for (const auto& [key, value] : books.within) {
+    for (const auto& [key, value] : ledgers.within) {
       RC_ASSERT(std::abs(value * 1000 - naive.within_milli[key]) < 1000);
-      RC_ASSERT(value <= books.use[key]);
+      RC_ASSERT(value <= ledgers.use[key]);
       ours[key.second] += value;
     }
     for (const auto& [key, value] : naive.within_milli) theirs[key.second] += value;
@@ -153,10 +153,10 @@
   const auto postings = accounts.Take(kStart + seconds(100) + Micros(7), false);
   REQUIRE(postings.size() == 3);
   CHECK(postings[0].UseUs() == 30'000'000);
-  CHECK(postings[0].left);
+  CHECK(postings[0].period_ended);
   CHECK(postings[1].UseUs() == 60'000'000);
   CHECK(postings[2].UseUs() == 10'000'007);
-  CHECK_FALSE(postings[2].left);
+  CHECK_FALSE(postings[2].period_ended);
   CHECK(postings[2].period_start_s == 1'800'000'120);
 }
 
@@ -181,27 +181,27 @@
   UsageHandle t = accounts.Begin(kStart, "garden", 0);
   for (int k = 1; k <= 600; ++k) accounts.Tick(kStart + milliseconds(100 * k), kWall + milliseconds(99 * k));
   accounts.End(kStart + seconds(60), t);
-  Books books;
-  books.Add(accounts.Take(kStart + seconds(60), false));
-  CHECK(books.steps == 0);
-  CHECK(books.lives == 60'000'000);
-  CHECK(books.use[{1'800'000'000, "garden"}] == 60'000'000);  // 59.4 s by the wall.
+  Books ledgers;
+  ledgers.Add(accounts.Take(kStart + seconds(60), false));
+  CHECK(ledgers.steps == 0);
+  CHECK(ledgers.lives == 60'000'000);
+  CHECK(ledgers.use[{1'800'000'000, "garden"}] == 60'000'000);  // 59.4 s by the wall.
 }
 
 TEST_CASE("groups that nobody named get rows of their own, within a bound, and none is dropped") {
   Accounts accounts(Setup(), kStart, kWall);
-  std::vector<UsageHandle> tickets;
+  std::vector<UsageHandle> handles;
   const std::string endless(500, 'x');
   for (const char* name : {"raptor", "", "bad name", "owls", "third", "fourth"}) {
-    tickets.push_back(accounts.Begin(kStart, name, 0));
+    handles.push_back(accounts.Begin(kStart, name, 0));
   }
-  tickets.push_back(accounts.Begin(kStart, endless, 0));
-  Books books;
-  books.Add(accounts.Take(kStart + seconds(1), false));
-  CHECK(books.use[{1'800'000'000, "raptor"}] == 1'000'000);
-  CHECK(books.use[{1'800'000'000, "owls"}] == 1'000'000);
-  CHECK(books.use[{1'800'000'000, kMissingGroup}] == 1'000'000);
-  CHECK(books.use[{1'800'000'000, kOtherGroups}] == 4'000'000);
+  handles.push_back(accounts.Begin(kStart, endless, 0));
+  Books ledgers;
+  ledgers.Add(accounts.Take(kStart + seconds(1), false));
+  CHECK(ledgers.use[{1'800'000'000, "raptor"}] == 1'000'000);
+  CHECK(ledgers.use[{1'800'000'000, "owls"}] == 1'000'000);
+  CHECK(ledgers.use[{1'800'000'000, kMissingGroup}] == 1'000'000);
+  CHECK(ledgers.use[{1'800'000'000, kOtherGroups}] == 4'000'000);
   CHECK(accounts.Rows() == 4);
 }
 
@@ -210,7 +210,7 @@
   UsageHandle t = accounts.Begin(kStart, "garden", 0);
   UsageHandle copy = t;
   accounts.End(kStart + seconds(1), t);
-  accounts.End(kStart + seconds(2), t);  // A ticket that is not open is passed by.
+  accounts.End(kStart + seconds(2), t);  // A handle that is not open is passed by.
   CHECK(accounts.Check(kStart + seconds(3)).Balance());
   UsageHandle other = accounts.Begin(kStart + seconds(3), "garden", 1);
   accounts.End(kStart + seconds(5), copy);  // Ended twice, by way of a copy.
--- a/tests/ledger/reconcile_test.cpp
+++ b/tests/ledger/reconcile_test.cpp
@@ -39,7 +39,9 @@
     lines.push_back(line.text);
     prev = line.hash;
   }
-  std::string End(std::uint64_t from, std::uint64_t to) const { return MakeEnd({"n0", "b", from, to, prev}); }
+  std::string End(std::uint64_t from, std::uint64_t to) const {
+    return MakeTrailer({"n0", "b", from, to, prev});
+  }
 };
 
 // Four records of two periods and a correction.
@@ -60,9 +62,9 @@
   return e;
 }
 
-Reconciled Read(const std::vector<std::vector<std::string>>& files) {
-  Reconciled out;
-  BookReader reader("n0", "b", out);
+ReconcileReport Read(const std::vector<std::vector<std::string>>& files) {
+  ReconcileReport out;
+  ExportReader reader("n0", "b", out);
   int number = 0;
   for (const auto& lines : files) {
     reader.BeginFile("f" + std::to_string(++number));
@@ -76,7 +78,7 @@
   return out;
 }
 
-std::string Faults(const Reconciled& r) {
+std::string Faults(const ReconcileReport& r) {
   std::string all;
   for (const Fault& f : r.faults)
     all += f.file + ":" + std::to_string(f.line) + ":" + std::to_string(f.seq) + " " + f.what + "\n";
@@ -90,10 +92,10 @@
       MakeLine(UseRecord("n0", 3, kHour + 3600, "coast"),
                SplitLine(l[1])->hash.data() != nullptr ? std::string(SplitLine(l[1])->hash) : "");
   CHECK(third.text == l[2]);  // The same record after the same hash is the same line.
-  const std::string end2 = MakeEnd({"n0", "b", 1, 2, std::string(SplitLine(l[1])->hash)});
+  const std::string end2 = MakeTrailer({"n0", "b", 1, 2, std::string(SplitLine(l[1])->hash)});
   for (const auto& files : std::vector<std::vector<std::vector<std::string>>>{
            {{l[0], l[1], l[2], l[3], e.End(1, 4)}}, {{l[0], l[1], end2}, {l[2], l[3], e.End(3, 4)}}}) {
-    const Reconciled r = Read(files);
+    const ReconcileReport r = Read(files);
     CHECK(Faults(r).empty());
     CHECK(r.records == 4);
     CHECK(r.totals.at({kHour, "coast"}).use_us == 900);
@@ -118,7 +120,7 @@
   CHECK_THAT(told({{l[2], l[3], e.End(3, 4)}}), Catch::StartsWith("f1:1:3 gap: records 1 to 2"));
   CHECK_THAT(told({{l[0], l[1], l[2], l[3], end}, {l[1], l[2], l[3], e.End(2, 4)}}),
              Catch::Contains("f2:1:2 duplicate: the same record"));
-  const Reconciled twice = Read({{l[0], l[1], l[2], l[3], end}, {l[1], l[2], l[3], e.End(2, 4)}});
+  const ReconcileReport twice = Read({{l[0], l[1], l[2], l[3], end}, {l[1], l[2], l[3], e.End(2, 4)}});
   CHECK(twice.duplicates == 3);
   CHECK(twice.totals.at({kHour, "wetland"}).use_us == 900);
 
@@ -166,38 +168,39 @@
 TEST_CASE("delivery waits longer after each failure, with chance in it, and asks at once after progress") {
   Delivery d({std::chrono::seconds(1), std::chrono::seconds(60), 10});
   Micros now(0);
-  d.Known(now, 25, 0);
-  REQUIRE(d.DueAt() == now);
-  const Delivery::Batch first = d.Send();
+  d.UpdateState(now, 25, 0);
+  REQUIRE(d.NextAttemptAt() == now);
+  const Delivery::Batch first = d.StartBatch();
   CHECK((first.from == 1 && first.to == 10));
-  CHECK_FALSE(d.DueAt());
+  CHECK_FALSE(d.NextAttemptAt());
   Micros last(0);
   for (int k = 0; k < 12; ++k) {
-    CHECK(d.On(now, {}, 0.5) == Delivery::Verdict::kAgain);
-    const Micros wait = *d.DueAt() - now;
+    CHECK(d.OnResponse(now, {}, 0.5) == Delivery::Verdict::kRetry);
+    const Micros wait = *d.NextAttemptAt() - now;
     CHECK(wait >= last);
     CHECK(wait <= std::chrono::seconds(60));
     last = wait;
-    now = *d.DueAt();
-    const Delivery::Batch again = d.Send();
+    now = *d.NextAttemptAt();
+    const Delivery::Batch again = d.StartBatch();
     CHECK((again.from == 1 && again.to == 10));
   }
   CHECK(last == std::chrono::seconds(45));
-  CHECK(d.On(now, {200, 10, "h", Micros(0)}, 0.5) == Delivery::Verdict::kConfirm);
-  CHECK(d.Confirmed(now, 10, true, 0.5) == Delivery::Verdict::kAgain);
-  CHECK(d.DueAt() == now);
+  CHECK(d.OnResponse(now, {200, 10, "h", Micros(0)}, 0.5) == Delivery::Verdict::kVerify);
+  CHECK(d.OnVerified(now, 10, true, 0.5) == Delivery::Verdict::kRetry);
+  CHECK(d.NextAttemptAt() == now);
   CHECK(d.Backlog() == 15);
-  CHECK(d.Send().from == 11);
-  CHECK(d.On(now, {200, 99, "h", Micros(0)}, 0.5) == Delivery::Verdict::kDisagrees);
+  CHECK(d.StartBatch().from == 11);
+  CHECK(d.OnResponse(now, {200, 99, "h", Micros(0)}, 0.5) == Delivery::Verdict::kConflict);
   CHECK(d.Backlog() == 15);
-  d.Send();
-  CHECK(d.On(now, {503, std::nullopt, "", std::chrono::hours(5)}, 0.0) == Delivery::Verdict::kAgain);
-  CHECK(*d.DueAt() - now == std::chrono::seconds(60));  // Not longer than the longest wait, whatever it asks.
-  d.Send();
-  CHECK(d.On(now, {200, 4, "h", Micros(0)}, 0.0) == Delivery::Verdict::kConfirm);
-  d.Confirmed(now, 4, true, 0.0);
+  d.StartBatch();
+  CHECK(d.OnResponse(now, {503, std::nullopt, "", std::chrono::hours(5)}, 0.0) == Delivery::Verdict::kRetry);
+  CHECK(*d.NextAttemptAt() - now ==
+        std::chrono::seconds(60));  // Not longer than the longest wait, whatever it asks.
+  d.StartBatch();
+  CHECK(d.OnResponse(now, {200, 4, "h", Micros(0)}, 0.0) == Delivery::Verdict::kVerify);
+  d.OnVerified(now, 4, true, 0.0);
   CHECK(d.Rewinds() == 1);
-  CHECK(d.Send().from == 5);
+  CHECK(d.StartBatch().from == 5);
 }
 
 }  // namespace
--- a/tests/ledger/store_test.cpp
+++ b/tests/ledger/store_test.cpp
@@ -12,16 +12,16 @@
 #include <optional>
 
 #include "ledger/io/checked_vfs.h"
-#include "standin/mem_disk.h"
+#include "standin/in_memory_disk.h"
 
 namespace stoatrun::ledger {
 namespace {
 
-using standin::MemDisk;
+using standin::InMemoryDisk;
 
 constexpr std::int64_t kHour = 1'800'000'000;
 
-// A folder of its own for the lock file and, where no MemDisk is used, the database.
+// A folder of its own for the lock file and, where no InMemoryDisk is used, the database.
 class Folder {
  public:
   Folder() {
@@ -41,14 +41,14 @@
   return {folder.Path(), "n0", "b0", vfs, true, 5000};
 }
 
-Posting PostingOf(std::uint64_t number, std::int64_t start_s, std::int64_t use_us, bool left) {
+Posting PostingOf(std::uint64_t number, std::int64_t start_s, std::int64_t use_us, bool period_ended) {
   Posting p;
   p.number = number;
   p.period_start_s = start_s;
   p.period_s = 3600;
   p.wall_us = start_s * 1'000'000 + static_cast<std::int64_t>(number);
-  p.lives_us = 2 * use_us;
-  p.left = left;
+  p.connection_time_us = 2 * use_us;
+  p.period_ended = period_ended;
   for (const char* group : {"coast", "wetland"}) {
     p.groups.push_back(
         {group, use_us, use_us / 3, 1500, 2, {{"feed", use_us / 4, 1}, {"watch", use_us - use_us / 4, 1}}});
@@ -71,14 +71,14 @@
 // A day of a relay: each step may be cut off anywhere.
 struct Day {
   const Folder& folder;
-  MemDisk& disk;
+  InMemoryDisk& disk;
   std::optional<Store> store;
   std::int64_t kept_us = 0, trying_us = 0;  // Taken for sure; perhaps taken.
   std::size_t done = 0;
   std::uint64_t number = 0;
 
-  void Post(std::int64_t start_s, std::int64_t use_us, bool left, bool step = false) {
-    Posting p = PostingOf(number + 1, start_s, use_us, left);
+  void Post(std::int64_t start_s, std::int64_t use_us, bool period_ended, bool step = false) {
+    Posting p = PostingOf(number + 1, start_s, use_us, period_ended);
     if (step) p.steps.push_back({p.wall_us, p.wall_us - 3'600'000'000});
     trying_us = 2 * use_us;
     store->Apply(p, {{"coast", 1}});
@@ -94,7 +94,7 @@
             [this] { Post(kHour, 77, false); },  // The clock was stepped back into a period that is closed.
             [this] { Post(kHour + 3600, 30'000'000, true); },
             [this] {
-              store->Enter({"coast", kHour, -30, "double count", "ann", "ref-1", 5});
+              store->EnterCorrection({"coast", kHour, -30, "double count", "ann", "ref-1", 5});
             },
             [this] { store->Acknowledge(2, store->Records(2, 1).at(0).hash); },
             [this] { Post(kHour + 7200, 9, false); },
@@ -110,7 +110,7 @@
   const Folder folder;
   int calls = 0;
   {
-    MemDisk disk("count");
+    InMemoryDisk disk("count");
     Day day{folder, disk, {}};
     day.Play();
     calls = disk.Changes();
@@ -119,7 +119,7 @@
   for (int n = 1; n <= calls; ++n) {
     for (const std::uint64_t seed : {1, 2, 3}) {
       INFO("call " << n << " seed " << seed);
-      MemDisk disk(fmt::format("power-{}-{}", n, seed));
+      InMemoryDisk disk(fmt::format("power-{}-{}", n, seed));
       Day day{folder, disk, {}};
       disk.LosePowerAt(n);
       try {
@@ -165,7 +165,7 @@
   int calls = 0;
   std::int64_t expected = 0;
   {
-    MemDisk disk("errors");
+    InMemoryDisk disk("errors");
     Day day{folder, disk, {}};
     day.Play();
     calls = disk.Changes();
@@ -174,7 +174,7 @@
   for (int n = 1; n <= calls; ++n) {
     for (const int code : {SQLITE_FULL, SQLITE_IOERR_WRITE, SQLITE_IOERR_FSYNC}) {
       INFO("call " << n << " code " << code);
-      MemDisk disk(fmt::format("error-{}-{}", n, code));
+      InMemoryDisk disk(fmt::format("error-{}-{}", n, code));
       Day day{folder, disk, {}};
       disk.FailOnceAt(n, code);
       std::int64_t run = 0;
@@ -189,7 +189,7 @@
           }
           ++day.done;
         } catch (const StoreError& e) {
-          if (e.fault == StoreFault::kRefused) {  // The correction held although its answer was an error.
+          if (e.code == StoreErrorCode::kRejected) {  // The correction held although its answer was an error.
             ++day.done;
             continue;
           }
@@ -207,7 +207,7 @@
 
 TEST_CASE("a flipped byte anywhere in the file is found") {
   const Folder folder;
-  const std::string path = Store::PathIn(folder.Path());
+  const std::string path = Store::DatabasePath(folder.Path());
   {
     Store store(SetupIn(folder));
     store.BeginRun(kHour * 1'000'000, kHour);
@@ -222,7 +222,7 @@
   for (std::size_t at = 0; at < bytes.size(); ++at) {
     bytes[at] = static_cast<char>(bytes[at] ^ (1 << (at % 8)));
     const std::size_t page = at / kPageSize;
-    const bool held = PageHolds(std::string_view(bytes).substr(page * kPageSize, kPageSize), page + 1);
+    const bool held = IsPageValid(std::string_view(bytes).substr(page * kPageSize, kPageSize), page + 1);
     bytes[at] = static_cast<char>(bytes[at] ^ (1 << (at % 8)));
     if (held) FAIL("byte " << at);
   }
@@ -244,34 +244,35 @@
 
 TEST_CASE("folders that are not to be used are refused with the reason") {
   const Folder folder;
-  const auto fault = [](const StoreSetup& setup) -> std::optional<StoreFault> {
+  const auto fault = [](const StoreSetup& setup) -> std::optional<StoreErrorCode> {
     try {
       const Store store(setup);
       return std::nullopt;
     } catch (const StoreError& e) {
-      return e.fault;
+      return e.code;
     }
   };
   StoreSetup setup = SetupIn(folder);
   {
     const Store store(setup);
-    CHECK(fault(setup) == StoreFault::kTaken);
+    CHECK(fault(setup) == StoreErrorCode::kLocked);
     StoreSetup reader = setup;
     reader.lock_folder = false;
     CHECK_FALSE(fault(reader));
   }
   setup.relay = "n1";
-  CHECK(fault(setup) == StoreFault::kForeign);
+  CHECK(fault(setup) == StoreErrorCode::kWrongRelay);
   setup.relay = "n0";
   {
-    Sql db(Store::PathIn(folder.Path()), SQLITE_OPEN_READWRITE, CheckedVfs(nullptr));
+    Sql db(Store::DatabasePath(folder.Path()), SQLITE_OPEN_READWRITE, CheckedVfs(nullptr));
     db.Do(fmt::format("PRAGMA user_version = {}", kSchema + 1).c_str());
   }
-  CHECK(fault(setup) == StoreFault::kNewer);
+  CHECK(fault(setup) == StoreErrorCode::kNewerSchema);
   setup.folder = "/nonexistent";
-  CHECK(fault(setup) == StoreFault::kReadOnly);
+  CHECK(fault(setup) == StoreErrorCode::kReadOnly);
   const Folder fresh;
-  CHECK(fault({fresh.Path(), "", "", nullptr, false, 0}) == StoreFault::kReadOnly);  // Nothing to read there.
+  CHECK(fault({fresh.Path(), "", "", nullptr, false, 0}) ==
+        StoreErrorCode::kReadOnly);  // Nothing to read there.
 }
 
 // The ledger of a release before: its schema was 1, without the count of connections begun.
@@ -283,7 +284,7 @@
     store.Apply(PostingOf(1, kHour, 1'000'000, false), {});
   }
   {
-    Sql db(Store::PathIn(folder.Path()), SQLITE_OPEN_READWRITE, CheckedVfs(nullptr));
+    Sql db(Store::DatabasePath(folder.Path()), SQLITE_OPEN_READWRITE, CheckedVfs(nullptr));
     db.Do("DROP INDEX record_period; ALTER TABLE cell DROP COLUMN begun; PRAGMA user_version = 1");
   }
   Store store(SetupIn(folder));
@@ -300,25 +301,25 @@
   store.BeginRun(kHour * 1'000'000, kHour);
   store.Apply(PostingOf(1, kHour, 1'000'000, true), {});
   store.Apply(PostingOf(2, kHour + 3600, 1'000'000, false), {});
-  const auto refused = [&](const Correct& c) {
+  const auto refused = [&](const CorrectionRequest& c) {
     try {
-      store.Enter(c);
+      store.EnterCorrection(c);
       return std::string();
     } catch (const StoreError& e) {
-      return e.fault == StoreFault::kRefused ? std::string(e.what()) : "other";
+      return e.code == StoreErrorCode::kRejected ? std::string(e.what()) : "other";
     }
   };
-  const std::uint64_t first = store.Enter({"wetland", kHour, 60, "outage", "ann", "", 1});
-  const std::uint64_t again = store.Enter({"wetland", kHour, 60, "outage", "ann", "", 2});
+  const std::uint64_t first = store.EnterCorrection({"wetland", kHour, 60, "outage", "ann", "", 1});
+  const std::uint64_t again = store.EnterCorrection({"wetland", kHour, 60, "outage", "ann", "", 2});
   CHECK(again == first + 1);
   const auto entry = [&](std::uint64_t seq) {
     return ParseRecord(SplitLine(store.Records(seq, 1).at(0).line)->record)->correction();
   };
   CHECK(entry(first).original_seq() == 2);
-  CHECK(entry(store.Enter({"owls", kHour, 5, "late", "bob", "", 3})).original_seq() == 0);
+  CHECK(entry(store.EnterCorrection({"owls", kHour, 5, "late", "bob", "", 3})).original_seq() == 0);
   CHECK_THAT(refused({"wetland", kHour + 3600, 1, "x", "ann", "", 4}), Catch::Contains("not closed"));
   CHECK_THAT(refused({"wetland", kHour + 1, 1, "x", "ann", "", 4}), Catch::Contains("no period starts at"));
-  store.Enter({"wetland", kHour, 1, "x", "ann", "r1", 4});
+  store.EnterCorrection({"wetland", kHour, 1, "x", "ann", "r1", 4});
   CHECK_THAT(refused({"wetland", kHour, 1, "x", "ann", "r1", 4}), Catch::Contains("entered already"));
 }
 
--- a/tests/ledger/usage_recorder_test.cpp
+++ b/tests/ledger/usage_recorder_test.cpp
@@ -18,13 +18,13 @@
 
 #include "ledger/io/export_client.h"
 #include "ledger/io/export_file.h"
-#include "standin/mem_disk.h"
+#include "standin/in_memory_disk.h"
 #include "standin/receiver.h"
 
 namespace stoatrun::ledger {
 namespace {
 
-using standin::MemDisk;
+using standin::InMemoryDisk;
 using standin::Receiver;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -33,43 +33,43 @@
 constexpr Micros kWallStart = seconds(1'800'000'000);
 
 // One relay's ledger under a clock that only Wait moves.
-class Desk {
+class RecorderFixture {
  public:
-  explicit Desk(MemDisk* disk, std::string relay = "n0", const Receiver* receiver = nullptr)
+  explicit RecorderFixture(InMemoryDisk* disk, std::string relay = "n0", const Receiver* receiver = nullptr)
       : disk_(disk), relay_(std::move(relay)), receiver_(receiver) {
     SetLogLevel(static_cast<Level>(4));  // Above all.
     std::string name = std::filesystem::temp_directory_path() / "stoatrun-XXXXXX";
     folder_ = mkdtemp(name.data());
     Start();
   }
-  ~Desk() {
+  ~RecorderFixture() {
     Kill();
     std::filesystem::remove_all(folder_);
   }
-  Desk(const Desk&) = delete;
-  Desk& operator=(const Desk&) = delete;
+  RecorderFixture(const RecorderFixture&) = delete;
+  RecorderFixture& operator=(const RecorderFixture&) = delete;
 
   void Start() {
     loop.emplace(Clock::Mode::kManual);
     loop->clock.Advance(mono);
-    KeeperSetup setup;
+    UsageRecorderSetup setup;
     setup.accounts = {seconds(60), {{"wetland", 1000}}, {"feed"}, 8};
     setup.store = {folder_, relay_, "book", disk_ != nullptr ? disk_->Vfs() : nullptr, true, 1000};
     setup.checkpoint = seconds(1);
-    setup.most_cells = most_cells;
-    keeper.emplace(*loop, setup, [this] { return kWallStart + mono + wall_off; });
+    setup.max_backlog_cells = max_backlog_cells;
+    recorder.emplace(*loop, setup, [this] { return kWallStart + mono + wall_off; });
     if (receiver_ == nullptr) return;
-    CourierSetup c;
+    ExportClientSetup c;
     c.receiver = Address::Parse("127.0.0.1:" + std::to_string(receiver_->Port())).value();
     c.host = "receiver";
-    c.delivery.most_records = 3;
+    c.delivery.max_batch_records = 3;
     c.seed = 5;
-    courier.emplace(*loop, *keeper, c);
+    export_client.emplace(*loop, *recorder, c);
   }
   // As SIGKILL: nothing more is said to the disk by this process.
   void Kill() {
-    courier.reset();
-    keeper.reset();
+    export_client.reset();
+    recorder.reset();
     loop.reset();
   }
   void Turn(Receiver* receiver = nullptr) {
@@ -81,7 +81,7 @@
     const auto end = std::chrono::steady_clock::now() + seconds(10);
     for (int quiet = 0; quiet < 20; ++quiet) {
       Turn(receiver);
-      while (!keeper->Idle()) {
+      while (!recorder->Idle()) {
         quiet = 0;
         REQUIRE(std::chrono::steady_clock::now() < end);
         Turn(receiver);
@@ -99,7 +99,7 @@
   Store Reader() { return Store({folder_, "", "", disk_ != nullptr ? disk_->Vfs() : nullptr, false, 0}); }
   // All that is booked, and what is told as unkept.
   struct Sum {
-    std::int64_t use_us = 0, within_us = 0, unkept_us = 0;
+    std::int64_t use_us = 0, within_us = 0, unrecorded_us = 0;
     int unattested = 0, steps = 0;
   };
   Sum Read() {
@@ -109,7 +109,7 @@
       const auto record = ParseRecord(SplitLine(r.line).value().record).value();
       sum.use_us += record.use().use_us();
       sum.within_us += record.use().within_us();
-      sum.unkept_us += record.unattested().unkept_us();
+      sum.unrecorded_us += record.unattested().unkept_us();
       sum.unattested += record.has_unattested() && record.unattested().unkept_us() == 0 ? 1 : 0;
       sum.steps += record.has_clock_step() ? 1 : 0;
     });
@@ -121,14 +121,14 @@
   }
 
   Micros mono{0}, wall_off{0};
-  std::size_t most_cells = 1000;
+  std::size_t max_backlog_cells = 1000;
   std::optional<EventLoop> loop;
-  std::optional<Keeper> keeper;
-  std::optional<Courier> courier;
+  std::optional<UsageRecorder> recorder;
+  std::optional<ExportClient> export_client;
   const std::string& Folder() const { return folder_; }
 
  private:
-  MemDisk* disk_;
+  InMemoryDisk* disk_;
   const std::string relay_;
   const Receiver* receiver_;
   std::string folder_;
@@ -136,88 +136,88 @@
 
 TEST_CASE("a disk that fails and comes back gets all that was used meanwhile") {
   const int code = GENERATE(SQLITE_FULL, SQLITE_IOERR_WRITE, SQLITE_READONLY);
-  MemDisk disk("keeper-" + std::to_string(code));
-  Desk desk(&disk);
-  UsageHandle t = desk.keeper->Begin("wetland", 0);
-  desk.Wait(seconds(5));
-  CHECK(desk.keeper->Counts().store_failures == 0);
-  disk.RefuseWith(code);
-  UsageHandle u = desk.keeper->Begin("wetland", 0);
-  desk.Wait(seconds(130));  // Over two borders.
-  CHECK(desk.keeper->Counts().store_failures > 10);
-  desk.keeper->End(t);
-  disk.RefuseWith(SQLITE_OK);
-  desk.Wait(seconds(5));
-  desk.keeper->End(u);
-  REQUIRE(desk.keeper->Finish(seconds(5)));
-  const Desk::Sum sum = desk.Read();
+  InMemoryDisk disk("keeper-" + std::to_string(code));
+  RecorderFixture fixture(&disk);
+  UsageHandle t = fixture.recorder->Begin("wetland", 0);
+  fixture.Wait(seconds(5));
+  CHECK(fixture.recorder->Counts().store_failures == 0);
+  disk.FailAllWith(code);
+  UsageHandle u = fixture.recorder->Begin("wetland", 0);
+  fixture.Wait(seconds(130));  // Over two borders.
+  CHECK(fixture.recorder->Counts().store_failures > 10);
+  fixture.recorder->End(t);
+  disk.FailAllWith(SQLITE_OK);
+  fixture.Wait(seconds(5));
+  fixture.recorder->End(u);
+  REQUIRE(fixture.recorder->Finish(seconds(5)));
+  const RecorderFixture::Sum sum = fixture.Read();
   CHECK(sum.use_us == 270'000'000);
   CHECK(sum.within_us == 140'000'000);
-  CHECK(sum.unkept_us == 0);
+  CHECK(sum.unrecorded_us == 0);
   CHECK(sum.unattested == 0);
 }
 
 TEST_CASE("beyond the bound of memory use is told as unkept, never dropped and never billed") {
-  MemDisk disk("bound");
-  Desk desk(&disk);
-  desk.Kill();
-  desk.most_cells = 8;
-  desk.Start();
-  disk.RefuseWith(SQLITE_FULL);
-  UsageHandle t = desk.keeper->Begin("wetland", 0);
-  desk.Wait(seconds(1200));
-  CHECK(desk.keeper->BacklogCells() <= 10);
-  disk.RefuseWith(SQLITE_OK);
-  desk.keeper->End(t);
-  desk.Wait(seconds(10));
-  REQUIRE(desk.keeper->Finish(seconds(5)));
-  const Desk::Sum sum = desk.Read();
-  CHECK(sum.unkept_us > 0);
+  InMemoryDisk disk("bound");
+  RecorderFixture fixture(&disk);
+  fixture.Kill();
+  fixture.max_backlog_cells = 8;
+  fixture.Start();
+  disk.FailAllWith(SQLITE_FULL);
+  UsageHandle t = fixture.recorder->Begin("wetland", 0);
+  fixture.Wait(seconds(1200));
+  CHECK(fixture.recorder->BacklogCells() <= 10);
+  disk.FailAllWith(SQLITE_OK);
+  fixture.recorder->End(t);
+  fixture.Wait(seconds(10));
+  REQUIRE(fixture.recorder->Finish(seconds(5)));
+  const RecorderFixture::Sum sum = fixture.Read();
+  CHECK(sum.unrecorded_us > 0);
   CHECK(sum.use_us > 0);
-  CHECK(sum.use_us + sum.unkept_us == 1'200'000'000);
+  CHECK(sum.use_us + sum.unrecorded_us == 1'200'000'000);
 }
 
 TEST_CASE("a disk whose sync hangs holds nobody up, and a planned end does not wait for ever") {
-  MemDisk disk("stall");
-  Desk desk(&disk);
-  desk.Settle();
+  InMemoryDisk disk("stall");
+  RecorderFixture fixture(&disk);
+  fixture.Settle();
   disk.Stall();
-  UsageHandle t = desk.keeper->Begin("wetland", 0);
+  UsageHandle t = fixture.recorder->Begin("wetland", 0);
   for (int k = 0; k < 50; ++k) {
-    desk.mono += seconds(1);
-    desk.loop->clock.Advance(seconds(1));
+    fixture.mono += seconds(1);
+    fixture.loop->clock.Advance(seconds(1));
     const auto begun = std::chrono::steady_clock::now();
-    desk.Turn();
+    fixture.Turn();
     CHECK(std::chrono::steady_clock::now() - begun < seconds(1));
   }
-  desk.keeper->End(t);
+  fixture.recorder->End(t);
   SECTION("it comes back") {
     disk.Release();
-    desk.Settle();
-    REQUIRE(desk.keeper->Finish(seconds(5)));
-    CHECK(desk.Read().use_us == 50'000'000);
+    fixture.Settle();
+    REQUIRE(fixture.recorder->Finish(seconds(5)));
+    CHECK(fixture.Read().use_us == 50'000'000);
   }
   SECTION("it does not") {
-    CHECK_FALSE(desk.keeper->Finish(milliseconds(50)));
+    CHECK_FALSE(fixture.recorder->Finish(milliseconds(50)));
     disk.Release();  // The thread that was given up must end before its disk does.
     std::this_thread::sleep_for(milliseconds(200));
   }
 }
 
 TEST_CASE("a killed relay leaves at most a checkpoint unattested, recorded with its bound") {
-  MemDisk disk("killed");
-  Desk desk(&disk);
-  UsageHandle t = desk.keeper->Begin("wetland", 0);
-  desk.Wait(milliseconds(10'500));
-  desk.Kill();
-  desk.mono += seconds(3);
-  desk.Start();
-  desk.Settle();
-  const Desk::Sum sum = desk.Read();
+  InMemoryDisk disk("killed");
+  RecorderFixture fixture(&disk);
+  UsageHandle t = fixture.recorder->Begin("wetland", 0);
+  fixture.Wait(milliseconds(10'500));
+  fixture.Kill();
+  fixture.mono += seconds(3);
+  fixture.Start();
+  fixture.Settle();
+  const RecorderFixture::Sum sum = fixture.Read();
   CHECK(sum.unattested == 1);
   CHECK(sum.use_us >= 9'500'000);
   CHECK(sum.use_us <= 10'500'000);
-  Store store = desk.Reader();
+  Store store = fixture.Reader();
   const auto u = ParseRecord(SplitLine(store.Records(1, 1).at(0).line)->record)->unattested();
   CHECK(u.to_wall_us() - u.from_wall_us() == 13'500'000 - sum.use_us);
   REQUIRE(u.open_size() == 1);
@@ -226,14 +226,14 @@
 }
 
 TEST_CASE("two relays on one folder, or another's folder: both are told and neither stops") {
-  MemDisk disk("shared");
-  Desk desk(&disk);
-  desk.Wait(seconds(2));
-  KeeperSetup setup;
+  InMemoryDisk disk("shared");
+  RecorderFixture fixture(&disk);
+  fixture.Wait(seconds(2));
+  UsageRecorderSetup setup;
   setup.accounts = {seconds(60), {}, {"feed"}, 8};
-  setup.store = {desk.Folder(), "n0", "other", disk.Vfs(), true, 1000};
+  setup.store = {fixture.Folder(), "n0", "other", disk.Vfs(), true, 1000};
   EventLoop loop(Clock::Mode::kManual);
-  Keeper second(loop, setup, [] { return kWallStart; });
+  UsageRecorder second(loop, setup, [] { return kWallStart; });
   while (!second.Idle()) loop.Poll();
   loop.Poll();
   CHECK(second.Counts().store_failures == 1);
@@ -243,120 +243,120 @@
 }
 
 TEST_CASE("a stepped clock under a keeper loses nothing and is recorded") {
-  MemDisk disk("steps");
-  Desk desk(&disk);
-  UsageHandle t = desk.keeper->Begin("wetland", 0);
-  desk.Wait(seconds(30));
-  desk.wall_off = std::chrono::hours(-2);
-  desk.Wait(seconds(30));
-  desk.wall_off = std::chrono::hours(1);
-  desk.Wait(seconds(30));
-  desk.keeper->End(t);
-  REQUIRE(desk.keeper->Finish(seconds(5)));
-  CHECK(desk.Read().use_us == 90'000'000);
-  CHECK(desk.Read().steps == 2);
+  InMemoryDisk disk("steps");
+  RecorderFixture fixture(&disk);
+  UsageHandle t = fixture.recorder->Begin("wetland", 0);
+  fixture.Wait(seconds(30));
+  fixture.wall_off = std::chrono::hours(-2);
+  fixture.Wait(seconds(30));
+  fixture.wall_off = std::chrono::hours(1);
+  fixture.Wait(seconds(30));
+  fixture.recorder->End(t);
+  REQUIRE(fixture.recorder->Finish(seconds(5)));
+  CHECK(fixture.Read().use_us == 90'000'000);
+  CHECK(fixture.Read().steps == 2);
 }
 
 TEST_CASE("whatever the receiver does, each record reaches it once and in order") {
   Receiver receiver;
-  MemDisk disk("receiver");
-  Desk desk(&disk, "n0", &receiver);
+  InMemoryDisk disk("receiver");
+  RecorderFixture fixture(&disk, "n0", &receiver);
   const auto plays =
       GENERATE(std::vector<P>{P::kError, P::kError}, std::vector<P>{P::kCutBefore},
                std::vector<P>{P::kCutAfter, P::kCutAfter}, std::vector<P>{P::kSilent},
                std::vector<P>{P::kTwice, P::kTwice}, std::vector<P>{P::kNoReceipt, P::kNoReceipt},
-               std::vector<P>{P::kConflict}, std::vector<P>{P::kRefuse},
+               std::vector<P>{P::kConflict}, std::vector<P>{P::kReject},
                std::vector<P>{P::kTooLarge, P::kTooLarge}, std::vector<P>{P::kLater},
                std::vector<P>{P::kTake, P::kLose}, std::vector<P>{P::kForge}, std::vector<P>{P::kAhead},
                std::vector<P>{P::kTake, P::kCutAfter, P::kSilent, P::kLose, P::kError, P::kTwice});
   for (const P p : plays) receiver.Next({p});
-  UsageHandle t = desk.keeper->Begin("wetland", 0);
-  UsageHandle u = desk.keeper->Begin("raptor", 0);
-  desk.Wait(seconds(250), &receiver);
-  desk.keeper->End(t);
-  desk.keeper->End(u);
-  desk.Wait(seconds(200), &receiver);
-  CHECK(receiver.PlaysLeft() == 0);
-  CHECK(receiver.Contradictions() == 0);
-  Store store = desk.Reader();
+  UsageHandle t = fixture.recorder->Begin("wetland", 0);
+  UsageHandle u = fixture.recorder->Begin("raptor", 0);
+  fixture.Wait(seconds(250), &receiver);
+  fixture.recorder->End(t);
+  fixture.recorder->End(u);
+  fixture.Wait(seconds(200), &receiver);
+  CHECK(receiver.RemainingSteps() == 0);
+  CHECK(receiver.ContentConflicts() == 0);
+  Store store = fixture.Reader();
   const StoreState state = store.State();
   CHECK(state.head_seq >= 8);
   CHECK(state.delivered_seq == state.head_seq);
   REQUIRE(receiver.Lines().size() == state.head_seq);
   for (const StoredRecord& r : store.Records(1, 1000)) CHECK(receiver.Lines()[r.seq - 1] == r.line);
   if (plays.front() == P::kForge || plays.front() == P::kAhead)
-    CHECK(desk.courier->Counts().disagreements == 1);
-  if (plays.front() == P::kRefuse) CHECK(desk.courier->Counts().refused == 1);
+    CHECK(fixture.export_client->Counts().disagreements == 1);
+  if (plays.front() == P::kReject) CHECK(fixture.export_client->Counts().refused == 1);
 }
 
 TEST_CASE("a receiver that is down for hours is asked at a bounded pace and then gets all") {
   Receiver receiver;
   receiver.Down();
-  MemDisk disk("hours");
-  Desk desk(&disk, "n0", &receiver);
-  UsageHandle t = desk.keeper->Begin("wetland", 0);
-  desk.Wait(seconds(1800), &receiver);
-  const std::uint64_t asked = desk.courier->Counts().requests;
+  InMemoryDisk disk("hours");
+  RecorderFixture fixture(&disk, "n0", &receiver);
+  UsageHandle t = fixture.recorder->Begin("wetland", 0);
+  fixture.Wait(seconds(1800), &receiver);
+  const std::uint64_t asked = fixture.export_client->Counts().requests;
   CHECK(asked >= 1800 / 60);
   CHECK(asked <= 1800 / 30 + 8);  // Half a minute at the least, but for the first few.
   receiver.Up();
-  desk.Wait(seconds(90), &receiver);
-  desk.keeper->End(t);
+  fixture.Wait(seconds(90), &receiver);
+  fixture.recorder->End(t);
   CHECK(receiver.Lines().size() >= 30);
-  CHECK(desk.courier->Backlog() <= 1);
+  CHECK(fixture.export_client->Backlog() <= 1);
 }
 
 TEST_CASE("killed at any turn of an export, the relay delivers each record once") {
   for (int turns = 0; turns < 40; ++turns) {
     INFO("killed after " << turns << " turns");
     Receiver receiver;
-    MemDisk disk("export-" + std::to_string(turns));
-    Desk desk(&disk, "n0", &receiver);
-    UsageHandle t = desk.keeper->Begin("wetland", 0);
-    UsageHandle u = desk.keeper->Begin("raptor", 0);
-    desk.Wait(seconds(59), &receiver);
-    desk.keeper->End(t);
-    desk.keeper->End(u);
-    desk.Wait(milliseconds(500), &receiver);
-    desk.mono += seconds(1);
-    desk.loop->clock.Advance(seconds(1));  // The period closes: its records are made, sent, confirmed.
+    InMemoryDisk disk("export-" + std::to_string(turns));
+    RecorderFixture fixture(&disk, "n0", &receiver);
+    UsageHandle t = fixture.recorder->Begin("wetland", 0);
+    UsageHandle u = fixture.recorder->Begin("raptor", 0);
+    fixture.Wait(seconds(59), &receiver);
+    fixture.recorder->End(t);
+    fixture.recorder->End(u);
+    fixture.Wait(milliseconds(500), &receiver);
+    fixture.mono += seconds(1);
+    fixture.loop->clock.Advance(seconds(1));  // The period closes: its records are made, sent, confirmed.
     for (int k = 0; k < turns; ++k) {
-      desk.Turn(&receiver);
-      while (!desk.keeper->DiskRests()) std::this_thread::yield();
+      fixture.Turn(&receiver);
+      while (!fixture.recorder->DiskRests()) std::this_thread::yield();
     }
-    desk.Kill();
+    fixture.Kill();
     receiver.Poll();  // What was sent is there, though nobody waits for the answer.
-    desk.Start();
-    desk.Wait(seconds(70), &receiver);
-    CHECK(receiver.Contradictions() == 0);
-    Store store = desk.Reader();
+    fixture.Start();
+    fixture.Wait(seconds(70), &receiver);
+    CHECK(receiver.ContentConflicts() == 0);
+    Store store = fixture.Reader();
     CHECK(store.State().delivered_seq == store.State().head_seq);
     REQUIRE(receiver.Lines().size() == store.State().head_seq);
-    CHECK(desk.Read().use_us <= 118'000'000);
-    CHECK(desk.Read().use_us >= 116'000'000);
+    CHECK(fixture.Read().use_us <= 118'000'000);
+    CHECK(fixture.Read().use_us >= 116'000'000);
   }
 }
 
 TEST_CASE("an export file is whole or the old one, wherever its writing is killed") {
-  Desk desk(nullptr);
-  UsageHandle t = desk.keeper->Begin("wetland", 0);
-  desk.Wait(seconds(200));
-  desk.keeper->End(t);
-  REQUIRE(desk.keeper->Finish(seconds(5)));
-  const std::string path = desk.Folder() + "/n0.jsonl";
+  RecorderFixture fixture(nullptr);
+  UsageHandle t = fixture.recorder->Begin("wetland", 0);
+  fixture.Wait(seconds(200));
+  fixture.recorder->End(t);
+  REQUIRE(fixture.recorder->Finish(seconds(5)));
+  const std::string path = fixture.Folder() + "/n0.jsonl";
   const auto read = [&] {
     std::ifstream in(path, std::ios::binary);
     return std::string{std::istreambuf_iterator<char>(in), {}};
   };
   std::ofstream(path) << "the old one";
-  Store store = desk.Reader();
+  Store store = fixture.Reader();
   for (rlim_t most = 0; read() == "the old one"; most += 97) {
     const pid_t child = fork();
     if (child == 0) {  // The write that goes over the limit kills it.
       const rlimit limit{most, most};
       setrlimit(RLIMIT_FSIZE, &limit);
       std::signal(SIGXFSZ, SIG_DFL);
-      Store own({desk.Folder(), "", "", nullptr, false, 0});
+      Store own({fixture.Folder(), "", "", nullptr, false, 0});
       WriteExport(own, 1, path);
       _exit(0);
     }
@@ -366,7 +366,7 @@
     REQUIRE((killed == (read() == "the old one")));
     REQUIRE(most < 100'000);
   }
-  const Reconciled r = ReconcileFiles({path}, 1);
+  const ReconcileReport r = ReconcileFiles({path}, 1);
   CHECK(r.faults.empty());
   CHECK(r.records == 3);
   CHECK_THROWS(WriteExport(store, 1, "/nonexistent/n0.jsonl"));
@@ -379,15 +379,16 @@
   std::mt19937_64 random(seed);
   constexpr int kRelays = 3;
   Receiver receivers[kRelays];
-  std::vector<std::unique_ptr<MemDisk>> disks;
-  std::vector<std::unique_ptr<Desk>> desks;
+  std::vector<std::unique_ptr<InMemoryDisk>> disks;
+  std::vector<std::unique_ptr<RecorderFixture>> fixtures;
   for (int k = 0; k < kRelays; ++k) {
-    disks.push_back(std::make_unique<MemDisk>("fleet-" + std::to_string(k)));
-    desks.push_back(std::make_unique<Desk>(disks.back().get(), "n" + std::to_string(k), &receivers[k]));
+    disks.push_back(std::make_unique<InMemoryDisk>("fleet-" + std::to_string(k)));
+    fixtures.push_back(
+        std::make_unique<RecorderFixture>(disks.back().get(), "n" + std::to_string(k), &receivers[k]));
   }
   struct Client {
     int relay;
-    UsageHandle ticket;
+    UsageHandle handle;
     Micros since;
   };
   std::vector<Client> clients;
@@ -395,16 +396,16 @@
   int kills = 0;
   for (int step = 0; step < 400; ++step) {
     const int relay = static_cast<int>(random() % kRelays);
-    Desk& desk = *desks[static_cast<std::size_t>(relay)];
+    RecorderFixture& fixture = *fixtures[static_cast<std::size_t>(relay)];
     const std::uint64_t what = random() % 20;
     if (what < 9) {
       const char* group = random() % 3 == 0 ? "raptor" : "wetland";
-      clients.push_back({relay, desk.keeper->Begin(group, 0), desk.mono});
+      clients.push_back({relay, fixture.recorder->Begin(group, 0), fixture.mono});
     } else if (what < 17 && !clients.empty()) {
       const auto at = static_cast<std::ptrdiff_t>(random() % clients.size());
       Client& c = clients[static_cast<std::size_t>(at)];
-      Desk& own = *desks[static_cast<std::size_t>(c.relay)];
-      own.keeper->End(c.ticket);
+      RecorderFixture& own = *fixtures[static_cast<std::size_t>(c.relay)];
+      own.recorder->End(c.handle);
       served_us += (own.mono - c.since).count();
       clients.erase(clients.begin() + at);
     } else if (what == 19) {
@@ -412,7 +413,7 @@
       // The checkpoint before lies at most a second and a turn back.
       for (const Client& c : clients) {
         if (c.relay != relay) continue;
-        served_us += (desk.mono - c.since).count();
+        served_us += (fixture.mono - c.since).count();
       }
       const auto open =
           std::count_if(clients.begin(), clients.end(), [&](const Client& c) { return c.relay == relay; });
@@ -421,38 +422,38 @@
       if (random() % 2 == 0) receivers[relay].Next({P::kCutAfter});
       if (random() % 2 == 0) {  // The power goes, too, a few calls later.
         disks[static_cast<std::size_t>(relay)]->LosePowerAt(1 + static_cast<int>(random() % 20));
-        desk.Wait(milliseconds(500), &receivers[relay]);
+        fixture.Wait(milliseconds(500), &receivers[relay]);
       }
-      desk.Kill();
+      fixture.Kill();
       disks[static_cast<std::size_t>(relay)]->PowerOn(random());
-      desk.Start();
+      fixture.Start();
     }
     const Micros span = milliseconds(100 + random() % 900);
-    for (int k = 0; k < kRelays; ++k) desks[static_cast<std::size_t>(k)]->Wait(span, &receivers[k]);
+    for (int k = 0; k < kRelays; ++k) fixtures[static_cast<std::size_t>(k)]->Wait(span, &receivers[k]);
   }
   REQUIRE(kills > 3);
   for (const Client& c : clients) {
-    Desk& own = *desks[static_cast<std::size_t>(c.relay)];
+    RecorderFixture& own = *fixtures[static_cast<std::size_t>(c.relay)];
     served_us += (own.mono - c.since).count();
   }
-  const std::string folder = desks[0]->Folder() + "/exports";
+  const std::string folder = fixtures[0]->Folder() + "/exports";
   std::filesystem::create_directory(folder);
   int unattested = 0;
   for (int k = 0; k < kRelays; ++k) {
-    Desk& desk = *desks[static_cast<std::size_t>(k)];
+    RecorderFixture& fixture = *fixtures[static_cast<std::size_t>(k)];
     for (Client& c : clients) {
-      if (c.relay == k) desk.keeper->End(c.ticket);
+      if (c.relay == k) fixture.recorder->End(c.handle);
     }
-    desk.wall_off += std::chrono::hours(1);  // Leaves the open period.
-    desk.Wait(seconds(90), &receivers[k]);
-    REQUIRE(desk.keeper->Finish(seconds(5)));
-    unattested += desk.Read().unattested;
-    Store store = desk.Reader();
+    fixture.wall_off += std::chrono::hours(1);  // Leaves the open period.
+    fixture.Wait(seconds(90), &receivers[k]);
+    REQUIRE(fixture.recorder->Finish(seconds(5)));
+    unattested += fixture.Read().unattested;
+    Store store = fixture.Reader();
     CHECK(store.State().delivered_seq == store.State().head_seq);
-    CHECK(receivers[k].Contradictions() == 0);
+    CHECK(receivers[k].ContentConflicts() == 0);
     WriteExport(store, 1, folder + "/n" + std::to_string(k) + ".jsonl");
   }
-  const Reconciled r = ReconcileFiles({folder}, 2);
+  const ReconcileReport r = ReconcileFiles({folder}, 2);
   for (const Fault& f : r.faults) FAIL(f.file << ": " << f.what);
   std::int64_t exported_us = 0;
   for (const auto& [key, total] : r.totals) exported_us += total.use_us;
@@ -466,33 +467,33 @@
 TEST_CASE(
     "the summed ledgers of relays that are restarted in order equal what was served, to the microsecond") {
   std::mt19937_64 random(11);
-  MemDisk disk("orderly");
-  Desk desk(&disk);
+  InMemoryDisk disk("orderly");
+  RecorderFixture fixture(&disk);
   std::int64_t served_us = 0;
   for (int life = 0; life < 5; ++life) {
     std::vector<std::pair<UsageHandle, Micros>> open;
     for (int step = 0; step < 60; ++step) {
-      if (random() % 2 == 0) open.emplace_back(desk.keeper->Begin("wetland", 0), desk.mono);
+      if (random() % 2 == 0) open.emplace_back(fixture.recorder->Begin("wetland", 0), fixture.mono);
       if (!open.empty() && random() % 3 == 0) {
-        desk.keeper->End(open.back().first);
-        served_us += (desk.mono - open.back().second).count();
+        fixture.recorder->End(open.back().first);
+        served_us += (fixture.mono - open.back().second).count();
         open.pop_back();
       }
-      desk.Wait(Micros(1 + random() % 3'000'000));
+      fixture.Wait(Micros(1 + random() % 3'000'000));
     }
-    for (auto& [ticket, since] : open) {
-      desk.keeper->End(ticket);
-      served_us += (desk.mono - since).count();
+    for (auto& [handle, since] : open) {
+      fixture.recorder->End(handle);
+      served_us += (fixture.mono - since).count();
     }
-    REQUIRE(desk.keeper->Finish(seconds(5)));
-    desk.Kill();
-    desk.mono += seconds(20);
-    desk.Start();
-    desk.Settle();
+    REQUIRE(fixture.recorder->Finish(seconds(5)));
+    fixture.Kill();
+    fixture.mono += seconds(20);
+    fixture.Start();
+    fixture.Settle();
   }
-  CHECK(desk.Read().use_us == served_us);
-  CHECK(desk.Read().unattested == 0);
-  CHECK(desk.Reader().Verify().empty());
+  CHECK(fixture.Read().use_us == served_us);
+  CHECK(fixture.Read().unattested == 0);
+  CHECK(fixture.Reader().Verify().empty());
 }
 
 }  // namespace
--- a/tests/standin/mem_disk.cpp
+++ b/tests/standin/in_memory_disk.cpp
@@ -1,4 +1,4 @@
-#include "standin/mem_disk.h"
+#include "standin/in_memory_disk.h"
 
 #include <algorithm>
 #include <cstring>
@@ -12,13 +12,13 @@
 
 struct OpenFile {
   sqlite3_file file;
-  MemDisk* disk;
-  std::shared_ptr<MemDisk::Content>* content;
+  InMemoryDisk* disk;
+  std::shared_ptr<InMemoryDisk::Content>* content;
   int lock;
 };
 
 OpenFile* Of(sqlite3_file* f) { return reinterpret_cast<OpenFile*>(f); }
-MemDisk::Content& ContentOf(sqlite3_file* f) { return **Of(f)->content; }
+InMemoryDisk::Content& ContentOf(sqlite3_file* f) { return **Of(f)->content; }
 
 int Close(sqlite3_file* f) {
   delete Of(f)->content;
@@ -35,11 +35,11 @@
   return n == static_cast<std::size_t>(amount) ? SQLITE_OK : SQLITE_IOERR_SHORT_READ;
 }
 
-int Change(sqlite3_file* f, MemDisk::Change change) {
+int Change(sqlite3_file* f, InMemoryDisk::Change change) {
   bool part = false;
   const int code = Of(f)->disk->Step(&part);
   if (code != SQLITE_OK && !part) return code;
-  MemDisk::Content& c = ContentOf(f);
+  InMemoryDisk::Content& c = ContentOf(f);
   if (part && !change.truncate) {  // A prefix made it.
     change.bytes.resize(Of(f)->disk->random() % (change.bytes.size() + 1));
   }
@@ -73,10 +73,10 @@
     Traits, nullptr, nullptr, nullptr,  nullptr,  nullptr,
     nullptr};
 
-MemDisk& DiskOf(sqlite3_vfs* v) { return *static_cast<MemDisk*>(v->pAppData); }
+InMemoryDisk& DiskOf(sqlite3_vfs* v) { return *static_cast<InMemoryDisk*>(v->pAppData); }
 
 int Open(sqlite3_vfs* v, const char* name, sqlite3_file* f, int flags, int* out_flags) {
-  MemDisk& disk = DiskOf(v);
+  InMemoryDisk& disk = DiskOf(v);
   f->pMethods = nullptr;
   const std::string key = name != nullptr ? name : "";
   auto it = disk.files.find(key);
@@ -84,11 +84,11 @@
   if (it == disk.files.end()) {
     if ((flags & SQLITE_OPEN_CREATE) == 0) return SQLITE_CANTOPEN;
     if (const int code = disk.Step(); code != SQLITE_OK) return code;
-    it = disk.files.emplace(key, std::make_shared<MemDisk::Content>()).first;
+    it = disk.files.emplace(key, std::make_shared<InMemoryDisk::Content>()).first;
   }
   OpenFile* file = Of(f);
   file->disk = &disk;
-  file->content = new std::shared_ptr<MemDisk::Content>(it->second);
+  file->content = new std::shared_ptr<InMemoryDisk::Content>(it->second);
   file->lock = 0;
   f->pMethods = &kMethods;
   if (out_flags != nullptr) *out_flags = flags;
@@ -97,7 +97,7 @@
 
 // The deletion of a synced journal is the moment of a commit; the store asks for the folder's sync with it.
 int Delete(sqlite3_vfs* v, const char* name, int /*sync_folder*/) {
-  MemDisk& disk = DiskOf(v);
+  InMemoryDisk& disk = DiskOf(v);
   if (!disk.files.contains(name)) return SQLITE_IOERR_DELETE_NOENT;
   bool part = false;
   const int code = disk.Step(&part);
@@ -127,11 +127,12 @@
 
 }  // namespace
 
-struct MemDisk::Registered {
+struct InMemoryDisk::Registered {
   sqlite3_vfs vfs{};
 };
 
-MemDisk::MemDisk(std::string name) : name_(std::move(name)), registered_(std::make_unique<Registered>()) {
+InMemoryDisk::InMemoryDisk(std::string name)
+    : name_(std::move(name)), registered_(std::make_unique<Registered>()) {
   sqlite3_vfs& v = registered_->vfs;
   v.iVersion = 1;
   v.szOsFile = sizeof(OpenFile);
@@ -149,9 +150,9 @@
   sqlite3_vfs_register(&v, 0);
 }
 
-MemDisk::~MemDisk() { sqlite3_vfs_unregister(&registered_->vfs); }
+InMemoryDisk::~InMemoryDisk() { sqlite3_vfs_unregister(&registered_->vfs); }
 
-void MemDisk::Content::Apply(const Change& change, std::string& to) const {
+void InMemoryDisk::Content::Apply(const Change& change, std::string& to) const {
   const auto at = static_cast<std::size_t>(change.offset);
   if (change.truncate) {
     to.resize(std::min(to.size(), at));
@@ -161,7 +162,7 @@
   change.bytes.copy(to.data() + at, change.bytes.size());
 }
 
-int MemDisk::Step(bool* part) {
+int InMemoryDisk::Step(bool* part) {
   if (lost_) return SQLITE_IOERR;
   ++changes_;
   if (changes_ == power_) {
@@ -170,10 +171,10 @@
     return SQLITE_IOERR;
   }
   if (changes_ == fail_at_) return fail_code_;
-  return refuse_;
+  return failure_code_;
 }
 
-int MemDisk::Sync(Content& content) {
+int InMemoryDisk::Sync(Content& content) {
   {
     std::unique_lock lock(guard_);
     released_.wait(lock, [this] { return !stalled_; });
@@ -184,7 +185,7 @@
   return SQLITE_OK;
 }
 
-void MemDisk::PowerOn(std::uint64_t seed) {
+void InMemoryDisk::PowerOn(std::uint64_t seed) {
   random.seed(seed);
   lost_ = false;
   power_ = fail_at_ = 0;
@@ -208,12 +209,12 @@
   }
 }
 
-void MemDisk::Stall() {
+void InMemoryDisk::Stall() {
   const std::scoped_lock lock(guard_);
   stalled_ = true;
 }
 
-void MemDisk::Release() {
+void InMemoryDisk::Release() {
   {
     const std::scoped_lock lock(guard_);
     stalled_ = false;
--- a/tests/standin/mem_disk.h
+++ b/tests/standin/in_memory_disk.h
@@ -16,12 +16,12 @@
 
 namespace stoatrun::standin {
 
-class MemDisk {
+class InMemoryDisk {
  public:
-  explicit MemDisk(std::string name);
-  ~MemDisk();
-  MemDisk(const MemDisk&) = delete;
-  MemDisk& operator=(const MemDisk&) = delete;
+  explicit InMemoryDisk(std::string name);
+  ~InMemoryDisk();
+  InMemoryDisk(const InMemoryDisk&) = delete;
+  InMemoryDisk& operator=(const InMemoryDisk&) = delete;
 
   const char* Vfs() const { return name_.c_str(); }
 
@@ -39,7 +39,7 @@
   // What was not synced is there in part, as the seed says.
   void PowerOn(std::uint64_t seed);
   // Every change fails with this code until set to SQLITE_OK.
-  void RefuseWith(int code) { refuse_ = code; }
+  void FailAllWith(int code) { failure_code_ = code; }
   // Syncs wait until Release.
   void Stall();
   void Release();
@@ -65,7 +65,7 @@
   struct Registered;
   std::string name_;
   std::unique_ptr<Registered> registered_;
-  int changes_ = 0, power_ = 0, fail_at_ = 0, fail_code_ = 0, refuse_ = 0;
+  int changes_ = 0, power_ = 0, fail_at_ = 0, fail_code_ = 0, failure_code_ = 0;
   bool lost_ = false, stalled_ = false;
   std::mutex guard_;
   std::condition_variable released_;
--- a/tests/standin/receiver.cpp
+++ b/tests/standin/receiver.cpp
@@ -94,7 +94,7 @@
     const auto record = parts ? ledger::ParseRecord(parts->record) : std::nullopt;
     if (!record) throw std::runtime_error("the receiver was sent what is no record: " + line);
     if (record->seq() <= hashes_.size()) {
-      if (hashes_[record->seq() - 1] != parts->hash) ++contradictions_;
+      if (hashes_[record->seq() - 1] != parts->hash) ++content_conflicts_;
       continue;
     }
     const std::string prev = hashes_.empty() ? ledger::FirstHash() : hashes_.back();
@@ -121,7 +121,7 @@
   const std::string key = Header(peer.in, "Idempotency-Key").value();
   if (const auto [it, fresh] = bodies_.try_emplace(key, body);
       play != Play::kCutBefore && !fresh && it->second != body) {
-    ++contradictions_;
+    ++content_conflicts_;
   }
   std::string answer;
   switch (play) {
@@ -151,7 +151,7 @@
     case Play::kConflict:
       answer = Http(409, Receipt());
       break;
-    case Play::kRefuse:
+    case Play::kReject:
       answer = Http(400, "");
       break;
     case Play::kTooLarge:
--- a/tests/standin/receiver.h
+++ b/tests/standin/receiver.h
@@ -24,7 +24,7 @@
     kTwice,      // Keeps and answers two times.
     kNoReceipt,  // 200 without one.
     kConflict,   // 409 with what it holds, keeps nothing.
-    kRefuse,     // 400.
+    kReject,     // 400.
     kTooLarge,   // 413.
     kLater,      // 503, Retry-After: 30.
     kForge,      // A receipt with a hash that nobody made.
@@ -44,11 +44,11 @@
   void Up();
 
   std::size_t Requests() const { return requests_; }
-  std::size_t PlaysLeft() const { return plays_.size(); }
+  std::size_t RemainingSteps() const { return plays_.size(); }
   // Lines kept, in order; each kept once.
   const std::vector<std::string>& Lines() const { return lines_; }
   // A record that came as new under a key whose content had come before with another: must stay 0.
-  std::size_t Contradictions() const { return contradictions_; }
+  std::size_t ContentConflicts() const { return content_conflicts_; }
 
  private:
   struct Peer {
@@ -65,7 +65,7 @@
   std::vector<std::unique_ptr<Peer>> peers_;
   std::vector<std::string> lines_, hashes_;
   std::map<std::string, std::string> bodies_;  // By idempotency key.
-  std::size_t requests_ = 0, contradictions_ = 0;
+  std::size_t requests_ = 0, content_conflicts_ = 0;
 };
 
 }  // namespace stoatrun::standin
