--- /dev/null
+++ b/src/ledger/io/folder_lock.cpp
@@ -0,0 +1,41 @@
+#include "ledger/io/folder_lock.h"
+
+#include <fcntl.h>
+#include <sys/file.h>
+#include <unistd.h>
+
+#include <cerrno>
+#include <cstring>
+
+#include "ledger/io/store_error.h"
+
+namespace stoatrun::ledger {
+namespace {
+
+constexpr mode_t kLockFileMode = 0644;
+
+StoreErrorCode CodeOfErrno(int error) {
+  if (error == ENOSPC || error == EDQUOT) return StoreErrorCode::kFull;
+  return error == EIO ? StoreErrorCode::kIo : StoreErrorCode::kReadOnly;
+}
+
+int OpenLockFile(const std::string& folder) {
+  const std::string path = folder + "/relay.lock";
+  const int fd = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kLockFileMode);
+  if (fd >= 0) return fd;
+  const int error = errno;
+  throw StoreError(CodeOfErrno(error),
+                   path + ": " + std::strerror(error));  // NOLINT(concurrency-mt-unsafe): glibc's is safe.
+}
+
+}  // namespace
+
+FolderLock::FolderLock(const std::string& folder) : fd_(OpenLockFile(folder)) {
+  if (flock(fd_, LOCK_EX | LOCK_NB) == 0) return;
+  close(fd_);  // The destructor does not run for an object whose constructor throws.
+  throw StoreError(StoreErrorCode::kLocked, folder + ": another relay uses this folder");
+}
+
+FolderLock::~FolderLock() { close(fd_); }
+
+}  // namespace stoatrun::ledger
--- /dev/null
+++ b/src/ledger/io/store_verifier.cpp
@@ -0,0 +1,97 @@
+#include "ledger/io/store_verifier.h"
+
+#include <fmt/format.h>
+
+#include <cstdint>
+
+#include "ledger/io/checked_vfs.h"
+#include "ledger/io/store_schema.h"
+#include "ledger/record.h"
+
+namespace stoatrun::ledger {
+namespace {
+
+// Checks one database and gathers what is wrong.
+class Verifier {
+ public:
+  Verifier(Sql& database, const std::string& path) : database_(database), path_(path), meta_(database) {}
+
+  void CheckAll() {
+    // The first read takes the read lock, which FindInvalidPage relies on.
+    const std::uint64_t head_seq = meta_.GetNumber(MetaTable::kHeadSeq);
+    CheckPages();
+    CheckSqlite();
+    CheckChain(head_seq);
+    CheckSums();
+  }
+  void Report(std::string finding) { findings_.push_back(std::move(finding)); }
+  const std::vector<std::string>& findings() const { return findings_; }
+
+ private:
+  void CheckPages() {
+    if (const auto page = FindInvalidPage(database_.native_handle())) {
+      Report(fmt::format("{}: page {} is damaged", path_, *page));
+    }
+  }
+
+  void CheckSqlite() {
+    Query check(database_, "PRAGMA integrity_check");
+    while (check.Step()) {
+      if (check.Text(0) != "ok") Report(fmt::format("{}: {}", path_, check.Text(0)));
+    }
+  }
+
+  void CheckChain(std::uint64_t head_seq) {
+    std::uint64_t expected = 1;
+    std::string previous_hash = FirstHash();
+    Query records(database_, "SELECT seq, hash, line FROM record ORDER BY seq");
+    for (; records.Step(); ++expected) {
+      const auto seq = static_cast<std::uint64_t>(records.Int(0));
+      if (seq != expected) Report(fmt::format("record {} is missing", expected));
+      expected = seq;
+      const auto parts = SplitLine(records.Text(2));
+      if (!parts || parts->hash != records.Text(1)) {
+        Report(fmt::format("record {} does not agree with its hash", seq));
+      } else if (parts->prev != previous_hash) {
+        Report(fmt::format("record {} does not follow the one before it", seq));
+      }
+      previous_hash = records.Text(1);
+    }
+    if (expected - 1 != head_seq || previous_hash != meta_.Get(MetaTable::kHeadHash)) {
+      Report("the last record is not the one that the ledger names as its last");
+    }
+  }
+
+  void CheckSums() {
+    Query sums(
+        database_,
+        "SELECT p.start_s, p.lives_us, (SELECT coalesce(sum(use_us), 0) FROM cell WHERE period = p.id), "
+        "(SELECT coalesce(sum(use_us), 0) FROM split WHERE period = p.id) FROM period p WHERE closed = 0");
+    while (sums.Step()) {
+      const std::int64_t connection_time_us = sums.Int(1), class_us = sums.Int(2), group_us = sums.Int(3);
+      if (connection_time_us == class_us && connection_time_us == group_us) continue;
+      Report(fmt::format("period {} is out of balance: lives {} us, rows {} us, groups {} us", sums.Int(0),
+                         connection_time_us, class_us, group_us));
+    }
+  }
+
+  Sql& database_;
+  const std::string& path_;
+  MetaTable meta_;
+  std::vector<std::string> findings_;
+};
+
+}  // namespace
+
+std::vector<std::string> VerifyDatabase(Sql& database, const std::string& path) {
+  const Transaction transaction(database, Transaction::Kind::kRead);
+  Verifier verifier(database, path);
+  try {
+    verifier.CheckAll();
+  } catch (const SqlError& e) {
+    verifier.Report(fmt::format("{}: {}", path, e.what()));
+  }
+  return verifier.findings();
+}
+
+}  // namespace stoatrun::ledger
--- a/src/ledger/io/usage_recorder.cpp
+++ b/src/ledger/io/usage_recorder.cpp
@@ -153,7 +153,7 @@
     fault_logged_at_ = loop_.Now();
     LogLine(Level::kError, "ledger store failed")
         .Why(result.why)
-        .Field("fault", NameOf(*result.fault))
+        .Field("fault", StoreErrorName(*result.fault))
         .Field("backlog_cells", BacklogCells())
         .Field("unkept_us", counts_.unrecorded_us);
   }
--- a/src/ledger/posting.cpp
+++ b/src/ledger/posting.cpp
@@ -43,7 +43,7 @@
   }
   into.number = from.number;
   into.period_start_s = from.period_start_s;
-  if (into.unrecorded_us == 0) into.unkept_from_wall_us = from.unkept_from_wall_us;
+  if (into.unrecorded_us == 0) into.unrecorded_from_wall_us = from.unrecorded_from_wall_us;
   into.unrecorded_us += from.unrecorded_us;
   into.wall_us = from.wall_us;
   into.connection_time_us += from.connection_time_us;
@@ -58,7 +58,7 @@
   bare.groups.clear();
   bare.connection_time_us = 0;
   bare.unrecorded_us = posting.unrecorded_us + posting.UseUs();
-  if (posting.unrecorded_us == 0) bare.unkept_from_wall_us = posting.wall_us;
+  if (posting.unrecorded_us == 0) bare.unrecorded_from_wall_us = posting.wall_us;
   if (bare.steps.size() > kMostSteps) bare.steps.resize(kMostSteps);
   return bare;
 }
--- a/src/ledger/posting.h
+++ b/src/ledger/posting.h
@@ -46,7 +46,7 @@
   std::vector<GroupUse> groups;
   std::vector<ClockStep> steps;
   // Use of stretches whose rows found no room in memory while the disk was away: told, never billed.
-  std::int64_t unrecorded_us = 0, unkept_from_wall_us = 0;
+  std::int64_t unrecorded_us = 0, unrecorded_from_wall_us = 0;
   std::uint64_t stretches = 1;  // So many were joined.
 
   std::int64_t UseUs() const;
