--- a/bench/ledger_bench.cpp
+++ b/bench/ledger_bench.cpp
@@ -49,7 +49,8 @@
   for (const auto& g : setup.groups) {
     for (std::size_t c = 0; c < 3; ++c) accounts.Begin(Micros(++now), g.name, c);
   }
-  for (auto _ : state) benchmark::DoNotOptimize(accounts.Take(Micros(now += 1000), false));
+  for (auto _ : state)
+    benchmark::DoNotOptimize(accounts.TakePostings(Micros(now += 1000), Accounts::CurrentPeriod::kContinues));
 }
 BENCHMARK(BM_Checkpoint)->Arg(4)->Arg(100);
 
@@ -120,7 +121,7 @@
       accounts.End(Micros(now), t);
       if (k % 58 != 0) continue;  // About 5 s. Postings of one period are joined, as on a slow disk.
       if (k % 5800 == 0) {
-        for (Posting& p : accounts.Take(Micros(now), false)) {
+        for (Posting& p : accounts.TakePostings(Micros(now), Accounts::CurrentPeriod::kContinues)) {
           p.number = ++number;
           store.Apply(p, accounts.OpenByGroup());
         }
--- a/src/ledger/accounts.cpp
+++ b/src/ledger/accounts.cpp
@@ -9,54 +9,59 @@
 namespace {
 
 constexpr std::int64_t kMilli = 1000;
+constexpr std::int64_t kMicrosPerSecond = 1'000'000;
 constexpr std::size_t kMaxGroupName = 64;
 
-// Rounded down also before 1970: a machine without a clock of its own starts there.
+// Rounds down, also before 1970: a machine without a battery-backed clock starts there.
 std::int64_t FloorTo(std::int64_t value, std::int64_t step) {
   const std::int64_t rest = value % step;
   return value - (rest < 0 ? rest + step : rest);
 }
 
+// The name under which a group is accounted, whatever a client gave.
+std::string AccountedName(std::string_view name) {
+  if (name.empty()) return kMissingGroup;
+  return IsName(name, kMaxGroupName) ? std::string(name) : kOtherGroups;
+}
+
 }  // namespace
 
 Accounts::Accounts(const AccountsSetup& setup, Micros now, Micros wall)
-    : setup_(setup), offset_(wall - now), latest_us_(now.count()) {
-  period_start_s_ = StartOf(wall);
-  for (const GroupSetup& g : setup_.groups) {
-    if (numbers_.try_emplace(g.name, static_cast<std::uint32_t>(groups_.size())).second) {
-      groups_.push_back({.name = g.name, .quota_milli = g.quota_milli, .settled_us = latest_us_});
-      row_of_.emplace_back(setup_.classes.size());
-    }
+    : setup_(setup), wall_offset_(wall - now), latest_us_(now.count()) {
+  period_start_s_ = PeriodStartAt(wall);
+  for (const GroupSetup& group : setup_.groups) {
+    if (!group_by_name_.contains(group.name)) AddGroup(group.name, group.quota_milli);
   }
 }
 
-std::int64_t Accounts::StartOf(Micros wall) const {
-  return FloorTo(wall.count(), setup_.period.count()) / 1'000'000;
+std::int64_t Accounts::PeriodStartAt(Micros wall) const {
+  return FloorTo(wall.count(), setup_.period.count()) / kMicrosPerSecond;
 }
 
-std::uint32_t Accounts::GroupNamed(std::string_view name) {
-  std::string key(name);
-  if (name.empty()) {
-    key = kMissingGroup;
-  } else if (!IsName(name, kMaxGroupName)) {
-    key = kOtherGroups;
-  }
-  auto it = numbers_.find(key);
-  if (it == numbers_.end() && key != kMissingGroup && key != kOtherGroups &&
-      unlisted_groups_++ >= setup_.max_unlisted_groups) {
-    unlisted_groups_ = setup_.max_unlisted_groups;
+std::uint32_t Accounts::AddGroup(const std::string& name, std::optional<std::int64_t> quota_milli) {
+  const auto index = static_cast<std::uint32_t>(groups_.size());
+  group_by_name_.emplace(name, index);
+  groups_.push_back({.name = name, .quota_milli = quota_milli, .settled_us = latest_us_});
+  row_of_.emplace_back(setup_.classes.size());
+  return index;
+}
+
+std::uint32_t Accounts::FindOrAddGroup(std::string_view name) {
+  std::string key = AccountedName(name);
+  auto it = group_by_name_.find(key);
+  if (it != group_by_name_.end()) return it->second;
+  const bool unlisted = key != kMissingGroup && key != kOtherGroups;
+  if (unlisted && unlisted_groups_ >= setup_.max_unlisted_groups) {
     key = kOtherGroups;
-    it = numbers_.find(key);
-  }
-  if (it == numbers_.end()) {
-    it = numbers_.emplace(key, static_cast<std::uint32_t>(groups_.size())).first;
-    groups_.push_back({.name = key, .quota_milli = std::nullopt, .settled_us = latest_us_});
-    row_of_.emplace_back(setup_.classes.size());
+    it = group_by_name_.find(key);
+    if (it != group_by_name_.end()) return it->second;
+  } else if (unlisted) {
+    ++unlisted_groups_;
   }
-  return it->second;
+  return AddGroup(key, std::nullopt);
 }
 
-std::uint32_t Accounts::RowOf(std::uint32_t group, std::size_t class_index) {
+std::uint32_t Accounts::FindOrAddRow(std::uint32_t group, std::size_t class_index) {
   std::uint32_t& row = row_of_[group].at(class_index);
   if (row == 0) {
     rows_.push_back(
@@ -71,8 +76,8 @@
   row.settled_us = now_us;
 }
 
-// Shares are in thousandths: what they leave of a microsecond is carried on, so that no long run of short
-// stretches loses any.
+// Quotas are in thousandths of a connection: the remainder of a microsecond is carried on, so that no long
+// run of short intervals loses any usage.
 void Accounts::Settle(Group& group, std::int64_t now_us) {
   const std::int64_t span = now_us - group.settled_us;
   group.settled_us = now_us;
@@ -82,9 +87,9 @@
     group.within_us += span * group.open;
     return;
   }
-  const std::int64_t within_milli = span * *group.quota_milli + group.carry_milli;
+  const std::int64_t within_milli = span * *group.quota_milli + group.within_remainder_milli;
   group.within_us += within_milli / kMilli;
-  group.carry_milli = within_milli % kMilli;
+  group.within_remainder_milli = within_milli % kMilli;
 }
 
 void Accounts::SettleAll(std::int64_t now_us) {
@@ -92,124 +97,135 @@
   for (Group& group : groups_) Settle(group, now_us);
 }
 
-UsageHandle Accounts::Begin(Micros now, std::string_view group, std::size_t class_index) {
+UsageHandle Accounts::Begin(Micros now, std::string_view group_name, std::size_t class_index) {
   Advance(now);
-  const std::uint32_t number = GroupNamed(group);
-  const std::uint32_t index = RowOf(number, class_index);
-  Row& row = rows_[index];
-  Group& g = groups_[number];
+  const std::uint32_t group_index = FindOrAddGroup(group_name);
+  const std::uint32_t row_index = FindOrAddRow(group_index, class_index);
+  Row& row = rows_[row_index];
+  Group& group = groups_[group_index];
   Settle(row, now.count());
-  Settle(g, now.count());
+  Settle(group, now.count());
   ++row.open;
   ++row.begun;
-  ++g.open;
-  g.peak = std::max(g.peak, g.open);
-  g.touched = true;
+  ++group.open;
+  group.peak = std::max(group.peak, group.open);
+  group.touched = true;
   ++open_;
-  since_sum_us_ += now.count();
-  return {now.count(), index, true};
+  open_since_sum_us_ += now.count();
+  return {now.count(), row_index, true};
 }
 
 void Accounts::End(Micros now, UsageHandle& handle) {
   if (!handle.open) return;
   Advance(now);
   Row& row = rows_[handle.row];
-  Group& g = groups_[row.group];
+  Group& group = groups_[row.group];
   Settle(row, now.count());
-  Settle(g, now.count());
+  Settle(group, now.count());
   handle.open = false;
-  if (row.open == 0) {  // Ended twice, by way of a copy: counted, and nothing is taken off.
+  if (row.open == 0) {  // Ended twice, by way of a copy: counted, and nothing is subtracted.
     ++double_ends_;
     return;
   }
   --row.open;
-  --g.open;
+  --group.open;
   --open_;
-  since_sum_us_ -= handle.since_us;
+  open_since_sum_us_ -= handle.since_us;
   ended_us_ += now.count() - handle.since_us;
 }
 
 void Accounts::Advance(Micros now) {
   for (;;) {
-    const std::int64_t end_us = period_start_s_ * 1'000'000 + setup_.period.count();
-    const std::int64_t border = end_us - offset_.count();
-    if (now.count() < border) break;
-    // A clock that was moved on by less than a step may put the border before what is already settled.
-    Cut(std::max(border, latest_us_), true);
-    period_start_s_ = end_us / 1'000'000;
+    const std::int64_t period_end_us = period_start_s_ * kMicrosPerSecond + setup_.period.count();
+    const std::int64_t boundary_us = period_end_us - wall_offset_.count();
+    if (now.count() < boundary_us) break;
+    // A wall clock that drifted ahead may put the boundary before what is already accounted.
+    Cut(std::max(boundary_us, latest_us_), CurrentPeriod::kEnds);
+    period_start_s_ = period_end_us / kMicrosPerSecond;
   }
   latest_us_ = now.count();
 }
 
-void Accounts::Cut(std::int64_t at_us, bool period_ended) {
+std::int64_t Accounts::ConnectionTimeUntil(std::int64_t at_us) const {
+  return ended_us_ + static_cast<std::int64_t>(open_) * at_us - open_since_sum_us_;
+}
+
+void Accounts::Cut(std::int64_t at_us, CurrentPeriod current) {
   SettleAll(at_us);
-  Posting p;
-  p.period_start_s = period_start_s_;
-  p.period_s = setup_.period.count() / 1'000'000;
-  p.wall_us = at_us + offset_.count();
-  p.period_ended = period_ended;
-  p.steps = std::exchange(steps_, {});
-  const std::int64_t lives = ended_us_ + static_cast<std::int64_t>(open_) * at_us - since_sum_us_;
-  p.connection_time_us = lives - std::exchange(posted_connection_time_us_, lives);
-  std::vector<std::size_t> place(groups_.size());
+  Posting posting;
+  posting.period_start_s = period_start_s_;
+  posting.period_s = setup_.period.count() / kMicrosPerSecond;
+  posting.wall_us = at_us + wall_offset_.count();
+  posting.period_ended = current == CurrentPeriod::kEnds;
+  posting.steps = std::exchange(steps_, {});
+  const std::int64_t connection_time_us = ConnectionTimeUntil(at_us);
+  posting.connection_time_us =
+      connection_time_us - std::exchange(posted_connection_time_us_, connection_time_us);
+  posting.groups = TakeUsage();
+  posted_row_time_us_ += posting.UseUs();
+  ready_.push_back(std::move(posting));
+}
+
+std::vector<GroupUse> Accounts::TakeUsage() {
+  std::vector<GroupUse> usage;
+  std::vector<std::size_t> place(groups_.size());  // In `usage`, of each group that is listed.
   for (std::size_t k = 0; k < groups_.size(); ++k) {
-    Group& g = groups_[k];
-    if (!g.touched && g.use_us == 0) continue;
-    place[k] = p.groups.size() + 1;
-    p.groups.push_back({g.name,
-                        std::exchange(g.use_us, 0),
-                        std::exchange(g.within_us, 0),
-                        g.quota_milli.value_or(-1),
-                        g.peak,
-                        {}});
-    g.peak = g.open;
-    g.touched = false;
-    posted_row_time_us_ += p.groups.back().use_us;
+    Group& group = groups_[k];
+    if (!group.touched && group.use_us == 0) continue;
+    place[k] = usage.size();
+    usage.push_back({group.name,
+                     std::exchange(group.use_us, 0),
+                     std::exchange(group.within_us, 0),
+                     group.quota_milli.value_or(-1),
+                     group.peak,
+                     {}});
+    group.peak = group.open;
+    group.touched = false;
   }
   for (Row& row : rows_) {
     if (row.use_us == 0 && row.begun == 0) continue;
-    p.groups[place[row.group] - 1].classes.push_back(
+    usage[place[row.group]].classes.push_back(
         {setup_.classes[row.class_index], std::exchange(row.use_us, 0), std::exchange(row.begun, 0U)});
   }
-  ready_.push_back(std::move(p));
+  return usage;
 }
 
-void Accounts::Tick(Micros now, Micros wall) {
+void Accounts::OnClockReading(Micros now, Micros wall) {
   Advance(now);
   const Micros expected = WallAt(now);
-  const Micros off = wall - expected;
-  offset_ = wall - now;
-  if (off <= kSlack && off >= -kSlack) return;
+  const Micros difference = wall - expected;
+  wall_offset_ = wall - now;
+  if (difference <= kClockStepThreshold && difference >= -kClockStepThreshold) return;
   steps_.push_back({expected.count(), wall.count()});
-  const std::int64_t start = StartOf(wall);
-  if (start == period_start_s_) return;
-  Cut(now.count(), true);
-  period_start_s_ = start;
+  const std::int64_t start_s = PeriodStartAt(wall);
+  if (start_s == period_start_s_) return;
+  Cut(now.count(), CurrentPeriod::kEnds);
+  period_start_s_ = start_s;
 }
 
-std::vector<Posting> Accounts::Take(Micros now, bool leave) {
+std::vector<Posting> Accounts::TakePostings(Micros now, CurrentPeriod current) {
   Advance(now);
-  Cut(now.count(), leave);
+  Cut(now.count(), current);
   return std::exchange(ready_, {});
 }
 
-Accounts::Sums Accounts::Check(Micros now) {
+Accounts::Sums Accounts::ComputeSums(Micros now) {
   Advance(now);
   SettleAll(now.count());
   Sums sums;
   sums.double_ends = double_ends_;
   sums.row_time_us = posted_row_time_us_;
   for (const Row& row : rows_) sums.row_time_us += row.use_us;
-  sums.connection_time_us = ended_us_ + static_cast<std::int64_t>(open_) * now.count() - since_sum_us_;
+  sums.connection_time_us = ConnectionTimeUntil(now.count());
   return sums;
 }
 
-std::vector<std::pair<std::string, std::uint32_t>> Accounts::OpenByGroup() const {
-  std::vector<std::pair<std::string, std::uint32_t>> open;
-  for (const Group& g : groups_) {
-    if (g.open > 0) open.emplace_back(g.name, g.open);
+OpenCounts Accounts::OpenByGroup() const {
+  OpenCounts counts;
+  for (const Group& group : groups_) {
+    if (group.open > 0) counts.push_back({group.name, group.open});
   }
-  return open;
+  return counts;
 }
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/io/store.h
+++ b/src/ledger/io/store.h
@@ -62,9 +62,6 @@
   std::uint64_t open_periods = 0;
 };
 
-// Open connections by group name, for the bound on what a crash leaves unattested.
-using OpenCounts = std::vector<std::pair<std::string, std::uint32_t>>;
-
 // See the comment at the top of this file.
 class Store {
  public:
--- a/src/ledger/io/usage_recorder.cpp
+++ b/src/ledger/io/usage_recorder.cpp
@@ -6,11 +6,13 @@
 namespace stoatrun::ledger {
 namespace {
 
-constexpr std::size_t kJobs = 8;
-constexpr Micros kFaultLogInterval =
-    std::chrono::minutes(1);  // A fault that goes on is logged no more often.
+using std::chrono::milliseconds;
+using std::chrono::steady_clock;
+
+constexpr std::size_t kMaxQueuedJobs = 8;
+constexpr Micros kErrorLogInterval = std::chrono::minutes(1);  // A persistent error is logged no more often.
 constexpr Micros kMaxClockInterval =
-    std::chrono::seconds(1);  // A step of the clock is placed to this precision.
+    std::chrono::seconds(1);  // A step of the clock is placed this precisely.
 
 }  // namespace
 
@@ -20,9 +22,9 @@
       wall_(std::move(wall)),
       accounts_(setup.accounts, loop.Now(), wall_()),
       start_{accounts_.WallAt(loop.Now()).count(), accounts_.PeriodStart()},
-      checkpoint_(loop.timers, [this] { Due(); }),
-      worker_(loop.native_handle(), kJobs) {
-  Due();
+      timer_(loop.timers, [this] { OnTimer(); }),
+      worker_(loop.native_handle(), kMaxQueuedJobs) {
+  OnTimer();
 }
 
 UsageRecorder::~UsageRecorder() = default;
@@ -37,20 +39,20 @@
   accounts_.End(loop_.Now(), handle);
 }
 
-void UsageRecorder::Due() {
-  accounts_.Tick(loop_.Now(), wall_());
-  const bool period_done = accounts_.PeriodDone(loop_.Now());
-  if (period_done || loop_.Now() >= next_checkpoint_) {
+void UsageRecorder::OnTimer() {
+  accounts_.OnClockReading(loop_.Now(), wall_());
+  const bool period_ended = accounts_.HasEndedPeriod(loop_.Now());
+  if (period_ended || loop_.Now() >= next_checkpoint_) {
     next_checkpoint_ = loop_.Now() + setup_.checkpoint;
     CollectPostings();
-    SubmitBacklog(false);
+    SubmitBacklog(std::nullopt);
   }
-  checkpoint_.Set(std::min(next_checkpoint_, loop_.Now() + kMaxClockInterval));
+  timer_.Set(std::min(next_checkpoint_, loop_.Now() + kMaxClockInterval));
 }
 
 bool UsageRecorder::CheckBalance() {
-  const auto sums = accounts_.Check(loop_.Now());
-  if (sums.Balance()) return true;
+  const auto sums = accounts_.ComputeSums(loop_.Now());
+  if (sums.AreBalanced()) return true;
   ++counts_.imbalances;
   LogLine(Level::kError, "ledger out of balance")
       .Field("booked_us", sums.row_time_us)
@@ -61,152 +63,158 @@
 
 void UsageRecorder::CollectPostings() {
   CheckBalance();
-  for (Posting& p : accounts_.Take(loop_.Now(), false)) {
-    for (const ClockStep& s : p.steps) {
+  for (Posting& posting : accounts_.TakePostings(loop_.Now(), Accounts::CurrentPeriod::kContinues)) {
+    for (const ClockStep& step : posting.steps) {
       ++counts_.clock_steps;
       LogLine(Level::kWarn, "ledger clock step")
-          .Field("from_wall_us", s.from_wall_us)
-          .Field("to_wall_us", s.to_wall_us);
+          .Field("from_wall_us", step.from_wall_us)
+          .Field("to_wall_us", step.to_wall_us);
     }
-    Keep(std::move(p));
+    Enqueue(std::move(posting));
   }
 }
 
-// Stretches of one period are joined while they wait. What is with the worker stays as it is: its number says
-// what it holds.
-void UsageRecorder::Keep(Posting posting) {
+// Postings of one period are merged while they wait. A submitted one must not change any more: its number
+// stands for its contents.
+void UsageRecorder::Enqueue(Posting posting) {
   Posting* last = backlog_.size() > submitted_ ? &backlog_.back() : nullptr;
-  const bool one_period =
+  const bool same_period =
       last != nullptr && last->period_start_s == posting.period_start_s && !last->period_ended;
-  const bool has_room = BacklogCells() + posting.Cells() <= setup_.max_backlog_cells;
-  if (one_period && (has_room || last->groups.size() >= posting.groups.size())) return Join(*last, posting);
-  if (has_room) return backlog_.push_back(std::move(posting));
+  const bool fits = BacklogCells() + posting.Cells() <= setup_.max_backlog_cells;
+  if (same_period && (fits || last->groups.size() >= posting.groups.size())) {
+    MergePosting(*last, posting);
+    return;
+  }
+  if (fits) {
+    backlog_.push_back(std::move(posting));
+    return;
+  }
   counts_.unrecorded_us += posting.UseUs();
-  const Posting bare = WithoutRows(posting);
-  if (last != nullptr && last->groups.empty()) return Join(*last, bare);
-  backlog_.push_back(bare);
+  const Posting bare = WithoutUsage(posting);
+  if (last != nullptr && last->groups.empty()) {
+    MergePosting(*last, bare);
+  } else {
+    backlog_.push_back(bare);
+  }
 }
 
 std::size_t UsageRecorder::BacklogCells() const {
   std::size_t cells = 0;
-  for (const Posting& p : backlog_) cells += p.Cells();
+  for (const Posting& posting : backlog_) cells += posting.Cells();
   return cells;
 }
 
-void UsageRecorder::SubmitBacklog(bool ending) {
+// A full queue of the worker is like a disk that is away: everything stays in the backlog.
+void UsageRecorder::SubmitBacklog(std::optional<std::int64_t> end_wall_us) {
   if (job_pending_ || ended_) return;
   for (std::size_t k = submitted_; k < backlog_.size(); ++k) backlog_[k].number = next_number_++;
   submitted_ = backlog_.size();
-  const std::vector<Posting> postings(backlog_.begin(), backlog_.end());
-  const std::int64_t wall_us = accounts_.WallAt(loop_.Now()).count();
-  const auto job = [this, disk = disk_, setup = setup_.store, postings, open = accounts_.OpenByGroup(),
-                    began = start_, wall_us, ending]() -> BackgroundWorker::Reply {
-    const Result result = WriteToStore(*disk, setup, postings, open, began, wall_us, ending);
-    return [this, result] { Take(result); };
-  };
-  job_pending_ = worker_.Post(job);  // A full queue is as a disk that is away: it all stays in the backlog.
+  const WriteJob job{
+      setup_.store, {backlog_.begin(), backlog_.end()}, accounts_.OpenByGroup(), start_, end_wall_us};
+  job_pending_ = worker_.Post([this, disk = disk_, job]() -> BackgroundWorker::Reply {
+    const WriteResult result = Write(*disk, job);
+    return [this, result] { OnWritten(result); };
+  });
 }
 
-UsageRecorder::Result UsageRecorder::WriteToStore(Disk& disk, const StoreSetup& setup,
-                                                  const std::vector<Posting>& postings,
-                                                  const OpenCounts& open, const Moment& began,
-                                                  std::int64_t wall_us, bool ending) {
-  Result result;
+// The run continues if the disk went away and came back; a new file begins one.
+void UsageRecorder::OpenStore(Disk& disk, const WriteJob& job) {
+  disk.store.emplace(job.setup);
+  if (disk.run != 0 && disk.store->ResumeRun(disk.run)) return;
+  disk.run = disk.store->BeginRun(job.start.wall_us, job.start.period_start_s);
+}
+
+UsageRecorder::WriteResult UsageRecorder::Write(Disk& disk, const WriteJob& job) {
+  WriteResult result;
   try {
-    if (!disk.store) {
-      disk.store.emplace(setup);
-      // The run goes on where the disk went away and came back; a new file begins one.
-      if (disk.run == 0 || !disk.store->ResumeRun(disk.run)) {
-        disk.run = disk.store->BeginRun(began.wall_us, began.period_start_s);
-      }
+    if (!disk.store) OpenStore(disk, job);
+    for (const Posting& posting : job.postings) {
+      result.next_uncertain = true;
+      disk.store->Apply(posting, job.open);
+      result.next_uncertain = false;
+      ++result.written;
     }
-    for (const Posting& p : postings) {
-      result.tried_next = true;
-      disk.store->Apply(p, open);
-      result.tried_next = false;
-      ++result.kept;
-    }
-    if (ending) disk.store->EndRun(wall_us);
+    if (job.end_wall_us) disk.store->EndRun(*job.end_wall_us);
     result.state = disk.store->State();
   } catch (const StoreError& e) {
-    result.fault = e.code;
-    result.why = e.what();
+    result.error = e.code;
+    result.reason = e.what();
     disk.store.reset();
   }
   return result;
 }
 
-void UsageRecorder::Take(const Result& result) {
+void UsageRecorder::OnWritten(const WriteResult& result) {
   job_pending_ = false;
-  backlog_.erase(backlog_.begin(), backlog_.begin() + static_cast<std::ptrdiff_t>(result.kept));
-  // What the store has not seen may still be joined and numbered anew.
-  submitted_ = result.tried_next ? 1 : 0;
-  if (!result.fault) {
-    ++counts_.checkpoints;
-    if (fault_) LogLine(Level::kInfo, "ledger store is back,").Field("backlog_cells", BacklogCells());
-    fault_.reset();
-    if (on_state_) on_state_(result.state);
-    return;
-  }
+  backlog_.erase(backlog_.begin(), backlog_.begin() + static_cast<std::ptrdiff_t>(result.written));
+  // What the store has not seen may still be merged and numbered anew.
+  submitted_ = result.next_uncertain ? 1 : 0;
+  if (result.error) return LogStoreFailure(result);
+  ++counts_.checkpoints;
+  if (last_error_) LogLine(Level::kInfo, "ledger store is back,").Field("backlog_cells", BacklogCells());
+  last_error_.reset();
+  if (on_state_) on_state_(result.state);
+}
+
+void UsageRecorder::LogStoreFailure(const WriteResult& result) {
   ++counts_.store_failures;
-  if (fault_ != result.fault || loop_.Now() >= fault_logged_at_ + kFaultLogInterval) {
-    fault_logged_at_ = loop_.Now();
+  if (last_error_ != result.error || loop_.Now() >= error_logged_at_ + kErrorLogInterval) {
+    error_logged_at_ = loop_.Now();
     LogLine(Level::kError, "ledger store failed")
-        .Why(result.why)
-        .Field("fault", StoreErrorName(*result.fault))
+        .Why(result.reason)
+        .Field("fault", StoreErrorName(*result.error))
         .Field("backlog_cells", BacklogCells())
         .Field("unkept_us", counts_.unrecorded_us);
   }
-  fault_ = result.fault;
+  last_error_ = result.error;
 }
 
 bool UsageRecorder::WithStore(std::function<void(Store&)> job, std::function<void(bool ok)> reply) {
   return worker_.Post(
       [disk = disk_, job = std::move(job), reply = std::move(reply)]() -> BackgroundWorker::Reply {
         bool ok = false;
-        std::string why = "there is no store";
+        std::string reason = "there is no store";
         try {
           if (disk->store) {
             job(*disk->store);
             ok = true;
           }
         } catch (const StoreError& e) {
-          why = e.what();
+          reason = e.what();
         }
-        return [reply, ok, why] {
-          if (!ok) LogLine(Level::kWarn, "ledger store call failed").Why(why);
+        return [reply, ok, reason] {
+          if (!ok) LogLine(Level::kWarn, "ledger store call failed").Why(reason);
           reply(ok);
         };
       });
 }
 
-bool UsageRecorder::Finish(std::chrono::milliseconds bound) {
-  checkpoint_.Cancel();
-  const auto begun = std::chrono::steady_clock::now();
-  const auto left = [&] {
-    return bound -
-           std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - begun);
+bool UsageRecorder::Finish(milliseconds timeout) {
+  timer_.Cancel();
+  const auto begun = steady_clock::now();
+  const auto remaining = [&] {
+    return timeout - std::chrono::duration_cast<milliseconds>(steady_clock::now() - begun);
   };
-  bool there = worker_.Finish(bound);
-  if (there) {
+  bool worker_finished = worker_.Finish(timeout);
+  if (worker_finished) {
     CollectPostings();
-    SubmitBacklog(true);
-    there = worker_.Finish(std::max(left(), std::chrono::milliseconds(0)));
+    SubmitBacklog(accounts_.WallAt(loop_.Now()).count());
+    worker_finished = worker_.Finish(std::max(remaining(), milliseconds(0)));
   }
   ended_ = true;
-  if (there && backlog_.empty()) return true;
-  std::int64_t lost = 0;
-  for (const Posting& p : backlog_) lost += p.UseUs() + p.unrecorded_us;
+  if (worker_finished && backlog_.empty()) return true;
+  std::int64_t lost_us = 0;
+  for (const Posting& posting : backlog_) lost_us += posting.UseUs() + posting.unrecorded_us;
   LogLine(Level::kError, "ledger ends with use that was not kept,")
-      .Field("use_us", lost)
+      .Field("use_us", lost_us)
       .Field("postings", backlog_.size());
-  return there;
+  return worker_finished;
 }
 
 void UsageRecorder::AddFields(LogLine& record) const {
   record.Field("ledger_begun", counts_.begun)
       .Field("ledger_ended", counts_.ended)
-      .Field("ledger_open", accounts_.Open())
+      .Field("ledger_open", accounts_.OpenConnections())
       .Field("ledger_checkpoints", counts_.checkpoints)
       .Field("ledger_store_failures", counts_.store_failures)
       .Field("ledger_backlog_cells", BacklogCells())
--- a/tests/ledger/accounts_test.cpp
+++ b/tests/ledger/accounts_test.cpp
@@ -117,19 +117,20 @@
           }
           break;
         case 3:
-          ledgers.Add(accounts.Take(now, false));
+          ledgers.Add(accounts.TakePostings(now, Accounts::CurrentPeriod::kContinues));
           break;
         default: {  // Steps of up to three hours either way; under the slack it is no step.
           std::int64_t step = *rc::gen::inRange<std::int64_t>(-10'800'000'000, 10'800'000'000);
-          if (step <= Accounts::kSlack.count() && step >= -Accounts::kSlack.count()) step = 1'000'000;
+          if (step <= Accounts::kClockStepThreshold.count() && step >= -Accounts::kClockStepThreshold.count())
+            step = 1'000'000;
           offset += step;
-          accounts.Tick(now, Micros(now.count() + offset));
+          accounts.OnClockReading(now, Micros(now.count() + offset));
           break;
         }
       }
-      RC_ASSERT(accounts.Check(now).Balance());
+      RC_ASSERT(accounts.ComputeSums(now).AreBalanced());
     }
-    ledgers.Add(accounts.Take(now, true));
+    ledgers.Add(accounts.TakePostings(now, Accounts::CurrentPeriod::kEnds));
     std::erase_if(ledgers.rows, [](const auto& r) { return r.second == 0; });
     std::erase_if(naive.rows, [](const auto& r) { return r.second == 0; });
     RC_ASSERT(ledgers.rows == naive.rows);
@@ -150,7 +151,8 @@
   Accounts accounts(Setup(), kStart, kWall + seconds(30));
   UsageHandle t = accounts.Begin(kStart, "garden", 0);
   accounts.End(kStart + seconds(100) + Micros(7), t);
-  const auto postings = accounts.Take(kStart + seconds(100) + Micros(7), false);
+  const auto postings =
+      accounts.TakePostings(kStart + seconds(100) + Micros(7), Accounts::CurrentPeriod::kContinues);
   REQUIRE(postings.size() == 3);
   CHECK(postings[0].UseUs() == 30'000'000);
   CHECK(postings[0].period_ended);
@@ -164,9 +166,9 @@
   const auto by = GENERATE(hours(3), hours(-3), hours(24 * 400));
   Accounts accounts(Setup(), kStart, kWall + seconds(10));
   UsageHandle t = accounts.Begin(kStart, "garden", 1);
-  accounts.Tick(kStart + seconds(20), kWall + seconds(30) + by);
+  accounts.OnClockReading(kStart + seconds(20), kWall + seconds(30) + by);
   accounts.End(kStart + seconds(25), t);
-  const auto postings = accounts.Take(kStart + seconds(25), false);
+  const auto postings = accounts.TakePostings(kStart + seconds(25), Accounts::CurrentPeriod::kContinues);
   REQUIRE(postings.size() == 2);
   CHECK(postings[0].period_start_s == 1'800'000'000);
   CHECK(postings[0].UseUs() == 20'000'000);
@@ -179,10 +181,11 @@
 TEST_CASE("a clock that drifts moves the borders and is no step") {
   Accounts accounts(Setup(), kStart, kWall);
   UsageHandle t = accounts.Begin(kStart, "garden", 0);
-  for (int k = 1; k <= 600; ++k) accounts.Tick(kStart + milliseconds(100 * k), kWall + milliseconds(99 * k));
+  for (int k = 1; k <= 600; ++k)
+    accounts.OnClockReading(kStart + milliseconds(100 * k), kWall + milliseconds(99 * k));
   accounts.End(kStart + seconds(60), t);
   Books ledgers;
-  ledgers.Add(accounts.Take(kStart + seconds(60), false));
+  ledgers.Add(accounts.TakePostings(kStart + seconds(60), Accounts::CurrentPeriod::kContinues));
   CHECK(ledgers.steps == 0);
   CHECK(ledgers.lives == 60'000'000);
   CHECK(ledgers.use[{1'800'000'000, "garden"}] == 60'000'000);  // 59.4 s by the wall.
@@ -197,12 +200,12 @@
   }
   handles.push_back(accounts.Begin(kStart, endless, 0));
   Books ledgers;
-  ledgers.Add(accounts.Take(kStart + seconds(1), false));
+  ledgers.Add(accounts.TakePostings(kStart + seconds(1), Accounts::CurrentPeriod::kContinues));
   CHECK(ledgers.use[{1'800'000'000, "raptor"}] == 1'000'000);
   CHECK(ledgers.use[{1'800'000'000, "owls"}] == 1'000'000);
   CHECK(ledgers.use[{1'800'000'000, kMissingGroup}] == 1'000'000);
   CHECK(ledgers.use[{1'800'000'000, kOtherGroups}] == 4'000'000);
-  CHECK(accounts.Rows() == 4);
+  CHECK(accounts.RowCount() == 4);
 }
 
 TEST_CASE("the check tells what broke") {
@@ -211,11 +214,11 @@
   UsageHandle copy = t;
   accounts.End(kStart + seconds(1), t);
   accounts.End(kStart + seconds(2), t);  // A handle that is not open is passed by.
-  CHECK(accounts.Check(kStart + seconds(3)).Balance());
+  CHECK(accounts.ComputeSums(kStart + seconds(3)).AreBalanced());
   UsageHandle other = accounts.Begin(kStart + seconds(3), "garden", 1);
   accounts.End(kStart + seconds(5), copy);  // Ended twice, by way of a copy.
   accounts.End(kStart + seconds(6), other);
-  CHECK_FALSE(accounts.Check(kStart + seconds(7)).Balance());
+  CHECK_FALSE(accounts.ComputeSums(kStart + seconds(7)).AreBalanced());
 }
 
 }  // namespace
