--- a/src/ledger/io/export_file.cpp
+++ b/src/ledger/io/export_file.cpp
@@ -18,180 +18,222 @@
 namespace stoatrun::ledger {
 namespace {
 
-constexpr std::size_t kWriteAtOnce = std::size_t{1} << 20U;
-constexpr std::size_t kReadAtOnce = std::size_t{1} << 18U;
+constexpr std::size_t kWriteBufferSize = std::size_t{1} << 20U;
+constexpr std::size_t kReadBufferSize = std::size_t{1} << 18U;
 constexpr std::size_t kMaxLineSize = std::size_t{1} << 20U;  // A record's line is a few hundred bytes.
+constexpr mode_t kFileMode = 0644;
 
-[[noreturn]] void FailOf(const std::string& path) {
+// Throws the error of the system call that just failed.
+[[noreturn]] void ThrowErrno(const std::string& path) {
   throw std::runtime_error(path + ": " +
                            std::strerror(errno));  // NOLINT(concurrency-mt-unsafe): glibc's is safe.
 }
 
+// An open file or folder; every function throws std::runtime_error.
 class File {
  public:
-  File(const std::string& path, int flags) : path_(path), fd_(open(path.c_str(), flags | O_CLOEXEC, 0644)) {
-    if (fd_ < 0) FailOf(path);
-  }
-  ~File() {
-    if (fd_ >= 0) close(fd_);
+  File(const std::string& path, int flags)
+      : path_(path), fd_(open(path.c_str(), flags | O_CLOEXEC, kFileMode)) {
+    if (fd_ < 0) ThrowErrno(path);
   }
+  ~File() { close(fd_); }
   File(const File&) = delete;
   File& operator=(const File&) = delete;
 
   void Write(std::string_view text) {
     while (!text.empty()) {
-      const ssize_t n = write(fd_, text.data(), text.size());
-      if (n < 0 && errno == EINTR) continue;
-      if (n < 0) FailOf(path_);
-      text.remove_prefix(static_cast<std::size_t>(n));
+      const ssize_t written = write(fd_, text.data(), text.size());
+      if (written < 0 && errno == EINTR) continue;
+      if (written < 0) ThrowErrno(path_);
+      text.remove_prefix(static_cast<std::size_t>(written));
     }
   }
   std::size_t Read(char* to, std::size_t size) {
     for (;;) {
-      const ssize_t n = read(fd_, to, size);
-      if (n >= 0) return static_cast<std::size_t>(n);
-      if (errno != EINTR) FailOf(path_);
+      const ssize_t bytes = read(fd_, to, size);
+      if (bytes >= 0) return static_cast<std::size_t>(bytes);
+      if (errno != EINTR) ThrowErrno(path_);
     }
   }
   void Sync() {
-    if (fsync(fd_) != 0) FailOf(path_);
+    if (fsync(fd_) != 0) ThrowErrno(path_);
   }
 
  private:
   const std::string path_;
-  int fd_;
+  const int fd_;
 };
 
-struct Part {
+// One relay's ledger.
+struct LedgerKey {
+  std::string relay, ledger_id;
+
+  auto operator<=>(const LedgerKey&) const = default;
+};
+
+// One of the files of a ledger's export.
+struct ExportPart {
   std::uint64_t first_seq = 0;
   std::string path;
-  bool operator<(const Part& o) const { return std::tie(first_seq, path) < std::tie(o.first_seq, o.path); }
+
+  auto operator<=>(const ExportPart&) const = default;
+};
+
+// One ledger's export.
+struct LedgerExport {
+  LedgerKey ledger;
+  std::vector<ExportPart> parts;  // In order of their first records.
 };
 
 std::string FirstLine(const std::string& path) {
   File in(path, O_RDONLY);
-  std::string text(kReadAtOnce, '\0');
+  std::string text(kReadBufferSize, '\0');
   std::size_t size = 0;
   while (size < text.size()) {
-    const std::size_t n = in.Read(text.data() + size, text.size() - size);
-    size += n;
-    if (n == 0 || std::string_view(text.data(), size).find('\n') != std::string_view::npos) break;
+    const std::size_t bytes = in.Read(text.data() + size, text.size() - size);
+    size += bytes;
+    if (bytes == 0 || std::string_view(text.data(), size).find('\n') != std::string_view::npos) break;
   }
   text.resize(size);
   return text.substr(0, text.find('\n'));
 }
 
+// The files of `paths`, and the *.jsonl files of those that are folders.
+std::set<std::string> ListFiles(const std::vector<std::string>& paths) {
+  namespace fs = std::filesystem;
+  std::set<std::string> files;
+  for (const std::string& path : paths) {
+    if (!fs::is_directory(path)) {
+      files.insert(path);
+      continue;
+    }
+    for (const auto& entry : fs::directory_iterator(path)) {
+      if (entry.path().extension() == ".jsonl") files.insert(entry.path());
+    }
+  }
+  return files;
+}
+
+// Sorts files by the ledger they are of. Those that are no exports go into the report.
+std::vector<LedgerExport> GroupByLedger(const std::set<std::string>& files, ReconcileReport& report) {
+  std::map<LedgerKey, std::vector<ExportPart>> parts_by_ledger;
+  for (const std::string& file : files) {
+    try {
+      const FileHead head = ReadHead(FirstLine(file));
+      parts_by_ledger[{head.relay, head.ledger_id}].push_back({head.first_seq, file});
+    } catch (const std::runtime_error& e) {
+      ++report.files;
+      report.Add({file, 1, 0, e.what()});
+    }
+  }
+  std::vector<LedgerExport> exports;
+  for (auto& [ledger, parts] : parts_by_ledger) {
+    std::sort(parts.begin(), parts.end());
+    exports.push_back({ledger, std::move(parts)});
+  }
+  return exports;
+}
+
+void ReadExport(const LedgerExport& ledger_export, ReconcileReport& report) {
+  ExportReader reader(ledger_export.ledger.relay, ledger_export.ledger.ledger_id, report);
+  for (const ExportPart& part : ledger_export.parts) {
+    reader.BeginFile(part.path);
+    try {
+      EachLine(part.path, [&](std::string_view line) { reader.ReadLine(line); });
+      reader.EndFile();
+    } catch (const std::runtime_error& e) {
+      report.Add({part.path, 0, 0, e.what()});
+    }
+  }
+}
+
+// Reads each export on one of `threads` threads. Returns a report for each thread.
+std::vector<ReconcileReport> ReadInParallel(const std::vector<LedgerExport>& exports, unsigned threads) {
+  std::atomic<std::size_t> next = 0;
+  std::vector<ReconcileReport> reports(std::max(1U, threads));
+  std::vector<std::thread> pool;
+  pool.reserve(reports.size());
+  for (ReconcileReport& report : reports) {
+    pool.emplace_back([&exports, &next, &report] {
+      for (std::size_t k = 0; (k = next++) < exports.size();) ReadExport(exports[k], report);
+    });
+  }
+  for (std::thread& thread : pool) thread.join();
+  return reports;
+}
+
+void WriteRecords(Store& store, File& out, ExportTrailer& trailer) {
+  std::string buffer;
+  store.EachRecord(trailer.from, [&](const StoredRecord& record) {
+    if (record.seq != trailer.to + 1) {
+      throw std::runtime_error(fmt::format("record {} is missing in the ledger", trailer.to + 1));
+    }
+    buffer += record.line;
+    trailer.to = record.seq;
+    trailer.head = record.hash;
+    if (buffer.size() < kWriteBufferSize) return;
+    out.Write(buffer);
+    buffer.clear();
+  });
+  out.Write(buffer + MakeTrailer(trailer));
+}
+
 }  // namespace
 
 ExportTrailer WriteExport(Store& store, std::uint64_t from_seq, const std::string& path) {
-  const std::string beside = fmt::format("{}.{}.part", path, getpid());
+  const std::string temporary = fmt::format("{}.{}.part", path, getpid());
   const StoreState state = store.State();
-  ExportTrailer end{state.relay, state.ledger_id, from_seq, from_seq - 1, FirstHash()};
+  ExportTrailer trailer{state.relay, state.ledger_id, from_seq, from_seq - 1, FirstHash()};
   try {
-    File out(beside, O_WRONLY | O_CREAT | O_TRUNC);
-    std::string text;
-    store.EachRecord(from_seq, [&](const StoredRecord& r) {
-      if (r.seq != end.to + 1)
-        throw std::runtime_error(fmt::format("record {} is missing in the ledger", end.to + 1));
-      text += r.line;
-      end.to = r.seq;
-      end.head = r.hash;
-      if (text.size() < kWriteAtOnce) return;
-      out.Write(text);
-      text.clear();
-    });
-    out.Write(text + MakeTrailer(end));
+    File out(temporary, O_WRONLY | O_CREAT | O_TRUNC);
+    WriteRecords(store, out, trailer);
     out.Sync();
-    if (rename(beside.c_str(), path.c_str()) != 0) FailOf(path);
+    if (rename(temporary.c_str(), path.c_str()) != 0) ThrowErrno(path);
   } catch (...) {
-    unlink(beside.c_str());
+    unlink(temporary.c_str());
     throw;
   }
+  // The folder's entry must be as durable as the file's bytes.
   const std::string folder = std::filesystem::path(path).parent_path();
-  File(folder.empty() ? "." : folder, O_RDONLY | O_DIRECTORY).Sync();  // The name must last as the bytes do.
-  return end;
+  File(folder.empty() ? "." : folder, O_RDONLY | O_DIRECTORY).Sync();
+  return trailer;
 }
 
 void EachLine(const std::string& path, const std::function<void(std::string_view)>& each) {
   File in(path, O_RDONLY);
-  std::vector<char> buffer(kReadAtOnce + simdjson::SIMDJSON_PADDING);
+  std::vector<char> buffer(kReadBufferSize + simdjson::SIMDJSON_PADDING);
   std::size_t size = 0;
   for (;;) {
     if (size + simdjson::SIMDJSON_PADDING == buffer.size()) {
       if (size >= kMaxLineSize) throw std::runtime_error(path + ": a line of over 1 MiB");
       buffer.resize(2 * buffer.size());
     }
-    const std::size_t n = in.Read(buffer.data() + size, buffer.size() - simdjson::SIMDJSON_PADDING - size);
-    size += n;
-    std::string_view left(buffer.data(), size);
-    for (std::size_t end = 0; (end = left.find('\n')) != std::string_view::npos;
-         left.remove_prefix(end + 1)) {
-      each(left.substr(0, end + 1));
+    const std::size_t bytes =
+        in.Read(buffer.data() + size, buffer.size() - simdjson::SIMDJSON_PADDING - size);
+    size += bytes;
+    std::string_view rest(buffer.data(), size);
+    for (std::size_t end = 0; (end = rest.find('\n')) != std::string_view::npos;
+         rest.remove_prefix(end + 1)) {
+      each(rest.substr(0, end + 1));
     }
-    if (n == 0) {
-      if (!left.empty()) each(left);
+    if (bytes == 0) {
+      if (!rest.empty()) each(rest);
       return;
     }
-    std::memmove(buffer.data(), left.data(), left.size());
-    size = left.size();
+    std::memmove(buffer.data(), rest.data(), rest.size());
+    size = rest.size();
   }
 }
 
 ReconcileReport ReconcileFiles(const std::vector<std::string>& paths, unsigned threads) {
-  namespace fs = std::filesystem;
-  std::set<std::string> files;
-  ReconcileReport all;
-  for (const std::string& path : paths) {
-    if (!fs::is_directory(path)) {
-      files.insert(path);
-      continue;
-    }
-    for (const auto& entry : fs::directory_iterator(path)) {
-      if (entry.path().extension() == ".jsonl") files.insert(entry.path());
-    }
-  }
-  std::map<std::pair<std::string, std::string>, std::vector<Part>> ledgers;
+  ReconcileReport report;
+  const std::vector<LedgerExport> exports = GroupByLedger(ListFiles(paths), report);
   std::set<std::string> relays;
-  for (const std::string& file : files) {
-    try {
-      const FileHead head = ReadHead(FirstLine(file));
-      ledgers[{head.relay, head.ledger_id}].push_back({head.first_seq, file});
-      relays.insert(head.relay);
-    } catch (const std::runtime_error& e) {
-      ++all.files;
-      all.Add({file, 1, 0, e.what()});
-    }
-  }
-  std::vector<std::pair<const std::pair<std::string, std::string>*, std::vector<Part>*>> work;
-  for (auto& [ledger_id, parts] : ledgers) {
-    std::sort(parts.begin(), parts.end());
-    work.emplace_back(&ledger_id, &parts);
-  }
-  std::atomic<std::size_t> next = 0;
-  std::vector<ReconcileReport> results(std::max(1U, threads));
-  std::vector<std::thread> pool;
-  pool.reserve(results.size());
-  for (ReconcileReport& result : results) {
-    pool.emplace_back([&] {
-      for (std::size_t k = 0; (k = next++) < work.size();) {
-        ExportReader reader(work[k].first->first, work[k].first->second, result);
-        for (const Part& part : *work[k].second) {
-          reader.BeginFile(part.path);
-          try {
-            EachLine(part.path, [&](std::string_view line) { reader.Take(line); });
-            reader.EndFile();
-          } catch (const std::runtime_error& e) {
-            result.Add({part.path, 0, 0, e.what()});
-          }
-        }
-      }
-    });
-  }
-  for (std::thread& t : pool) t.join();
-  for (ReconcileReport& result : results) all.Merge(std::move(result));
-  all.relays = relays.size();
-  all.CheckPeriods();
-  return all;
+  for (const LedgerExport& ledger_export : exports) relays.insert(ledger_export.ledger.relay);
+  for (ReconcileReport& part : ReadInParallel(exports, threads)) report.Merge(std::move(part));
+  report.relays = relays.size();
+  report.Complete();
+  return report;
 }
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/io/export_file.h
+++ b/src/ledger/io/export_file.h
@@ -1,8 +1,9 @@
-// Export files: written whole or not at all, and read in bounded memory.
+// Export files: written completely or not at all, and read in bounded memory.
+//
+// Blocks on the disk: for command line programs, never the event loop.
 #ifndef STOATRUN_LEDGER_IO_EXPORT_FILE_H_
 #define STOATRUN_LEDGER_IO_EXPORT_FILE_H_
 
-#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <string>
@@ -14,16 +15,18 @@
 
 namespace stoatrun::ledger {
 
-// Writes the records from `from_seq` on to `path`: to a file beside it, synced, then renamed over it, so that
-// a reader finds the old file or the whole new one. Throws std::runtime_error or StoreError; the old file is
-// then untouched. Gives what was written.
+// Writes the records from number `from_seq` on to `path` and returns the file's trailer. A temporary file in
+// the same folder is written, synced and renamed over `path`, so that a reader finds the old file or the
+// complete new one, also after a crash. Throws std::runtime_error or StoreError; the old file is then
+// untouched.
 ExportTrailer WriteExport(Store& store, std::uint64_t from_seq, const std::string& path);
 
-// Calls `each` with every line, its end included; SIMDJSON_PADDING bytes after it may be read. Throws
-// std::runtime_error where the file can't be read.
+// Calls `each` with every line of a file, its newline included; SIMDJSON_PADDING bytes after it may be read.
+// Throws std::runtime_error where the file can't be read or a line is over 1 MiB.
 void EachLine(const std::string& path, const std::function<void(std::string_view)>& each);
 
-// Reconciles files, and all *.jsonl files of folders. Files that are no exports are told as faults.
+// Reconciles files, and all *.jsonl files of folders, on `threads` threads. Files that are no exports are
+// reported as faults.
 ReconcileReport ReconcileFiles(const std::vector<std::string>& paths, unsigned threads);
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/reconcile.cpp
+++ b/src/ledger/reconcile.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 #include <charconv>
+#include <limits>
 #include <stdexcept>
 
 namespace stoatrun::ledger {
@@ -12,47 +13,65 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-constexpr std::size_t kMaxReportedFaults =
-    1000;  // Told one by one; a broken disk must not fill the memory with them.
-constexpr std::string_view kEndHead = R"({"end":{"relay":")", kEndHash = R"(,"hash":")", kEndTail = "\"}\n";
+// Faults listed one by one: a broken disk must not fill the memory with them.
+constexpr std::size_t kMaxListedFaults = 1000;
+// Hexadecimal digits of a hash that are kept to recognize a repeated record.
+constexpr std::size_t kHashPrefixDigits = 16;
+constexpr std::string_view kTrailerHead = R"({"end":{"relay":")", kTrailerHash = R"(,"hash":")",
+                           kTrailerTail = "\"}\n";
+constexpr const char* kBrokenChain = "broken chain: it does not follow the record before it";
 
-// 64-bit whole numbers are text in protobuf's JSON form; fields that are 0 are left out.
-std::int64_t Whole(const object& o, std::string_view key) {
-  element e;
-  if (o.at_key(key).get(e) != simdjson::SUCCESS) return 0;
+// An integer field, 0 if it is absent: protobuf's JSON form omits zeros and writes 64-bit integers as text.
+// Throws std::runtime_error (simdjson_error is one) if it is no integer.
+std::int64_t IntegerField(const object& json, std::string_view key) {
+  element value;
+  if (json.at_key(key).get(value) != simdjson::SUCCESS) return 0;
   std::string_view text;
-  if (e.get_string().get(text) == simdjson::SUCCESS) {
-    std::int64_t value = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc() || end != text.data() + text.size())
-      throw std::runtime_error("not a whole number");
-    return value;
+  if (value.get_string().get(text) != simdjson::SUCCESS) return value.get_int64();
+  std::int64_t number = 0;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+  if (error != std::errc() || end != text.data() + text.size()) {
+    throw std::runtime_error("not a whole number");
   }
-  return e.get_int64();  // Throws simdjson_error, a runtime_error.
+  return number;
 }
 
-std::string_view Text(const object& o, std::string_view key) {
+std::uint64_t UnsignedField(const object& json, std::string_view key) {
+  return static_cast<std::uint64_t>(IntegerField(json, key));
+}
+
+// A text field, empty if it is absent or no text.
+std::string_view TextField(const object& json, std::string_view key) {
   std::string_view text;
-  return o.at_key(key).get(text) == simdjson::SUCCESS ? text : std::string_view();
+  return json.at_key(key).get(text) == simdjson::SUCCESS ? text : std::string_view();
 }
 
-std::uint64_t Beginning(std::string_view hash) {
+std::uint64_t HashPrefix(std::string_view hash) {
   std::uint64_t value = 0;
-  std::from_chars(hash.data(), hash.data() + 16, value, 16);
+  std::from_chars(hash.data(), hash.data() + kHashPrefixDigits, value, 16);
   return value;
 }
 
+std::string MissingRecords(std::uint64_t first, std::uint64_t last) {
+  return fmt::format("gap: records {} to {} are missing", first, last);
+}
+
+std::string DifferentLengths(std::int64_t start_s, std::int64_t length_s, const PeriodLength& other) {
+  return fmt::format("overlapping periods: the one from {} lasts {} s here, {} s in {}", start_s, length_s,
+                     other.seconds, other.file);
+}
+
 }  // namespace
 
-std::string MakeTrailer(const ExportTrailer& end) {
-  std::string text = fmt::format(R"({}{}","book":"{}","from":{},"to":{},"head":"{}"}})", kEndHead, end.relay,
-                                 end.ledger_id, end.from, end.to, end.head);
+std::string MakeTrailer(const ExportTrailer& trailer) {
+  std::string text = fmt::format(R"({}{}","book":"{}","from":{},"to":{},"head":"{}"}})", kTrailerHead,
+                                 trailer.relay, trailer.ledger_id, trailer.from, trailer.to, trailer.head);
   const std::string hash = Sha256Hex(text);
-  return text.append(kEndHash).append(hash).append(kEndTail);
+  return text.append(kTrailerHash).append(hash).append(kTrailerTail);
 }
 
 void ReconcileReport::Add(Fault fault) {
-  if (faults.size() < kMaxReportedFaults) {
+  if (faults.size() < kMaxListedFaults) {
     faults.push_back(std::move(fault));
   } else {
     ++omitted_faults;
@@ -60,26 +79,24 @@
 }
 
 void ReconcileReport::Merge(ReconcileReport&& other) {
-  for (const auto& [key, t] : other.totals) {
+  for (const auto& [key, total] : other.totals) {
     PeriodTotal& sum = totals[key];
-    sum.use_us += t.use_us;
-    sum.within_us += t.within_us;
-    sum.beyond_us += t.beyond_us;
-    sum.corrected_s += t.corrected_s;
-    sum.records += t.records;
-    sum.corrections += t.corrections;
+    sum.use_us += total.use_us;
+    sum.within_us += total.within_us;
+    sum.beyond_us += total.beyond_us;
+    sum.corrected_s += total.corrected_s;
+    sum.records += total.records;
+    sum.corrections += total.corrections;
   }
-  for (auto& [start, length] : other.lengths) {
-    const auto [it, fresh] = lengths.try_emplace(start, length);
-    if (!fresh && it->second.first != length.first) {
-      Add({length.second, 0, 0,
-           fmt::format("overlapping periods: the one from {} lasts {} s here, {} s in {}", start,
-                       length.first, it->second.first, it->second.second)});
+  for (const auto& [start_s, length] : other.lengths) {
+    const auto [it, inserted] = lengths.try_emplace(start_s, length);
+    if (!inserted && it->second.seconds != length.seconds) {
+      Add({length.file, 0, 0, DifferentLengths(start_s, length.seconds, it->second)});
     }
   }
   std::move(other.corrections.begin(), other.corrections.end(), std::back_inserter(corrections));
   std::move(other.unattested.begin(), other.unattested.end(), std::back_inserter(unattested));
-  for (Fault& f : other.faults) Add(std::move(f));
+  for (Fault& fault : other.faults) Add(std::move(fault));
   omitted_faults += other.omitted_faults;
   ledgers += other.ledgers;
   files += other.files;
@@ -88,53 +105,51 @@
   clock_steps += other.clock_steps;
 }
 
-void ReconcileReport::CheckPeriods() {
-  std::int64_t end = INT64_MIN, start_of_end = 0;
-  for (const auto& [start, length] : lengths) {
-    if (start < end) {
-      Add({length.second, 0, 0,
-           fmt::format("overlapping periods: the one from {} begins before the one from {} ends", start,
-                       start_of_end)});
+void ReconcileReport::Complete() {
+  std::int64_t latest_end = std::numeric_limits<std::int64_t>::min(), start_of_latest = 0;
+  for (const auto& [start_s, length] : lengths) {
+    if (start_s < latest_end) {
+      Add({length.file, 0, 0,
+           fmt::format("overlapping periods: the one from {} begins before the one from {} ends", start_s,
+                       start_of_latest)});
     }
-    if (start + length.first > end) {
-      end = start + length.first;
-      start_of_end = start;
+    if (start_s + length.seconds > latest_end) {
+      latest_end = start_s + length.seconds;
+      start_of_latest = start_s;
     }
   }
-  const auto by_place = [](const auto& a, const auto& b) {
+  const auto by_record = [](const auto& a, const auto& b) {
     return std::tie(a.relay, a.seq) < std::tie(b.relay, b.seq);
   };
-  std::sort(corrections.begin(), corrections.end(), by_place);
-  std::sort(unattested.begin(), unattested.end(), by_place);
+  std::sort(corrections.begin(), corrections.end(), by_record);
+  std::sort(unattested.begin(), unattested.end(), by_record);
   std::sort(faults.begin(), faults.end(), [](const Fault& a, const Fault& b) {
     return std::tie(a.file, a.line) < std::tie(b.file, b.line);
   });
 }
 
 FileHead ReadHead(std::string_view first_line) {
+  constexpr const char* kNoRecord = "its first line is no record";
   simdjson::dom::parser parser;
   const simdjson::padded_string text(first_line);
   element root;
-  if (parser.parse(text).get(root) != simdjson::SUCCESS)
-    throw std::runtime_error("its first line is no record");
-  object o;
-  if (root["record"].get(o) == simdjson::SUCCESS) {
-    return {std::string(Text(o, "relay")), std::string(Text(o, "book")),
-            static_cast<std::uint64_t>(Whole(o, "seq"))};
-  }
-  if (root["end"].get(o) == simdjson::SUCCESS) {
-    return {std::string(Text(o, "relay")), std::string(Text(o, "book")),
-            static_cast<std::uint64_t>(Whole(o, "from"))};
-  }
-  throw std::runtime_error("its first line is no record");
+  if (parser.parse(text).get(root) != simdjson::SUCCESS) throw std::runtime_error(kNoRecord);
+  const auto head = [](const object& json, std::string_view number_key) -> FileHead {
+    return {std::string(TextField(json, "relay")), std::string(TextField(json, "book")),
+            UnsignedField(json, number_key)};
+  };
+  object json;
+  if (root["record"].get(json) == simdjson::SUCCESS) return head(json, "seq");
+  if (root["end"].get(json) == simdjson::SUCCESS) return head(json, "from");
+  throw std::runtime_error(kNoRecord);
 }
 
-ExportReader::ExportReader(std::string relay, std::string ledger_id, ReconcileReport& out)
-    : relay_(std::move(relay)), ledger_id_(std::move(ledger_id)), report_(out), last_hash_(FirstHash()) {
+ExportReader::ExportReader(std::string relay, std::string ledger_id, ReconcileReport& report)
+    : relay_(std::move(relay)), ledger_id_(std::move(ledger_id)), report_(report), last_hash_(FirstHash()) {
   ++report_.ledgers;
 }
 
-void ExportReader::Wrong(std::uint64_t seq, std::string what) {
+void ExportReader::AddFault(std::uint64_t seq, std::string what) {
   report_.Add({file_, line_, seq, std::move(what)});
 }
 
@@ -143,147 +158,178 @@
   file_ = name;
   line_ = file_first_ = file_last_ = 0;
   file_hash_.clear();
-  ended_ = broken_ = false;
+  trailer_read_ = broken_ = false;
 }
 
-void ExportReader::Take(std::string_view line) {
+void ExportReader::ReadLine(std::string_view line) {
   ++line_;
   if (broken_) return;  // Nothing after a broken line can be trusted to follow from it.
-  if (ended_) return Wrong(0, "more lines after the end of the export");
-  if (line.starts_with(kEndHead)) {
-    if (!TakeEnd(line)) Wrong(0, "the end line is damaged");
-    ended_ = true;
+  if (trailer_read_) return AddFault(0, "more lines after the end of the export");
+  if (line.starts_with(kTrailerHead)) {
+    if (!ReadTrailer(line)) AddFault(0, "the end line is damaged");
+    trailer_read_ = true;
     return;
   }
   const auto parts = SplitLine(line);
   if (!parts) {
     broken_ = true;
     const bool cut = !line.ends_with('\n');
-    return Wrong(file_last_ + 1,
-                 cut ? "cut short within a record" : "damaged: the record does not agree with its hash");
+    return AddFault(file_last_ + 1,
+                    cut ? "cut short within a record" : "damaged: the record does not agree with its hash");
   }
   try {
-    TakeRecord(line, *parts);
+    ReadRecord(line, *parts);
   } catch (const std::runtime_error& e) {
-    Wrong(file_last_ + 1, fmt::format("not a record of the schema: {}", e.what()));
+    AddFault(file_last_ + 1, fmt::format("not a record of the schema: {}", e.what()));
   }
 }
 
-void ExportReader::TakeRecord(std::string_view line, const LineParts& parts) {
+void ExportReader::ReadRecord(std::string_view line, const LineParts& parts) {
   const element root = parser_.parse(line.data(), line.size(), false);
   const object record = root["record"];
-  const auto seq = static_cast<std::uint64_t>(Whole(record, "seq"));
-  if (Text(record, "relay") != relay_ || Text(record, "book") != ledger_id_) {
-    broken_ = true;
-    return Wrong(seq, fmt::format("it is of {} book {}, the file began with {} book {}",
-                                  Text(record, "relay"), Text(record, "book"), relay_, ledger_id_));
-  }
+  const std::uint64_t seq = UnsignedField(record, "seq");
+  if (!CheckIdentity(record, seq)) return;
   if (file_first_ == 0) file_first_ = seq;
-  if (file_last_ != 0 && seq != file_last_ + 1) {
-    Wrong(seq, seq > file_last_
-                   ? fmt::format("gap: records {} to {} are missing", file_last_ + 1, seq - 1)
-                   : fmt::format("duplicate or out of order: it comes after record {}", file_last_));
-  } else if (file_last_ != 0 && parts.prev != file_hash_) {
-    Wrong(seq, "broken chain: it does not follow the record before it");
-  }
+  CheckFollowsInFile(seq, parts);
   file_last_ = seq;
   file_hash_ = parts.hash;
-  if (seq == 0) return Wrong(0, "record without a number");
-  if (seq <= last_seq_) {
-    ++report_.duplicates;
-    const bool same = seq <= seen_.size() && seen_[seq - 1] == Beginning(parts.hash);
-    return Wrong(seq, same ? "duplicate: the same record came before, it counts once"
-                           : "fork: another record came before under this number, this one is not counted");
-  }
-  // Within a file this was told above; here it is where one file follows another.
-  if (line_ == 1 && seq != last_seq_ + 1) {
-    Wrong(seq, fmt::format("gap: records {} to {} are missing", last_seq_ + 1, seq - 1));
-  } else if (line_ == 1 && parts.prev != last_hash_) {
-    Wrong(seq, "broken chain: it does not follow the record before it");
-  }
-  seen_.resize(seq);
-  seen_[seq - 1] = Beginning(parts.hash);
+  if (seq == 0) return AddFault(0, "record without a number");
+  if (seq <= last_seq_) return ReportRepeated(seq, parts);
+  CheckFollowsLastFile(seq, parts);
+  hash_prefixes_.resize(seq);
+  hash_prefixes_[seq - 1] = HashPrefix(parts.hash);
   last_seq_ = seq;
   last_hash_ = parts.hash;
   ++report_.records;
+  ReadBody(record, seq, parts);
+}
+
+bool ExportReader::CheckIdentity(object record, std::uint64_t seq) {
+  const std::string_view relay = TextField(record, "relay"), ledger_id = TextField(record, "book");
+  if (relay == relay_ && ledger_id == ledger_id_) return true;
+  broken_ = true;
+  AddFault(seq, fmt::format("it is of {} book {}, the file began with {} book {}", relay, ledger_id, relay_,
+                            ledger_id_));
+  return false;
+}
+
+void ExportReader::CheckFollowsInFile(std::uint64_t seq, const LineParts& parts) {
+  if (file_last_ == 0) return;
+  if (seq > file_last_ + 1) {
+    AddFault(seq, MissingRecords(file_last_ + 1, seq - 1));
+  } else if (seq != file_last_ + 1) {
+    AddFault(seq, fmt::format("duplicate or out of order: it comes after record {}", file_last_));
+  } else if (parts.prev != file_hash_) {
+    AddFault(seq, kBrokenChain);
+  }
+}
+
+void ExportReader::ReportRepeated(std::uint64_t seq, const LineParts& parts) {
+  ++report_.duplicates;
+  const bool same = seq <= hash_prefixes_.size() && hash_prefixes_[seq - 1] == HashPrefix(parts.hash);
+  AddFault(seq, same ? "duplicate: the same record came before, it counts once"
+                     : "fork: another record came before under this number, this one is not counted");
+}
+
+// Only for the first line of a file: CheckFollowsInFile reports the others.
+void ExportReader::CheckFollowsLastFile(std::uint64_t seq, const LineParts& parts) {
+  if (line_ != 1) return;
+  if (seq != last_seq_ + 1) {
+    AddFault(seq, MissingRecords(last_seq_ + 1, seq - 1));
+  } else if (parts.prev != last_hash_) {
+    AddFault(seq, kBrokenChain);
+  }
+}
+
+// Records of usage are nearly all of an export and are read without building a message.
+void ExportReader::ReadBody(object record, std::uint64_t seq, const LineParts& parts) {
   object body;
-  if (record.at_key("use").get(body) == simdjson::SUCCESS) return TakeUse(body, seq);
+  if (record.at_key("use").get(body) == simdjson::SUCCESS) return ReadUse(body, seq);
   if (record.at_key("clock_step").get(body) == simdjson::SUCCESS) {
     ++report_.clock_steps;
     return;
   }
-  // The rest is rare: read by the schema itself.
   const auto parsed = ParseRecord(parts.record);
-  if (!parsed) return Wrong(seq, "not a record of the schema");
-  if (parsed->has_correction()) {
-    const wire::Correction& c = parsed->correction();
-    PeriodTotal& total = report_.totals[{c.period_start_s(), c.group()}];
-    total.corrected_s += c.seconds();
+  if (!parsed) return AddFault(seq, "not a record of the schema");
+  ReadRareBody(*parsed, seq);
+}
+
+void ExportReader::ReadRareBody(const wire::Record& record, std::uint64_t seq) {
+  if (record.has_correction()) {
+    const wire::Correction& correction = record.correction();
+    PeriodTotal& total = report_.totals[{correction.period_start_s(), correction.group()}];
+    total.corrected_s += correction.seconds();
     ++total.corrections;
-    report_.corrections.push_back({relay_, seq, c});
-  } else if (parsed->has_unattested()) {
-    report_.unattested.push_back({relay_, seq, parsed->unattested()});
-  } else if (parsed->has_imbalance()) {
-    Wrong(seq, fmt::format("the relay itself found period {} out of balance",
-                           parsed->imbalance().period_start_s()));
+    report_.corrections.push_back({relay_, seq, correction});
+  } else if (record.has_unattested()) {
+    report_.unattested.push_back({relay_, seq, record.unattested()});
+  } else if (record.has_imbalance()) {
+    AddFault(seq, fmt::format("the relay itself found period {} out of balance",
+                              record.imbalance().period_start_s()));
   } else {
-    Wrong(seq, "a record of a kind that this program does not know");
+    AddFault(seq, "a record of a kind that this program does not know");
   }
 }
 
-void ExportReader::TakeUse(object use, std::uint64_t seq) {
-  const std::int64_t start = Whole(use, "period_start_s"), length = Whole(use, "period_s");
-  const std::int64_t total = Whole(use, "use_us"), within = Whole(use, "within_us"),
-                     beyond = Whole(use, "beyond_us");
-  std::int64_t by_class = 0;
+void ExportReader::ReadUse(object use, std::uint64_t seq) {
+  const std::int64_t start_s = IntegerField(use, "period_start_s"), length_s = IntegerField(use, "period_s");
+  const std::int64_t total_us = IntegerField(use, "use_us"), within_us = IntegerField(use, "within_us"),
+                     beyond_us = IntegerField(use, "beyond_us");
+  std::int64_t class_sum_us = 0;
   simdjson::dom::array classes;
   if (use.at_key("classes").get(classes) == simdjson::SUCCESS) {
-    for (const element c : classes) by_class += Whole(c, "use_us");
+    for (const element class_use : classes) class_sum_us += IntegerField(class_use, "use_us");
   }
-  if (total != within + beyond || total != by_class) {
-    Wrong(seq, fmt::format("out of balance: use {}, within {} and beyond {}, classes {}", total, within,
-                           beyond, by_class));
+  if (total_us != within_us + beyond_us || total_us != class_sum_us) {
+    AddFault(seq, fmt::format("out of balance: use {}, within {} and beyond {}, classes {}", total_us,
+                              within_us, beyond_us, class_sum_us));
   }
-  const std::string group(Text(use, "group"));
-  if (!uses_.emplace(start, static_cast<std::uint64_t>(Whole(use, "supplement")), group).second) {
-    Wrong(seq, fmt::format("overlapping periods: group {} has a record of period {} already", group, start));
+  const std::string group(TextField(use, "group"));
+  if (!uses_.emplace(start_s, UnsignedField(use, "supplement"), group).second) {
+    AddFault(seq,
+             fmt::format("overlapping periods: group {} has a record of period {} already", group, start_s));
   }
-  const auto [it, fresh] = report_.lengths.try_emplace(start, length, file_);
-  if (!fresh && it->second.first != length) {
-    Wrong(seq, fmt::format("overlapping periods: the one from {} lasts {} s here, {} s in {}", start, length,
-                           it->second.first, it->second.second));
+  const auto [it, inserted] = report_.lengths.try_emplace(start_s, PeriodLength{length_s, file_});
+  if (!inserted && it->second.seconds != length_s) {
+    AddFault(seq, DifferentLengths(start_s, length_s, it->second));
   }
-  PeriodTotal& sum = report_.totals[{start, group}];
-  sum.use_us += total;
-  sum.within_us += within;
-  sum.beyond_us += beyond;
+  PeriodTotal& sum = report_.totals[{start_s, group}];
+  sum.use_us += total_us;
+  sum.within_us += within_us;
+  sum.beyond_us += beyond_us;
   ++sum.records;
 }
 
-bool ExportReader::TakeEnd(std::string_view line) {
-  const std::size_t after = kEndHash.size() + kHashSize + kEndTail.size();
-  if (line.size() < after || !line.ends_with(kEndTail)) return false;
-  const std::string_view body = line.substr(0, line.size() - after);
-  const std::string_view rest = line.substr(body.size());
-  if (!rest.starts_with(kEndHash) || rest.substr(kEndHash.size(), kHashSize) != Sha256Hex(body)) return false;
+// Returns false if the line does not match its hash.
+bool ExportReader::ReadTrailer(std::string_view line) {
+  const std::size_t hash_part_size = kTrailerHash.size() + kHashSize + kTrailerTail.size();
+  if (line.size() < hash_part_size || !line.ends_with(kTrailerTail)) return false;
+  const std::string_view body = line.substr(0, line.size() - hash_part_size);
+  const std::string_view hash_part = line.substr(body.size());
+  if (!hash_part.starts_with(kTrailerHash) ||
+      hash_part.substr(kTrailerHash.size(), kHashSize) != Sha256Hex(body)) {
+    return false;
+  }
   const element root = parser_.parse(line.data(), line.size(), false);
-  const object end = root["end"];
-  const auto from = static_cast<std::uint64_t>(Whole(end, "from")),
-             to = static_cast<std::uint64_t>(Whole(end, "to"));
-  if (Text(end, "relay") != relay_ || Text(end, "book") != ledger_id_)
-    Wrong(0, "the end line is of another book");
+  const object trailer = root["end"];
+  const std::uint64_t from = UnsignedField(trailer, "from"), to = UnsignedField(trailer, "to");
+  if (TextField(trailer, "relay") != relay_ || TextField(trailer, "book") != ledger_id_) {
+    AddFault(0, "the end line is of another book");
+  }
   const bool empty = to < from;
-  if (empty ? file_last_ != 0
-            : (file_first_ != from || file_last_ != to || Text(end, "head") != file_hash_)) {
-    Wrong(0, fmt::format("records are missing: the export held {} to {}, here are {} to {}", from, to,
-                         file_first_, file_last_));
+  const bool agrees =
+      empty ? file_last_ == 0
+            : file_first_ == from && file_last_ == to && TextField(trailer, "head") == file_hash_;
+  if (!agrees) {
+    AddFault(0, fmt::format("records are missing: the export held {} to {}, here are {} to {}", from, to,
+                            file_first_, file_last_));
   }
   return true;
 }
 
 void ExportReader::EndFile() {
-  if (!ended_ && !broken_)
-    Wrong(0, fmt::format("cut short after record {}: the end line is missing", file_last_));
+  if (trailer_read_ || broken_) return;
+  AddFault(0, fmt::format("cut short after record {}: the end line is missing", file_last_));
 }
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/record.h
+++ b/src/ledger/record.h
@@ -1,7 +1,14 @@
-// One exported record as a line, and the chain that the lines form. Pure.
+// The line format of exported records, and the hash chain that the lines form.
+//
+// A line is {"record":RECORD,"prev":"HASH","hash":"HASH"} and a newline, RECORD being the JSON form of
+// proto/ledger.proto. `hash` is the SHA-256 of all bytes before `,"hash"`; `prev` is the hash of the record
+// before.
+//
+// Pure and thread-safe: no state but a digest context for each thread.
 #ifndef STOATRUN_LEDGER_RECORD_H_
 #define STOATRUN_LEDGER_RECORD_H_
 
+#include <cstddef>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -10,25 +17,33 @@
 
 namespace stoatrun::ledger {
 
-inline constexpr std::size_t kHashSize = 64;  // In hexadecimal.
+// The length of a hash, in hexadecimal digits.
+inline constexpr std::size_t kHashSize = 64;
 
-std::string FirstHash();  // What the first record names as the one before it.
+// What the first record names as the hash of the one before it.
+std::string FirstHash();
+// The SHA-256 of `text` in lower-case hexadecimal. Throws std::runtime_error if OpenSSL has no SHA-256.
 std::string Sha256Hex(std::string_view text);
 
+// A record as it is stored and exported.
 struct Line {
-  std::string text;  // With its end.
+  std::string text;  // With its newline.
   std::string hash;
 };
-// Deterministic: the same record after the same hash is the same line, to the byte.
+
+// Serializes a record after the one with hash `prev`. Deterministic: the same record and hash give the same
+// bytes. Throws std::runtime_error if the record has no JSON form (text that is not UTF-8).
 Line MakeLine(const wire::Record& record, const std::string& prev);
 
-// The parts of a line that is whole and whose hash agrees with its bytes; views into it.
+// Parts of a complete line whose hash matches its bytes; views into it.
 struct LineParts {
   std::string_view record, prev, hash;
 };
-// `line` with its end. Nothing if any byte is not as MakeLine wrote it.
+
+// Checks and splits a line, its newline included. Nothing if any byte is not as MakeLine wrote it.
 std::optional<LineParts> SplitLine(std::string_view line);
-// The record of a line. Nothing if it is not of the schema.
+
+// Parses the record of a line. Nothing if it is not of the schema.
 std::optional<wire::Record> ParseRecord(std::string_view record);
 
 }  // namespace stoatrun::ledger
--- a/tests/ledger/reconcile_test.cpp
+++ b/tests/ledger/reconcile_test.cpp
@@ -70,11 +70,11 @@
     reader.BeginFile("f" + std::to_string(++number));
     for (const std::string& line : lines) {
       const std::string padded = line + std::string(simdjson::SIMDJSON_PADDING, '\0');
-      reader.Take(std::string_view(padded).substr(0, line.size()));
+      reader.ReadLine(std::string_view(padded).substr(0, line.size()));
     }
     reader.EndFile();
   }
-  out.CheckPeriods();
+  out.Complete();
   return out;
 }
 
