--- a/src/ledger/io/usage_recorder.cpp
+++ b/src/ledger/io/usage_recorder.cpp
@@ -6,207 +6,219 @@
 namespace stoatrun::ledger {
 namespace {
 
-constexpr std::size_t kJobs = 8;
-constexpr Micros kTellAgain = std::chrono::minutes(1);  // A fault that goes on is logged no more often.
-constexpr Micros kMostTick = std::chrono::seconds(1);   // A step of the clock is placed to this precision.
+using std::chrono::milliseconds;
+using std::chrono::steady_clock;
+
+constexpr std::size_t kMaxQueuedJobs = 8;
+constexpr Micros kErrorLogInterval = std::chrono::minutes(1);  // A persistent error is logged no more often.
+constexpr Micros kMaxClockInterval =
+    std::chrono::seconds(1);  // A step of the clock is placed this precisely.
 
 }  // namespace
 
-Keeper::Keeper(EventLoop& loop, const KeeperSetup& setup, WallClock wall)
+UsageRecorder::UsageRecorder(EventLoop& loop, const UsageRecorderSetup& setup, WallClock wall)
     : loop_(loop),
       setup_(setup),
       wall_(std::move(wall)),
       accounts_(setup.accounts, loop.Now(), wall_()),
-      began_{accounts_.WallAt(loop.Now()).count(), accounts_.PeriodStart()},
-      checkpoint_(loop.timers, [this] { Due(); }),
-      worker_(loop.native_handle(), kJobs) {
-  Due();
+      start_{accounts_.WallAt(loop.Now()).count(), accounts_.PeriodStart()},
+      timer_(loop.timers, [this] { OnTimer(); }),
+      worker_(loop.native_handle(), kMaxQueuedJobs) {
+  OnTimer();
 }
 
-Keeper::~Keeper() = default;
+UsageRecorder::~UsageRecorder() = default;
 
-UsageHandle Keeper::Begin(std::string_view group, std::size_t class_index) {
+UsageHandle UsageRecorder::Begin(std::string_view group, std::size_t class_index) {
   ++counts_.begun;
   return accounts_.Begin(loop_.Now(), group, class_index);
 }
 
-void Keeper::End(UsageHandle& ticket) {
-  if (ticket.open) ++counts_.ended;
-  accounts_.End(loop_.Now(), ticket);
+void UsageRecorder::End(UsageHandle& handle) {
+  if (handle.open) ++counts_.ended;
+  accounts_.End(loop_.Now(), handle);
 }
 
-void Keeper::Due() {
-  accounts_.Tick(loop_.Now(), wall_());
-  const bool period_done = accounts_.PeriodDone(loop_.Now());
-  if (period_done || loop_.Now() >= next_checkpoint_) {
+void UsageRecorder::OnTimer() {
+  accounts_.OnClockReading(loop_.Now(), wall_());
+  const bool period_ended = accounts_.HasEndedPeriod(loop_.Now());
+  if (period_ended || loop_.Now() >= next_checkpoint_) {
     next_checkpoint_ = loop_.Now() + setup_.checkpoint;
-    Collect();
-    Hand(false);
+    CollectPostings();
+    SubmitBacklog(std::nullopt);
   }
-  checkpoint_.Set(std::min(next_checkpoint_, loop_.Now() + kMostTick));
+  timer_.Set(std::min(next_checkpoint_, loop_.Now() + kMaxClockInterval));
 }
 
-bool Keeper::CheckNow() {
-  const auto sums = accounts_.Check(loop_.Now());
-  if (sums.Balance()) return true;
+bool UsageRecorder::CheckBalance() {
+  const auto sums = accounts_.ComputeSums(loop_.Now());
+  if (sums.AreBalanced()) return true;
   ++counts_.imbalances;
   LogLine(Level::kError, "ledger out of balance")
-      .Field("booked_us", sums.booked_us)
-      .Field("lives_us", sums.lives_us)
-      .Field("breaches", sums.breaches);
+      .Field("booked_us", sums.row_time_us)
+      .Field("lives_us", sums.connection_time_us)
+      .Field("breaches", sums.double_ends);
   return false;
 }
 
-void Keeper::Collect() {
-  CheckNow();
-  for (Posting& p : accounts_.Take(loop_.Now(), false)) {
-    for (const ClockStep& s : p.steps) {
+void UsageRecorder::CollectPostings() {
+  CheckBalance();
+  for (Posting& posting : accounts_.TakePostings(loop_.Now(), Accounts::CurrentPeriod::kContinues)) {
+    for (const ClockStep& step : posting.steps) {
       ++counts_.clock_steps;
       LogLine(Level::kWarn, "ledger clock step")
-          .Field("from_wall_us", s.from_wall_us)
-          .Field("to_wall_us", s.to_wall_us);
+          .Field("from_wall_us", step.from_wall_us)
+          .Field("to_wall_us", step.to_wall_us);
     }
-    Keep(std::move(p));
+    Enqueue(std::move(posting));
   }
 }
 
-// Stretches of one period are joined while they wait. What is with the worker stays as it is: its number says
-// what it holds.
-void Keeper::Keep(Posting posting) {
-  Posting* last = backlog_.size() > handed_ ? &backlog_.back() : nullptr;
-  const bool one_period = last != nullptr && last->period_start_s == posting.period_start_s && !last->left;
-  const bool has_room = BacklogCells() + posting.Cells() <= setup_.most_cells;
-  if (one_period && (has_room || last->groups.size() >= posting.groups.size())) return Join(*last, posting);
-  if (has_room) return backlog_.push_back(std::move(posting));
-  counts_.unkept_us += posting.UseUs();
-  const Posting bare = WithoutRows(posting);
-  if (last != nullptr && last->groups.empty()) return Join(*last, bare);
-  backlog_.push_back(bare);
+// Postings of one period are merged while they wait. A submitted one must not change any more: its number
+// stands for its contents.
+void UsageRecorder::Enqueue(Posting posting) {
+  Posting* last = backlog_.size() > submitted_ ? &backlog_.back() : nullptr;
+  const bool same_period =
+      last != nullptr && last->period_start_s == posting.period_start_s && !last->period_ended;
+  const bool fits = BacklogCells() + posting.Cells() <= setup_.max_backlog_cells;
+  if (same_period && (fits || last->groups.size() >= posting.groups.size())) {
+    MergePosting(*last, posting);
+    return;
+  }
+  if (fits) {
+    backlog_.push_back(std::move(posting));
+    return;
+  }
+  counts_.unrecorded_us += posting.UseUs();
+  const Posting bare = WithoutUsage(posting);
+  if (last != nullptr && last->groups.empty()) {
+    MergePosting(*last, bare);
+  } else {
+    backlog_.push_back(bare);
+  }
 }
 
-std::size_t Keeper::BacklogCells() const {
+std::size_t UsageRecorder::BacklogCells() const {
   std::size_t cells = 0;
-  for (const Posting& p : backlog_) cells += p.Cells();
+  for (const Posting& posting : backlog_) cells += posting.Cells();
   return cells;
 }
 
-void Keeper::Hand(bool ending) {
-  if (out_ || ended_) return;
-  for (std::size_t k = handed_; k < backlog_.size(); ++k) backlog_[k].number = next_number_++;
-  handed_ = backlog_.size();
-  const std::vector<Posting> postings(backlog_.begin(), backlog_.end());
-  const std::int64_t wall_us = accounts_.WallAt(loop_.Now()).count();
-  const auto job = [this, disk = disk_, setup = setup_.store, postings, open = accounts_.OpenByGroup(),
-                    began = began_, wall_us, ending]() -> BackgroundWorker::Reply {
-    const Result result = KeepOnDisk(*disk, setup, postings, open, began, wall_us, ending);
-    return [this, result] { Take(result); };
-  };
-  out_ = worker_.Post(job);  // A full queue is as a disk that is away: it all stays in the backlog.
+// A full queue of the worker is like a disk that is away: everything stays in the backlog.
+void UsageRecorder::SubmitBacklog(std::optional<std::int64_t> end_wall_us) {
+  if (job_pending_ || ended_) return;
+  for (std::size_t k = submitted_; k < backlog_.size(); ++k) backlog_[k].number = next_number_++;
+  submitted_ = backlog_.size();
+  const WriteJob job{
+      setup_.store, {backlog_.begin(), backlog_.end()}, accounts_.OpenByGroup(), start_, end_wall_us};
+  job_pending_ = worker_.Post([this, disk = disk_, job]() -> BackgroundWorker::Reply {
+    const WriteResult result = Write(*disk, job);
+    return [this, result] { OnWritten(result); };
+  });
 }
 
-Keeper::Result Keeper::KeepOnDisk(Disk& disk, const StoreSetup& setup, const std::vector<Posting>& postings,
-                                  const OpenCounts& open, const Moment& began, std::int64_t wall_us,
-                                  bool ending) {
-  Result result;
+// The run continues if the disk went away and came back; a new file begins one.
+void UsageRecorder::OpenStore(Disk& disk, const WriteJob& job) {
+  disk.store.emplace(job.setup);
+  if (disk.run != 0 && disk.store->ResumeRun(disk.run)) return;
+  disk.run = disk.store->BeginRun(job.start.wall_us, job.start.period_start_s);
+}
+
+UsageRecorder::WriteResult UsageRecorder::Write(Disk& disk, const WriteJob& job) {
+  WriteResult result;
   try {
-    if (!disk.store) {
-      disk.store.emplace(setup);
-      // The run goes on where the disk went away and came back; a new file begins one.
-      if (disk.run == 0 || !disk.store->ResumeRun(disk.run)) {
-        disk.run = disk.store->BeginRun(began.wall_us, began.period_start_s);
-      }
+    if (!disk.store) OpenStore(disk, job);
+    for (const Posting& posting : job.postings) {
+      result.next_uncertain = true;
+      disk.store->Apply(posting, job.open);
+      result.next_uncertain = false;
+      ++result.written;
     }
-    for (const Posting& p : postings) {
-      result.tried_next = true;
-      disk.store->Apply(p, open);
-      result.tried_next = false;
-      ++result.kept;
-    }
-    if (ending) disk.store->EndRun(wall_us);
+    if (job.end_wall_us) disk.store->EndRun(*job.end_wall_us);
     result.state = disk.store->State();
   } catch (const StoreError& e) {
-    result.fault = e.fault;
-    result.why = e.what();
+    result.error = e.code;
+    result.reason = e.what();
     disk.store.reset();
   }
   return result;
 }
 
-void Keeper::Take(const Result& result) {
-  out_ = false;
-  backlog_.erase(backlog_.begin(), backlog_.begin() + static_cast<std::ptrdiff_t>(result.kept));
-  // What the store has not seen may still be joined and numbered anew.
-  handed_ = result.tried_next ? 1 : 0;
-  if (!result.fault) {
-    ++counts_.checkpoints;
-    if (fault_) LogLine(Level::kInfo, "ledger store is back,").Field("backlog_cells", BacklogCells());
-    fault_.reset();
-    if (on_state_) on_state_(result.state);
-    return;
-  }
+void UsageRecorder::OnWritten(const WriteResult& result) {
+  job_pending_ = false;
+  backlog_.erase(backlog_.begin(), backlog_.begin() + static_cast<std::ptrdiff_t>(result.written));
+  // What the store has not seen may still be merged and numbered anew.
+  submitted_ = result.next_uncertain ? 1 : 0;
+  if (result.error) return LogStoreFailure(result);
+  ++counts_.checkpoints;
+  if (last_error_) LogLine(Level::kInfo, "ledger store is back,").Field("backlog_cells", BacklogCells());
+  last_error_.reset();
+  if (on_state_) on_state_(result.state);
+}
+
+void UsageRecorder::LogStoreFailure(const WriteResult& result) {
   ++counts_.store_failures;
-  if (fault_ != result.fault || loop_.Now() >= fault_told_ + kTellAgain) {
-    fault_told_ = loop_.Now();
+  if (last_error_ != result.error || loop_.Now() >= error_logged_at_ + kErrorLogInterval) {
+    error_logged_at_ = loop_.Now();
     LogLine(Level::kError, "ledger store failed")
-        .Reason(result.why)
-        .Field("fault", NameOf(*result.fault))
+        .Reason(result.reason)
+        .Field("fault", StoreErrorName(*result.error))
         .Field("backlog_cells", BacklogCells())
-        .Field("unkept_us", counts_.unkept_us);
+        .Field("unkept_us", counts_.unrecorded_us);
   }
-  fault_ = result.fault;
+  last_error_ = result.error;
 }
 
-bool Keeper::WithStore(std::function<void(Store&)> job, std::function<void(bool ok)> reply) {
+bool UsageRecorder::WithStore(std::function<void(Store&)> job, std::function<void(bool ok)> reply) {
   return worker_.Post(
       [disk = disk_, job = std::move(job), reply = std::move(reply)]() -> BackgroundWorker::Reply {
         bool ok = false;
-        std::string why = "there is no store";
+        std::string reason = "there is no store";
         try {
           if (disk->store) {
             job(*disk->store);
             ok = true;
           }
         } catch (const StoreError& e) {
-          why = e.what();
+          reason = e.what();
         }
-        return [reply, ok, why] {
-          if (!ok) LogLine(Level::kWarn, "ledger store call failed").Reason(why);
+        return [reply, ok, reason] {
+          if (!ok) LogLine(Level::kWarn, "ledger store call failed").Reason(reason);
           reply(ok);
         };
       });
 }
 
-bool Keeper::Finish(std::chrono::milliseconds bound) {
-  checkpoint_.Cancel();
-  const auto begun = std::chrono::steady_clock::now();
-  const auto left = [&] {
-    return bound -
-           std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - begun);
+bool UsageRecorder::Finish(milliseconds timeout) {
+  timer_.Cancel();
+  const auto begun = steady_clock::now();
+  const auto remaining = [&] {
+    return timeout - std::chrono::duration_cast<milliseconds>(steady_clock::now() - begun);
   };
-  bool there = worker_.Finish(bound);
-  if (there) {
-    Collect();
-    Hand(true);
-    there = worker_.Finish(std::max(left(), std::chrono::milliseconds(0)));
+  bool worker_finished = worker_.Finish(timeout);
+  if (worker_finished) {
+    CollectPostings();
+    SubmitBacklog(accounts_.WallAt(loop_.Now()).count());
+    worker_finished = worker_.Finish(std::max(remaining(), milliseconds(0)));
   }
   ended_ = true;
-  if (there && backlog_.empty()) return true;
-  std::int64_t lost = 0;
-  for (const Posting& p : backlog_) lost += p.UseUs() + p.unkept_us;
+  if (worker_finished && backlog_.empty()) return true;
+  std::int64_t lost_us = 0;
+  for (const Posting& posting : backlog_) lost_us += posting.UseUs() + posting.unrecorded_us;
   LogLine(Level::kError, "ledger ends with use that was not kept,")
-      .Field("use_us", lost)
+      .Field("use_us", lost_us)
       .Field("postings", backlog_.size());
-  return there;
+  return worker_finished;
 }
 
-void Keeper::AddFields(LogLine& record) const {
+void UsageRecorder::AddFields(LogLine& record) const {
   record.Field("ledger_begun", counts_.begun)
       .Field("ledger_ended", counts_.ended)
-      .Field("ledger_open", accounts_.Open())
+      .Field("ledger_open", accounts_.OpenConnections())
       .Field("ledger_checkpoints", counts_.checkpoints)
       .Field("ledger_store_failures", counts_.store_failures)
       .Field("ledger_backlog_cells", BacklogCells())
-      .Field("ledger_unkept_us", counts_.unkept_us)
+      .Field("ledger_unkept_us", counts_.unrecorded_us)
       .Field("ledger_imbalances", counts_.imbalances)
       .Field("ledger_clock_steps", counts_.clock_steps);
 }
--- a/tests/ledger/golden_test.cpp
+++ b/tests/ledger/golden_test.cpp
@@ -43,7 +43,7 @@
   p.groups.push_back(
       {"coast", use_us, use_us / 3, 1500, 2, {{"feed", use_us / 4, 1}, {"watch", use_us - use_us / 4, 3}}});
   p.groups.push_back({"wetland", 2 * use_us + 1, 2 * use_us + 1, -1, 7, {{"feed", 2 * use_us + 1, 4}}});
-  p.lives_us = 3 * use_us + 1;
+  p.connection_time_us = 3 * use_us + 1;
   return p;
 }
 
@@ -66,17 +66,17 @@
     Posting unnamed = PostingOf(2, kHour, 2'000'001, true);
     unnamed.groups.push_back({kMissingGroup, 17, 17, -1, 1, {{"feed", 17, 1}}});
     unnamed.groups.push_back({kOtherGroups, 19, 19, -1, 1, {{"watch", 19, 1}}});
-    unnamed.lives_us += 36;
+    unnamed.connection_time_us += 36;
     store.Apply(unnamed, {});
     Posting stepped = PostingOf(3, kHour + 3600, 500, false);
     stepped.steps.push_back({stepped.wall_us, stepped.wall_us - 3'600'000'000});
     store.Apply(stepped, {{"coast", 1}});
     store.Apply(PostingOf(4, kHour, 77, false), {{"coast", 1}});
     store.Apply(PostingOf(5, kHour + 3600, 30'000'000, true), {{"coast", 1}, {"wetland", 2}});
-    store.Enter({"coast", kHour, -30, "double count", "ann", "ref-1", (kHour + 7000) * 1'000'000});
-    store.Enter({"reef", kHour + 3600, 12, "was \"missed\", wrongly", "bo", "", (kHour + 7001) * 1'000'000});
+    store.EnterCorrection({"coast", kHour, -30, "double count", "ann", "ref-1", (kHour + 7000) * 1'000'000});
+    store.EnterCorrection({"reef", kHour + 3600, 12, "was \"missed\", wrongly", "bo", "", (kHour + 7001) * 1'000'000});
     Posting unkept = PostingOf(6, kHour + 7200, 9'000'000, false);
-    unkept.unkept_us = 4'000'000;
+    unkept.unrecorded_us = 4'000'000;
     unkept.unkept_from_wall_us = unkept.wall_us - 60'000'000;
     store.Apply(unkept, {{"coast", 3}, {"wetland", 1}});
   }  // As if it were killed.
@@ -94,7 +94,7 @@
   Store store({folder.Path(), "n1", "b1", nullptr, true, 250});
   store.BeginRun(kHour * 1'000'000, kHour);
   Posting one = PostingOf(1, kHour, 5'000'000, true);
-  one.lives_us += 3;
+  one.connection_time_us += 3;
   store.Apply(one, {});
   store.Apply(PostingOf(2, kHour + 3600, 6'000'000, true), {});
   store.EndRun((kHour + 7300) * 1'000'000);
