--- a/tests/fleet/golden_test.cpp
+++ b/tests/fleet/golden_test.cpp
@@ -36,7 +36,7 @@
 
 // Each part of a datagram, every field other than its default.
 std::vector<Part> Parts() {
-  const Life lender{11, 0x1122334455667788}, borrower{12, 0x8877665544332211};
+  const Incarnation lender{11, 0x1122334455667788}, borrower{12, 0x8877665544332211};
   return {
       {"echo",
        [](Datagram& d) {
@@ -46,58 +46,58 @@
        }},
       {"look",
        [](Datagram& d) {
-         d.look = Look{0x0123456789abcdef, 0};
+         d.ping = Ping{0x0123456789abcdef, 0};
        }},
       {"look-without-target",
        [](Datagram& d) {
-         d.look = Look{77, std::nullopt};
+         d.ping = Ping{77, std::nullopt};
        }},
-      {"answer", [](Datagram& d) { d.answer = 0xfedcba9876543210; }},
+      {"answer", [](Datagram& d) { d.ack = 0xfedcba9876543210; }},
       {"members",
        [=](Datagram& d) {
-         d.members = {{1, lender, 3, Standing::kAlive},
-                      {2, borrower, 4, Standing::kSuspected},
-                      {3, {13, 1}, 5, Standing::kSilent},
-                      {4095, {14, 2}, 6, Standing::kLeft}};
+         d.member_updates = {{1, lender, 3, MemberState::kAlive},
+                             {2, borrower, 4, MemberState::kSuspect},
+                             {3, {13, 1}, 5, MemberState::kDead},
+                             {4095, {14, 2}, 6, MemberState::kLeft}};
        }},
       {"counts",
        [=](Datagram& d) {
-         d.counts = {{2,
-                      lender,
-                      900,
-                      1,
-                      3,
-                      Micros(1'234'567),
-                      false,
-                      {{"coast", 1, {100, 40, 30, 20, 10}}, {"", 2, {5, 1, 1, 1, 2}}}},
-                     {3, borrower, 901, 0, 1, std::nullopt, true, {{"*", 0, {7, 7, 0, 0, 0}}}}};
+         d.counts_updates = {{2,
+                              lender,
+                              900,
+                              1,
+                              3,
+                              Micros(1'234'567),
+                              false,
+                              {{"coast", 1, {100, 40, 30, 20, 10}}, {"", 2, {5, 1, 1, 1, 2}}}},
+                             {3, borrower, 901, 0, 1, std::nullopt, true, {{"*", 0, {7, 7, 0, 0, 0}}}}};
        }},
       {"have",
        [](Datagram& d) {
-         d.have = {{1, 0xabcdef01, 55, Micros(0), true}, {2, 0, 0, std::nullopt, false}};
+         d.digests = {{1, 0xabcdef01, 55, Micros(0), true}, {2, 0, 0, std::nullopt, false}};
        }},
-      {"roster-from", [](Datagram& d) { d.roster_from = 0; }},
+      {"roster-from", [](Datagram& d) { d.member_list_from = 0; }},
       {"roster",
        [=](Datagram& d) {
-         d.roster =
-             RosterPage{64, 128, true, std::string("\x05\x00\xff", 3), {{65, lender}, {127, borrower}}};
+         d.member_list =
+             MemberListPage{64, 128, true, std::string("\x05\x00\xff", 3), {{65, lender}, {127, borrower}}};
        }},
-      {"digest", [](Datagram& d) { d.digest = true; }},
+      {"digest", [](Datagram& d) { d.periodic = true; }},
       {"evidence",
        [=](Datagram& d) {
-         d.evidence = {
-             {1, lender, "s-1", 1'700'000'000'000, Verdict::kFailing, 9, 31, Micros(400'000), seconds(6)},
-             {2, borrower, "s-2", -1, Verdict::kSlow, 8, 32, std::nullopt, seconds(5)},
-             {3, lender, "s-3", 3, Verdict::kFull, 7, 33, Micros(0), seconds(4)},
-             {4, borrower, "s-4", 4, Verdict::kFine, 6, 34, Micros(1), seconds(3)}};
+         d.evidence = {{1, lender, "s-1", 1'700'000'000'000, HealthVerdict::kFailing, 9, 31, Micros(400'000),
+                        seconds(6)},
+                       {2, borrower, "s-2", -1, HealthVerdict::kSlow, 8, 32, std::nullopt, seconds(5)},
+                       {3, lender, "s-3", 3, HealthVerdict::kOverloaded, 7, 33, Micros(0), seconds(4)},
+                       {4, borrower, "s-4", 4, HealthVerdict::kHealthy, 6, 34, Micros(1), seconds(3)}};
        }},
       {"sent",
        [](Datagram& d) {
-         d.sent = {{"s-1", 17}, {"s-2", 1}};
+         d.unreported_sends = {{"s-1", 17}, {"s-2", 1}};
        }},
       {"asks",
        [](Datagram& d) {
-         d.asks = {{21, "attempts", 5, 22}, {23, "cold:s-1", 6, 0}};
+         d.lease_requests = {{21, "attempts", 5, 22}, {23, "cold:s-1", 6, 0}};
        }},
       {"grants",
        [=](Datagram& d) {
@@ -109,16 +109,16 @@
        }},
       {"settled",
        [=](Datagram& d) {
-         d.settled = {{24, "quota:coast", 3, borrower}};
+         d.return_acks = {{24, "quota:coast", 3, borrower}};
        }},
       {"held",
        [=](Datagram& d) {
-         d.held = Held{lender, 25, {{"quota:coast", 24, 2}, {"quota:reef", 26, 1}}};
+         d.held_leases = HeldLeases{lender, 25, {{"quota:coast", 24, 2}, {"quota:reef", 26, 1}}};
        }},
-      {"who-holds", [](Datagram& d) { d.who_holds = true; }},
+      {"who-holds", [](Datagram& d) { d.wants_held_leases = true; }},
       {"idle",
        [](Datagram& d) {
-         d.idle = {{"attempts", 12}, {"probes", 200}};
+         d.idle_units = {{"attempts", 12}, {"probes", 200}};
        }},
   };
 }
@@ -127,10 +127,10 @@
   Datagram d;
   d.from = 3;
   d.name = "n3";
-  d.life = {1'764'000'000'000, 0x0f1e2d3c4b5a6978};
-  d.incarnation = 2;
+  d.incarnation = {1'764'000'000'000, 0x0f1e2d3c4b5a6978};
+  d.refutations = 2;
   d.seq = 300;
-  d.slots = 100;
+  d.fleet_size = 100;
   return d;
 }
 
@@ -190,86 +190,91 @@
   const auto& d = std::get<Datagram>(decoded);
   CHECK(d.from == 3);
   CHECK(d.name == "n3");
-  CHECK(d.life == Life{1'764'000'000'000, 0x0f1e2d3c4b5a6978});
-  CHECK((d.incarnation == 2 && d.seq == 300 && d.slots == 100));
+  CHECK(d.incarnation == Incarnation{1'764'000'000'000, 0x0f1e2d3c4b5a6978});
+  CHECK((d.refutations == 2 && d.seq == 300 && d.fleet_size == 100));
   CHECK((d.echo_run == 0xfedcba98 && d.echo_seq == 41 && d.echo_held == Micros(2500)));
-  REQUIRE(d.look);
-  CHECK((d.look->nonce == 77 && !d.look->target));
-  CHECK(d.answer == 0xfedcba9876543210);
-  REQUIRE(d.members.size() == 4);
-  CHECK((d.members[3].slot == 4095 && d.members[3].standing == Standing::kLeft &&
-         d.members[3].incarnation == 6));
-  REQUIRE(d.counts.size() == 2);
-  CHECK((d.counts[0].version == 900 && d.counts[0].part == 1 && d.counts[0].parts == 3 && !d.counts[0].over));
-  CHECK(d.counts[0].age == Micros(1'234'567));
-  REQUIRE(d.counts[0].rows.size() == 2);
-  CHECK((d.counts[0].rows[0].group == "coast" && d.counts[0].rows[0].class_index == 1));
-  CHECK(d.counts[0].rows[0].tally == Tally{100, 40, 30, 20, 10});
-  CHECK((d.counts[1].over && !d.counts[1].age));
-  REQUIRE(d.have.size() == 2);
-  CHECK((d.have[0].run == 0xabcdef01 && d.have[0].age == Micros(0) && d.have[0].over));
-  CHECK(d.roster_from == Slot{0});
-  REQUIRE(d.roster);
-  CHECK((d.roster->from == 64 && d.roster->next == 128 && d.roster->whole));
-  CHECK(d.roster->basis == std::string("\x05\x00\xff", 3));
-  CHECK((d.roster->lives.size() == 2 && d.roster->lives[1].first == 127));
-  CHECK((d.digest && d.who_holds));
+  REQUIRE(d.ping);
+  CHECK((d.ping->nonce == 77 && !d.ping->target));
+  CHECK(d.ack == 0xfedcba9876543210);
+  REQUIRE(d.member_updates.size() == 4);
+  CHECK((d.member_updates[3].member_id == 4095 && d.member_updates[3].state == MemberState::kLeft &&
+         d.member_updates[3].refutations == 6));
+  REQUIRE(d.counts_updates.size() == 2);
+  CHECK((d.counts_updates[0].version == 900 && d.counts_updates[0].part == 1 &&
+         d.counts_updates[0].parts == 3 && !d.counts_updates[0].ended));
+  CHECK(d.counts_updates[0].age == Micros(1'234'567));
+  REQUIRE(d.counts_updates[0].rows.size() == 2);
+  CHECK((d.counts_updates[0].rows[0].group == "coast" && d.counts_updates[0].rows[0].class_index == 1));
+  CHECK(d.counts_updates[0].rows[0].counts == ConnectionCounts{100, 40, 30, 20, 10});
+  CHECK((d.counts_updates[1].ended && !d.counts_updates[1].age));
+  REQUIRE(d.digests.size() == 2);
+  CHECK((d.digests[0].run == 0xabcdef01 && d.digests[0].age == Micros(0) && d.digests[0].ended));
+  CHECK(d.member_list_from == MemberId{0});
+  REQUIRE(d.member_list);
+  CHECK((d.member_list->from == 64 && d.member_list->next == 128 && d.member_list->complete));
+  CHECK(d.member_list->basis == std::string("\x05\x00\xff", 3));
+  CHECK((d.member_list->incarnations.size() == 2 && d.member_list->incarnations[1].member_id == 127));
+  CHECK((d.periodic && d.wants_held_leases));
   REQUIRE(d.evidence.size() == 4);
-  CHECK((d.evidence[1].verdict == Verdict::kSlow && d.evidence[1].server_start == -1 && !d.evidence[1].age));
+  CHECK((d.evidence[1].verdict == HealthVerdict::kSlow && d.evidence[1].endpoint_start == -1 &&
+         !d.evidence[1].age));
   CHECK((d.evidence[0].observations == 9 && d.evidence[0].valid == seconds(6)));
-  CHECK((d.sent.size() == 2 && d.sent[0].server == "s-1" && d.sent[0].count == 17));
-  CHECK((d.asks.size() == 2 && d.asks[0].nonce == 21 && d.asks[0].renews == 22 && d.asks[1].units == 6));
+  CHECK((d.unreported_sends.size() == 2 && d.unreported_sends[0].endpoint == "s-1" &&
+         d.unreported_sends[0].count == 17));
+  CHECK((d.lease_requests.size() == 2 && d.lease_requests[0].nonce == 21 &&
+         d.lease_requests[0].renews == 22 && d.lease_requests[1].units == 6));
   REQUIRE(d.grants.size() == 1);
   CHECK(
       (d.grants[0].lease == 24 && d.grants[0].length == seconds(2) && d.grants[0].borrower.generation == 12));
-  REQUIRE((d.returns.size() == 1 && d.settled.size() == 1));
-  CHECK((d.returns[0].lender.generation == 11 && d.returns[0].budget == "quota:coast" &&
+  REQUIRE((d.returns.size() == 1 && d.return_acks.size() == 1));
+  CHECK((d.returns[0].lender.generation == 11 && d.returns[0].quota == "quota:coast" &&
          d.returns[0].units == 3));
-  CHECK((d.settled[0].lease == 24 && d.settled[0].borrower.id == 0x8877665544332211));
-  REQUIRE((d.held && d.held->items.size() == 2));
-  CHECK((d.held->covers == 25 && d.held->items[1].lease == 26 && d.held->items[1].units == 1));
-  CHECK((d.idle.size() == 2 && d.idle[1].budget == "probes" && d.idle[1].units == 200));
+  CHECK((d.return_acks[0].lease == 24 && d.return_acks[0].borrower.id == 0x8877665544332211));
+  REQUIRE((d.held_leases && d.held_leases->items.size() == 2));
+  CHECK((d.held_leases->covers == 25 && d.held_leases->items[1].lease == 26 &&
+         d.held_leases->items[1].units == 1));
+  CHECK((d.idle_units.size() == 2 && d.idle_units[1].quota == "probes" && d.idle_units[1].units == 200));
 }
 
 // Relays at the first `started` of some places. They talk to each other without loss.
 class SmallFleet {
  public:
-  SmallFleet(Slot places, Slot started) : places_(places) {
-    for (Slot slot = 0; slot < started; ++slot) Start(slot, {100 + slot, 1000 + slot});
+  SmallFleet(MemberId places, MemberId started) : places_(places) {
+    for (MemberId slot = 0; slot < started; ++slot) Start(slot, {100 + slot, 1000 + slot});
   }
-  static std::string NameOf(Slot slot) { return slot == 3 ? "n\"3\"" : fmt::format("n{}", slot); }
-  Node& At(Slot slot) { return *nodes_.at(slot); }
+  static std::string NameOf(MemberId slot) { return slot == 3 ? "n\"3\"" : fmt::format("n{}", slot); }
+  FleetNode& At(MemberId slot) { return *nodes_.at(slot); }
   Micros Now() const { return now_; }
 
-  void Start(Slot slot, const Life& life) {
+  void Start(MemberId slot, const Incarnation& incarnation) {
     Settings s;
     s.fleet = kFleetName;
     s.self = slot;
-    s.slots = places_;
-    for (Slot k = 0; k < places_; ++k) {
+    s.fleet_size = places_;
+    for (MemberId k = 0; k < places_; ++k) {
       if (k != slot) s.peers.push_back({k, NameOf(k)});
     }
-    s.budgets = {{"attempts", 40, seconds(1)}, {"quota:coast", 20, Micros(0)}};
-    s.each = {{"cold", 15, seconds(1)}};
-    s.stale = seconds(5);
-    s.taken_per_s = 10;
-    s.most_open = 100;
-    nodes_[slot] = std::make_unique<Node>(s, NameOf(slot), life, 7 + slot, now_);
-    nodes_[slot]->Servers().Listed({{"s-1", 1}, {"s-2", 2}, {"s-3", 3}, {"s-4", 4}, {"s-5", 5}});
+    s.quotas = {{"attempts", 40, seconds(1)}, {"quota:coast", 20, Micros(0)}};
+    s.quota_templates = {{"cold", 15, seconds(1)}};
+    s.stale_after = seconds(5);
+    s.max_accepted_per_s = 10;
+    s.max_open = 100;
+    nodes_[slot] = std::make_unique<FleetNode>(s, NameOf(slot), incarnation, 7 + slot, now_);
+    nodes_[slot]->Outliers().SetEndpoints({{"s-1", 1}, {"s-2", 2}, {"s-3", 3}, {"s-4", 4}, {"s-5", 5}});
   }
-  void Stop(Slot slot) { nodes_.erase(slot); }
-  void Leave(Slot slot) {
+  void Stop(MemberId slot) { nodes_.erase(slot); }
+  void Leave(MemberId slot) {
     At(slot).Leave(now_, out_);
     Carry();
     Stop(slot);
   }
-  void Hear(Slot to, const Datagram& d) {
+  void Hear(MemberId to, const Datagram& d) {
     At(to).OnDatagram(now_, d, out_);
     Carry();
   }
-  void Spend(Slot slot, const std::string& budget, int times) {
+  void Spend(MemberId slot, const std::string& budget, int times) {
     for (int k = 0; k < times; ++k) {
-      At(slot).Spend(now_, budget, out_);
+      At(slot).TryAcquire(now_, budget, out_);
       Carry();
     }
   }
@@ -277,7 +282,7 @@
   void Run(Micros span, const std::function<void()>& each) {
     for (const Micros end = now_ + span; now_ < end;) {
       now_ += milliseconds(250);
-      for (Slot slot = 0; slot < places_; ++slot) {
+      for (MemberId slot = 0; slot < places_; ++slot) {
         if (!nodes_.contains(slot)) continue;
         At(slot).Tick(now_, out_);
         Carry();
@@ -305,13 +310,13 @@
     CHECK(out_.empty());
   }
 
-  const Slot places_;
+  const MemberId places_;
   Micros now_ = seconds(1000);
-  std::map<Slot, std::unique_ptr<Node>> nodes_;
-  Out out_;
+  std::map<MemberId, std::unique_ptr<FleetNode>> nodes_;
+  Outbox out_;
 };
 
-std::string StatusOf(SmallFleet& fleet, Slot slot, const StatusExtra& extra = {}) {
+std::string StatusOf(SmallFleet& fleet, MemberId slot, const StatusExtra& extra = {}) {
   return StatusJson(fleet.At(slot), SmallFleet::NameOf(slot), {"chat", "fe\\ed"}, fleet.Now(), extra) + '\n';
 }
 
@@ -330,7 +335,7 @@
 }
 
 // One connection with each end, and one that stays open.
-void Connect(SmallFleet& fleet, Slot slot) {
+void Connect(SmallFleet& fleet, MemberId slot) {
   Accounts& accounts = fleet.At(slot).Own();
   const char* group = slot % 2 == 0 ? "coast" : "";
   for (const auto end : {Accounts::End::kServed, Accounts::End::kRefused, Accounts::End::kFailed}) {
@@ -343,7 +348,7 @@
 TEST_CASE("the operators' status of a relay is the golden text") {
   SmallFleet fleet(5, 4);  // Nobody ever sits at the last place.
   std::string all = CheckStatus("start", StatusOf(fleet, 0));
-  for (Slot slot = 0; slot < 4; ++slot) Connect(fleet, slot);
+  for (MemberId slot = 0; slot < 4; ++slot) Connect(fleet, slot);
   fleet.Run(seconds(12), [] {});
   for (int k = 0; k < 8; ++k) {
     fleet.Spend(0, "attempts", 9);
@@ -351,9 +356,10 @@
     fleet.Spend(2, "quota:coast", 6);
     fleet.Spend(2, "cold:s-5", 4);
     fleet.Run(milliseconds(250), [&] {
-      for (const Slot slot : {1, 2}) fleet.At(slot).Servers().Observe(fleet.Now(), "s-1", Verdict::kFailing);
-      fleet.At(0).Servers().Observe(fleet.Now(), "s-2", Verdict::kSlow);
-      fleet.At(2).Servers().Observe(fleet.Now(), "s-2", Verdict::kFull);
+      for (const MemberId slot : {1, 2})
+        fleet.At(slot).Outliers().Observe(fleet.Now(), "s-1", HealthVerdict::kFailing);
+      fleet.At(0).Outliers().Observe(fleet.Now(), "s-2", HealthVerdict::kSlow);
+      fleet.At(2).Outliers().Observe(fleet.Now(), "s-2", HealthVerdict::kOverloaded);
     });
   }
   all += CheckStatus("busy-0", StatusOf(fleet, 0, {31, 32}));
@@ -363,8 +369,8 @@
   // One witness finds most servers bad which the others find fine.
   fleet.Run(seconds(9), [&] {
     for (const char* server : {"s-3", "s-4", "s-5"}) {
-      fleet.At(3).Servers().Observe(fleet.Now(), server, Verdict::kFailing);
-      fleet.At(0).Servers().Observe(fleet.Now(), server, Verdict::kFine);
+      fleet.At(3).Outliers().Observe(fleet.Now(), server, HealthVerdict::kFailing);
+      fleet.At(0).Outliers().Observe(fleet.Now(), server, HealthVerdict::kHealthy);
     }
   });
   all += CheckStatus("distrust", StatusOf(fleet, 0));
@@ -375,7 +381,7 @@
   std::string suspicion;
   fleet.Run(seconds(8), [&] {
     const auto* member = fleet.At(0).Members().Find(2);
-    if (suspicion.empty() && member->standing == Standing::kSuspected) suspicion = StatusOf(fleet, 0);
+    if (suspicion.empty() && member->standing == MemberState::kSuspect) suspicion = StatusOf(fleet, 0);
   });
   all += CheckStatus("suspicion", suspicion);
   fleet.Leave(3);
@@ -384,7 +390,7 @@
   fleet.Hear(0, stranger);
   stranger.from = 1;
   stranger.name = "n1";
-  stranger.life = {101, 1001};
+  stranger.incarnation = {101, 1001};
   fleet.Hear(0, stranger);
   fleet.Run(milliseconds(2500), [] {});
   all += CheckStatus("left", StatusOf(fleet, 0));
@@ -402,7 +408,7 @@
 
 TEST_CASE("the operators' status of a whole fleet is the golden text") {
   SmallFleet fleet(3, 3);
-  for (Slot slot = 0; slot < 3; ++slot) Connect(fleet, slot);
+  for (MemberId slot = 0; slot < 3; ++slot) Connect(fleet, slot);
   fleet.Run(seconds(6), [] {});
   for (int k = 0; k < 8; ++k) {
     fleet.Spend(1, "quota:coast", 9);
