--- a/src/fleet/io/status.cpp
+++ b/src/fleet/io/status.cpp
@@ -27,11 +27,11 @@
 
 std::int64_t Ms(Micros t) { return t.count() / 1000; }
 std::string Ms(std::optional<Micros> t) { return t ? std::to_string(Ms(*t)) : "null"; }
-std::string High(std::uint64_t n) { return n == FleetCounts::kUnbounded ? "null" : std::to_string(n); }
+std::string High(std::uint64_t n) { return n == kUnbounded ? "null" : std::to_string(n); }
 
-std::string Bounds(const FleetCounts::Total& t) {
+std::string Bounds(const ConnectionTotals& t) {
   std::string out;
-  const auto add = [&](const char* name, const FleetCounts::Interval& b) {
+  const auto add = [&](const char* name, const Interval& b) {
     out += fmt::format(R"("{}":[{},{}],)", name, b.low, High(b.high));
   };
   add("taken", t.accepted);
@@ -61,7 +61,7 @@
   fmt::format_to(add, R"("own_fault":{},"twins":{},"balanced":{},"members":[)", members.LocalHealthScore(),
                  members.HasDuplicate(), node.Balanced());
   const char* comma = "";
-  const auto sizes = node.OtherSizes();
+  const auto sizes = node.FleetSizeMismatches();
   for (const auto& m : members.Members()) {
     std::uint32_t places = s.fleet_size;
     for (const auto& [member_id, other] : sizes) places = member_id == m.member_id ? other : places;
@@ -70,7 +70,7 @@
                    R"("incarnation":{},"lives":{},)",
                    comma, m.member_id, Quoted(m.name),
                    m.incarnation ? kStateNames[static_cast<std::size_t>(m.state)] : "unheard",
-                   Ms(now - m.since), m.incarnation.generation, m.refutations, m.incarnations);
+                   Ms(now - m.since), m.incarnation.generation, m.refutations, m.incarnations_seen);
     fmt::format_to(add, R"("answered_ms":{},"twins":{},"places":{}}})",
                    Ms(m.last_ack_at ? std::optional(now - *m.last_ack_at) : std::nullopt), m.duplicate,
                    places);
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -8,19 +8,27 @@
 namespace {
 
 constexpr unsigned kMaxHealthScore = 8;  // As Lifeguard bounds its multiplier.
-constexpr int kHelpers = 3;              // OnPingRequest to ping at one who does not ack.
-// A member answers within this part of a period, or others are asked.
-constexpr int kAnswerPart = 3;
-constexpr unsigned kTellFactor = 3;  // Times log2 of the fleet: how often a piece of update is passed on.
-constexpr double kSuspicionPeriods = 3.0;  // Times log10 of the fleet; three times that while nobody agrees.
-constexpr std::size_t kMostFormer = 16;    // Runs remembered for a name.
-// A run that is ended can still be heard of with a generation that it rose to before its end, as often as it
-// rose, which is once or twice. Two processes that run at once raise themselves in turn without end.
+constexpr std::size_t kHelpers = 3;      // Asked to ping a member that does not acknowledge.
+constexpr int kAckTimeoutDivisor = 3;    // Of a period: without an ack by then helpers are asked.
+constexpr int kPingTimeoutFactor = 3;  // Of the ack timeout: without an ack by then the member is suspected.
+constexpr unsigned kGossipFactor = 3;  // Times log2 of the fleet: how often an update is passed on.
+// Times log10 of the fleet, in periods; three times that while nobody confirms the suspicion.
+constexpr double kSuspicionPeriods = 3.0;
+constexpr double kUnconfirmedFactor = 3.0;
+constexpr std::size_t kMaxFormer = 16;  // Incarnations remembered of a name.
+// An incarnation that ended can still be heard of with a generation that it rose to before its end, as often
+// as it rose, which is once or twice. Two processes that run at once raise themselves in turn without end.
 constexpr unsigned kDuplicateRaises = 4;
 constexpr int kPausedTicks = 4;  // So many ticks late: the process was stopped, not merely busy.
 
-// A run that is not `b` and comes after it.
-bool After(const Incarnation& a, const Incarnation& b) { return a.id != b.id && a > b; }
+// True if `other` is another run than `than` and follows it.
+bool Follows(const Incarnation& other, const Incarnation& than) {
+  return other.id != than.id && other > than;
+}
+
+bool MayAnswer(const Membership::Member& member) {
+  return member.state == MemberState::kAlive || member.state == MemberState::kSuspect;
+}
 
 }  // namespace
 
@@ -32,297 +40,336 @@
 
 void Membership::Follow(const std::vector<Peer>& peers, Micros now) {
   settings_.peers = peers;
-  std::vector<Member> kept;
-  for (const Peer& p : peers) {
-    const Member* old = Find(p.member_id);
-    if (old != nullptr && old->name == p.name) {
-      kept.push_back(*old);
-    } else {
-      Member fresh;
-      fresh.member_id = p.member_id;
-      fresh.name = p.name;
-      fresh.since = now;
-      kept.push_back(fresh);
-      former_.erase(p.member_id);
-      returns_.erase(p.member_id);
-      pending_gossip_.erase(p.member_id);
-      suspected_until_.erase(p.member_id);
+  std::vector<Member> members;
+  for (const Peer& peer : peers) {
+    const Member* known = Find(peer.member_id);
+    if (known != nullptr && known->name == peer.name) {
+      members.push_back(*known);
+      continue;
     }
+    Member added;
+    added.member_id = peer.member_id;
+    added.name = peer.name;
+    added.since = now;
+    members.push_back(added);
+    ForgetStateOf(peer.member_id);
   }
-  std::sort(kept.begin(), kept.end(),
+  std::sort(members.begin(), members.end(),
             [](const Member& a, const Member& b) { return a.member_id < b.member_id; });
-  members_ = std::move(kept);
-  std::erase_if(pending_gossip_,
-                [&](const auto& r) { return r.first != settings_.self && Find(r.first) == nullptr; });
-  std::erase_if(suspected_until_, [&](const auto& s) { return Find(s.first) == nullptr; });
-  std::erase_if(pending_, [&](const auto& p) { return Find(p.second.target) == nullptr; });
-  order_.clear();
-  cursor_ = 0;
+  members_ = std::move(members);
+  std::erase_if(pending_gossip_, [&](const auto& pending) {
+    return pending.first != settings_.self && Find(pending.first) == nullptr;
+  });
+  std::erase_if(suspected_until_, [&](const auto& suspect) { return Find(suspect.first) == nullptr; });
+  std::erase_if(pending_pings_, [&](const auto& pending) { return Find(pending.second.target) == nullptr; });
+  ping_order_.clear();
+  next_in_order_ = 0;
+}
+
+void Membership::ForgetStateOf(MemberId member_id) {
+  former_.erase(member_id);
+  returns_.erase(member_id);
+  pending_gossip_.erase(member_id);
+  suspected_until_.erase(member_id);
 }
 
+// ---- look-ups ----
+
 const Membership::Member* Membership::Find(MemberId member_id) const {
-  const auto at = std::lower_bound(members_.begin(), members_.end(), member_id,
-                                   [](const Member& m, MemberId s) { return m.member_id < s; });
+  const auto at =
+      std::lower_bound(members_.begin(), members_.end(), member_id,
+                       [](const Member& member, MemberId sought) { return member.member_id < sought; });
   return at != members_.end() && at->member_id == member_id ? &*at : nullptr;
 }
 
-Membership::Member* Membership::Mutable(MemberId member_id) {
+Membership::Member* Membership::FindMutable(MemberId member_id) {
   return const_cast<Member*>(std::as_const(*this).Find(member_id));
 }
 
-bool Membership::Present(MemberId member_id, const Incarnation& incarnation) const {
-  const Member* m = Find(member_id);
-  return m != nullptr && m->incarnation.id == incarnation.id && m->incarnation.generation != 0;
+bool Membership::IsPresent(MemberId member_id, const Incarnation& incarnation) const {
+  const Member* member = Find(member_id);
+  return member != nullptr && member->incarnation.id == incarnation.id && member->incarnation.generation != 0;
 }
 
 std::size_t Membership::Alive() const {
-  return static_cast<std::size_t>(std::count_if(members_.begin(), members_.end(), [](const Member& m) {
-    return m.state == MemberState::kAlive || m.state == MemberState::kSuspect;
-  }));
+  return static_cast<std::size_t>(std::count_if(members_.begin(), members_.end(), MayAnswer));
 }
 
-std::optional<MemberId> Membership::AnyAlive(std::optional<MemberId> but) {
+std::optional<MemberId> Membership::AnyAlive() {
   std::vector<MemberId> alive;
-  for (const Member& m : members_) {
-    if ((m.state == MemberState::kAlive || m.state == MemberState::kSuspect) && m.member_id != but)
-      alive.push_back(m.member_id);
+  for (const Member& member : members_) {
+    if (MayAnswer(member)) alive.push_back(member.member_id);
   }
   if (alive.empty()) return std::nullopt;
   return alive[random_.Below(alive.size())];
 }
 
-void Membership::QueueGossip(MemberId member_id) {
-  const double n = static_cast<double>(members_.size()) + 2;
-  pending_gossip_[member_id] = kTellFactor * static_cast<unsigned>(std::ceil(std::log2(n)));
-}
+// ---- member states ----
 
-void Membership::SetState(Member& m, MemberState state, std::uint32_t refutations, Micros now) {
-  if (m.state != state) m.since = now;
-  m.state = state;
-  m.refutations = refutations;
-  if (state != MemberState::kSuspect) suspected_until_.erase(m.member_id);
-  QueueGossip(m.member_id);
+void Membership::SetState(Member& member, MemberState state, std::uint32_t refutations, Micros now) {
+  if (member.state != state) member.since = now;
+  member.state = state;
+  member.refutations = refutations;
+  if (state != MemberState::kSuspect) suspected_until_.erase(member.member_id);
+  QueueGossip(member.member_id);
 }
 
-Micros Membership::SuspicionTime(unsigned confirmations) const {
-  const double n = static_cast<double>(members_.size()) + 1;
-  const double least = kSuspicionPeriods * std::max(1.0, std::log10(n));
-  const double most = 3 * least;
-  const double agreed = std::log2(1.0 + confirmations) / std::log2(1.0 + kHelpers);
-  const double periods = std::max(least, most - (most - least) * agreed);
+void Membership::WorsenHealth(unsigned by) { health_score_ = std::min(health_score_ + by, kMaxHealthScore); }
+
+// Lifeguard's: shrinks with the logarithm of the confirmations, and is longer while this relay itself is
+// slow.
+Micros Membership::SuspicionTimeout(unsigned confirmations) const {
+  const double fleet_size = static_cast<double>(members_.size()) + 1;
+  const double least = kSuspicionPeriods * std::max(1.0, std::log10(fleet_size));
+  const double most = kUnconfirmedFactor * least;
+  const double confirmed = std::log2(1.0 + confirmations) / std::log2(1.0 + static_cast<double>(kHelpers));
+  const double periods = std::max(least, most - (most - least) * confirmed);
   return Micros(static_cast<std::int64_t>(static_cast<double>(settings_.period.count()) * periods *
                                           (1 + health_score_)));
 }
 
-MemberUpdate Membership::UpdateAbout(const Member& m) const {
-  return {m.member_id, m.incarnation, m.refutations, m.state};
-}
-MemberUpdate Membership::SelfUpdate() const {
-  return {settings_.self, self_, refutations_, MemberState::kAlive};
-}
-
-MemberUpdate Membership::Leave() { return {settings_.self, self_, refutations_, MemberState::kLeft}; }
-
 Membership::Change Membership::OnUpdate(Micros now, const MemberUpdate& update) {
   if (!update.incarnation) return {};
   if (update.member_id == settings_.self) {
-    if (update.incarnation.id == self_.id) {
-      // Somebody took us for gone: a higher refutations is the one thing that overrules that.
-      if (update.state != MemberState::kAlive && update.refutations >= refutations_) {
-        refutations_ = update.refutations + 1;
-        health_score_ = std::min(health_score_ + 1, kMaxHealthScore);
-        ++counts_.refuted;
-        QueueGossip(settings_.self);
-      }
-      return {};
-    }
-    // Another run of our own name. A former self can't raise its generation for ever; who does, runs now.
-    const auto [rival, fresh] = rivals_.try_emplace(update.incarnation.id, update.incarnation.generation);
-    if (!fresh && update.incarnation.generation > rival->second) {
-      rival->second = update.incarnation.generation;
-      if (++rival_raises_ == kDuplicateRaises) {
-        has_duplicate_ = true;
-        ++counts_.duplicate;
-      }
-    }
-    if (rivals_.size() > kMostFormer) rivals_.erase(rivals_.begin());
-    if (After(update.incarnation, self_)) {
-      self_.generation = update.incarnation.generation + 1;
-      ++counts_.raised;
-      QueueGossip(settings_.self);
-    }
+    OnSelfUpdate(update);
     return {};
   }
-  Member* m = Mutable(update.member_id);
-  if (m == nullptr) return {};
-  if (update.incarnation.id == m->incarnation.id) {
-    m->incarnation.generation = std::max(m->incarnation.generation, update.incarnation.generation);
-    if (update.refutations < m->refutations) return {};
-    if (update.refutations == m->refutations && update.state <= m->state) {
-      // Somebody else suspects it, too: the more agree, the sooner it is silent.
-      if (update.state == MemberState::kSuspect && m->state == MemberState::kSuspect) {
-        auto& until = suspected_until_[m->member_id];
-        until = std::min(until, m->since + SuspicionTime(1));
-      }
-      return {};
+  Member* member = FindMutable(update.member_id);
+  if (member == nullptr) return {};
+  if (update.incarnation.id == member->incarnation.id) return OnPresentIncarnation(*member, update, now);
+  if (Follows(update.incarnation, member->incarnation)) return OnNewIncarnation(*member, update, now);
+  return {};
+}
+
+void Membership::OnSelfUpdate(const MemberUpdate& update) {
+  if (update.incarnation.id != self_.id) {
+    OnRivalIncarnation(update.incarnation);
+    return;
+  }
+  // Refute: a higher number is the one thing that overrides a suspicion.
+  if (update.state == MemberState::kAlive || update.refutations < refutations_) return;
+  refutations_ = update.refutations + 1;
+  WorsenHealth(1);
+  ++counts_.refuted;
+  QueueGossip(settings_.self);
+}
+
+// Another run of the own name. A former one can't raise its generation for ever; one that does runs now.
+void Membership::OnRivalIncarnation(const Incarnation& rival) {
+  const auto [known, fresh] = rivals_.try_emplace(rival.id, rival.generation);
+  if (!fresh && rival.generation > known->second) {
+    known->second = rival.generation;
+    if (++rival_raises_ == kDuplicateRaises) {
+      has_duplicate_ = true;
+      ++counts_.duplicate;
     }
-    if (update.state == MemberState::kSuspect) {
-      suspected_until_[m->member_id] = now + SuspicionTime(0);
-      ++counts_.suspicions;
+  }
+  if (rivals_.size() > kMaxFormer) rivals_.erase(rivals_.begin());
+  if (!Follows(rival, self_)) return;
+  self_.generation = rival.generation + 1;
+  ++counts_.raised;
+  QueueGossip(settings_.self);
+}
+
+Membership::Change Membership::OnPresentIncarnation(Member& member, const MemberUpdate& update, Micros now) {
+  member.incarnation.generation = std::max(member.incarnation.generation, update.incarnation.generation);
+  if (update.refutations < member.refutations) return {};
+  if (update.refutations == member.refutations && update.state <= member.state) {
+    // A confirmation: the more members agree, the sooner the suspect is declared dead.
+    if (update.state == MemberState::kSuspect && member.state == MemberState::kSuspect) {
+      auto& until = suspected_until_[member.member_id];
+      until = std::min(until, member.since + SuspicionTimeout(1));
     }
-    SetState(*m, update.state, update.refutations, now);
-    return {false, {}, update.state == MemberState::kLeft};
+    return {};
+  }
+  if (update.state == MemberState::kSuspect) {
+    suspected_until_[member.member_id] = now + SuspicionTimeout(0);
+    ++counts_.suspicions;
   }
-  if (!After(update.incarnation, m->incarnation)) return {};
+  SetState(member, update.state, update.refutations, now);
+  return {false, {}, update.state == MemberState::kLeft};
+}
+
+Membership::Change Membership::OnNewIncarnation(Member& member, const MemberUpdate& update, Micros now) {
   auto& former = former_[update.member_id];
-  if (const auto known = former.find(update.incarnation.id);
-      known != former.end() && update.incarnation.generation > known->second) {
-    if (++returns_[update.member_id] == kDuplicateRaises) {
-      m->duplicate = true;
-      ++counts_.duplicate;
-    }
+  const auto known = former.find(update.incarnation.id);
+  const bool returned = known != former.end() && update.incarnation.generation > known->second;
+  if (returned && ++returns_[update.member_id] == kDuplicateRaises) {
+    member.duplicate = true;
+    ++counts_.duplicate;
   }
   Change change;
-  if (m->incarnation) {
-    former[m->incarnation.id] = m->incarnation.generation;
-    if (former.size() > kMostFormer) former.erase(former.begin());
-    change = {true, m->incarnation, false};
+  if (member.incarnation) {
+    former[member.incarnation.id] = member.incarnation.generation;
+    if (former.size() > kMaxFormer) former.erase(former.begin());
+    change = {true, member.incarnation, false};
   }
-  m->incarnation = update.incarnation;
-  ++m->incarnations;
-  m->last_ack_at.reset();
-  std::erase_if(pending_, [&](const auto& p) { return p.second.target == update.member_id; });
-  if (update.state == MemberState::kSuspect) suspected_until_[m->member_id] = now + SuspicionTime(0);
-  SetState(*m, update.state, update.refutations, now);
-  m->since = now;
+  member.incarnation = update.incarnation;
+  ++member.incarnations_seen;
+  member.last_ack_at.reset();
+  std::erase_if(pending_pings_,
+                [&](const auto& pending) { return pending.second.target == update.member_id; });
+  if (update.state == MemberState::kSuspect) suspected_until_[member.member_id] = now + SuspicionTimeout(0);
+  SetState(member, update.state, update.refutations, now);
+  member.since = now;
   return change;
 }
 
-std::vector<std::pair<MemberId, Ping>> Membership::StartPing(Micros now, MemberId member_id) {
-  const std::uint64_t nonce = random_.Next() | 1U;
-  pending_[nonce] = {member_id, now, false, std::nullopt};
-  ++counts_.pings;
-  return {{member_id, Ping{nonce, std::nullopt}}};
-}
+// ---- failure detection ----
 
-std::vector<std::pair<MemberId, Ping>> Membership::Tick(Micros now) {
-  std::vector<std::pair<MemberId, Ping>> out;
-  if (now - last_tick_ > settings_.tick * kPausedTicks) {
-    // This process stood still. Nobody else did wrong, and its own suspicions get their time anew.
-    const Micros lost = now - last_tick_;
-    std::erase_if(pending_, [](const auto& p) { return !p.second.for_other; });
-    for (auto& [member_id, until] : suspected_until_) until += lost;
-    health_score_ = std::min(health_score_ + 2, kMaxHealthScore);
-    ++counts_.pauses;
+std::vector<Membership::OutgoingPing> Membership::Tick(Micros now) {
+  DetectPause(now);
+  const Micros ack_timeout = settings_.period / kAckTimeoutDivisor * static_cast<int>(1 + health_score_);
+  std::vector<std::uint64_t> expired;
+  for (const auto& [nonce, pending] : pending_pings_) {
+    if (now >= pending.at + kPingTimeoutFactor * ack_timeout) expired.push_back(nonce);
   }
-  last_tick_ = now;
-  const Micros wait = settings_.period / kAnswerPart * static_cast<int>(1 + health_score_);
-  std::vector<std::uint64_t> ended;
-  std::vector<std::pair<MemberId, std::uint64_t>> indirect;
-  for (auto& [nonce, p] : pending_) {
-    if (!p.indirect_sent && !p.for_other && now >= p.at + wait) {
-      p.indirect_sent = true;
-      indirect.emplace_back(p.target, nonce);
-    }
-    if (now >= p.at + 3 * wait) ended.push_back(nonce);
-  }
-  for (const auto& [target, nonce] : indirect) {
+  std::vector<OutgoingPing> out;
+  SendIndirectPings(now, ack_timeout, out);
+  ExpirePings(expired, now);
+  ExpireSuspicions(now);
+  SendNextPing(now, out);
+  return out;
+}
+
+void Membership::DetectPause(Micros now) {
+  const Micros since_last = now - std::exchange(last_tick_, now);
+  if (since_last <= settings_.tick * kPausedTicks) return;
+  // This process stood still. Nobody else did wrong, and its own suspicions get their time anew.
+  std::erase_if(pending_pings_, [](const auto& pending) { return !pending.second.on_behalf; });
+  for (auto& [member_id, until] : suspected_until_) until += since_last;
+  WorsenHealth(2);
+  ++counts_.pauses;
+}
+
+void Membership::SendIndirectPings(Micros now, Micros ack_timeout, std::vector<OutgoingPing>& out) {
+  for (auto& [nonce, pending] : pending_pings_) {
+    if (pending.indirect_sent || pending.on_behalf || now < pending.at + ack_timeout) continue;
+    pending.indirect_sent = true;
     std::vector<MemberId> helpers;
-    for (const Member& m : members_) {
-      if (m.state == MemberState::kAlive && m.member_id != target) helpers.push_back(m.member_id);
+    for (const Member& member : members_) {
+      if (member.state == MemberState::kAlive && member.member_id != pending.target)
+        helpers.push_back(member.member_id);
     }
     random_.Shuffle(helpers);
     if (helpers.size() > kHelpers) helpers.resize(kHelpers);
-    for (const MemberId h : helpers) out.emplace_back(h, Ping{nonce, target});
+    for (const MemberId helper : helpers) out.push_back({helper, Ping{nonce, pending.target}});
     counts_.indirect += helpers.size();
   }
-  for (const std::uint64_t nonce : ended) {
-    const Pending p = pending_[nonce];
-    pending_.erase(nonce);
-    if (p.for_other) continue;
+}
+
+void Membership::ExpirePings(const std::vector<std::uint64_t>& expired, Micros now) {
+  for (const std::uint64_t nonce : expired) {
+    const PendingPing pending = pending_pings_[nonce];
+    pending_pings_.erase(nonce);
+    if (pending.on_behalf) continue;
     ++counts_.unanswered;
-    health_score_ = std::min(health_score_ + 1, kMaxHealthScore);
-    Member* m = Mutable(p.target);
-    if (m == nullptr || m->state != MemberState::kAlive) continue;
+    WorsenHealth(1);
+    Member* member = FindMutable(pending.target);
+    if (member == nullptr || member->state != MemberState::kAlive) continue;
     ++counts_.suspicions;
-    SetState(*m, MemberState::kSuspect, m->refutations, now);
-    suspected_until_[p.target] = now + SuspicionTime(0);
+    SetState(*member, MemberState::kSuspect, member->refutations, now);
+    suspected_until_[pending.target] = now + SuspicionTimeout(0);
   }
+}
+
+void Membership::ExpireSuspicions(Micros now) {
   for (auto it = suspected_until_.begin(); it != suspected_until_.end();) {
     const auto [member_id, until] = *it;
-    ++it;
-    Member* m = Mutable(member_id);
-    if (m == nullptr || now < until) continue;
+    ++it;  // SetState erases the entry.
+    Member* member = FindMutable(member_id);
+    if (member == nullptr || now < until) continue;
     ++counts_.deaths;
-    SetState(*m, MemberState::kDead, m->refutations, now);
+    SetState(*member, MemberState::kDead, member->refutations, now);
   }
-  if (now >= next_ping_ && !members_.empty()) {
-    // A little of chance in the pace: relays that started together must not ping in step.
-    next_ping_ = now + Micros(static_cast<std::int64_t>(static_cast<double>(settings_.period.count()) *
-                                                        (0.75 + 0.5 * random_.Unit())));
-    if (cursor_ >= order_.size()) {
-      order_.clear();
-      for (const Member& m : members_) order_.push_back(m.member_id);
-      random_.Shuffle(order_);
-      cursor_ = 0;
-    }
-    for (auto& ping : StartPing(now, order_[cursor_++])) out.push_back(ping);
+}
+
+// Round-robin over a shuffled list, reshuffled each round, which bounds the time to the first detection
+// (SWIM 4.3).
+void Membership::SendNextPing(Micros now, std::vector<OutgoingPing>& out) {
+  if (now < next_ping_ || members_.empty()) return;
+  // Jitter: relays that started together must not ping in step.
+  next_ping_ = now + Micros(static_cast<std::int64_t>(static_cast<double>(settings_.period.count()) *
+                                                      (0.75 + 0.5 * random_.Unit())));
+  if (next_in_order_ >= ping_order_.size()) {
+    ping_order_.clear();
+    for (const Member& member : members_) ping_order_.push_back(member.member_id);
+    random_.Shuffle(ping_order_);
+    next_in_order_ = 0;
   }
-  return out;
+  const MemberId target = ping_order_[next_in_order_++];
+  const std::uint64_t nonce = random_.Next() | 1U;
+  pending_pings_[nonce] = {target, now, false, std::nullopt};
+  ++counts_.pings;
+  out.push_back({target, Ping{nonce, std::nullopt}});
 }
 
-std::optional<std::pair<MemberId, Ping>> Membership::OnPingRequest(MemberId from, const Ping& ping) {
+std::optional<Membership::OutgoingPing> Membership::OnPingRequest(MemberId from, const Ping& ping) {
   if (!ping.target || *ping.target == settings_.self || Find(*ping.target) == nullptr) return std::nullopt;
   const std::uint64_t nonce = random_.Next() | 1U;
-  pending_[nonce] = {*ping.target, last_tick_, true, std::pair(from, ping.nonce)};
-  return std::pair(*ping.target, Ping{nonce, std::nullopt});
+  pending_pings_[nonce] = {*ping.target, last_tick_, true, OutgoingAck{from, ping.nonce}};
+  return OutgoingPing{*ping.target, Ping{nonce, std::nullopt}};
 }
 
-std::optional<std::pair<MemberId, std::uint64_t>> Membership::OnAck(Micros now, MemberId from,
-                                                                    std::uint64_t nonce) {
-  const auto it = pending_.find(nonce);
-  if (it == pending_.end()) return std::nullopt;
-  const Pending p = it->second;
-  // Only the target itself, or a helper that was asked for it, may say so.
-  if (from != p.target && !p.indirect_sent) return std::nullopt;
-  pending_.erase(it);
-  if (p.for_other) return p.for_other;
+std::optional<Membership::OutgoingAck> Membership::OnAck(Micros now, MemberId from, std::uint64_t nonce) {
+  const auto it = pending_pings_.find(nonce);
+  if (it == pending_pings_.end()) return std::nullopt;
+  const PendingPing pending = it->second;
+  // Only the target itself, or a helper that was asked to ping it, may acknowledge.
+  if (from != pending.target && !pending.indirect_sent) return std::nullopt;
+  pending_pings_.erase(it);
+  if (pending.on_behalf) return pending.on_behalf;
   if (health_score_ > 0) --health_score_;
-  if (Member* m = Mutable(p.target)) m->last_ack_at = std::min(p.at, now);
+  if (Member* member = FindMutable(pending.target)) member->last_ack_at = std::min(pending.at, now);
   return std::nullopt;
 }
 
-std::vector<MemberUpdate> Membership::UpdatesFor(MemberId to, std::size_t room) {
+// ---- dissemination ----
+
+void Membership::QueueGossip(MemberId member_id) {
+  const double fleet_size = static_cast<double>(members_.size()) + 2;
+  pending_gossip_[member_id] = kGossipFactor * static_cast<unsigned>(std::ceil(std::log2(fleet_size)));
+}
+
+std::optional<MemberUpdate> Membership::UpdateAbout(MemberId member_id) const {
+  if (member_id == settings_.self)
+    return MemberUpdate{settings_.self, self_, refutations_, MemberState::kAlive};
+  const Member* member = Find(member_id);
+  if (member == nullptr || !member->incarnation) return std::nullopt;
+  return MemberUpdate{member_id, member->incarnation, member->refutations, member->state};
+}
+
+MemberUpdate Membership::LeaveUpdate() const {
+  return {settings_.self, self_, refutations_, MemberState::kLeft};
+}
+
+std::vector<MemberUpdate> Membership::UpdatesFor(MemberId to, std::size_t max_bytes) {
   std::vector<MemberUpdate> out;
   const auto add = [&](const MemberUpdate& update) {
     const std::size_t size = SizeOf(update);
-    if (size > room) return false;
-    room -= size;
+    if (size > max_bytes) return false;
+    max_bytes -= size;
     out.push_back(update);
     return true;
   };
-  const auto of = [&](MemberId member_id) -> std::optional<MemberUpdate> {
-    if (member_id == settings_.self) return SelfUpdate();
-    const Member* m = Find(member_id);
-    return m != nullptr && m->incarnation ? std::optional(UpdateAbout(*m)) : std::nullopt;
-  };
-  // What is said of the receiver itself, so that it can disprove it, or learn of its former run.
-  if (const Member* m = Find(to); m != nullptr && m->incarnation && m->state != MemberState::kAlive)
-    add(UpdateAbout(*m));
-  std::vector<std::pair<unsigned, MemberId>> most;
-  most.reserve(pending_gossip_.size());
-  for (const auto& [member_id, left] : pending_gossip_) most.emplace_back(left, member_id);
-  std::sort(most.rbegin(), most.rend());
-  for (const auto& [left, member_id] : most) {
-    const auto update = of(member_id);
+  // What is believed of the receiver itself, so that it can refute it, or learn of its former incarnation.
+  if (const auto update = UpdateAbout(to); update && update->state != MemberState::kAlive) add(*update);
+  std::vector<std::pair<unsigned, MemberId>> by_urgency;
+  by_urgency.reserve(pending_gossip_.size());
+  for (const auto& [member_id, times_left] : pending_gossip_) by_urgency.emplace_back(times_left, member_id);
+  std::sort(by_urgency.rbegin(), by_urgency.rend());
+  for (const auto& [times_left, member_id] : by_urgency) {
+    const auto update = UpdateAbout(member_id);
     if (!update || member_id == to) continue;
     if (!add(*update)) return out;
     if (--pending_gossip_[member_id] == 0) pending_gossip_.erase(member_id);
   }
-  // Something that was told often enough, by turns: who missed it then learns it late, but does.
+  // Then one member in turn, gossiped often enough or not: a relay that missed the update learns it late, but
+  // does.
   if (!members_.empty()) {
-    const Member& m = members_[filler_++ % members_.size()];
-    if (m.incarnation && m.member_id != to) add(UpdateAbout(m));
+    const MemberId repeated = members_[next_repeated_++ % members_.size()].member_id;
+    const auto update = UpdateAbout(repeated);
+    if (update && repeated != to) add(*update);
   }
   return out;
 }
--- a/src/fleet/node.cpp
+++ b/src/fleet/node.cpp
@@ -2,33 +2,44 @@
 
 #include <algorithm>
 #include <cmath>
+#include <utility>
+
+#include "fleet/datagram_trim.h"
 
 namespace stoatrun::fleet {
 namespace {
 
 using std::chrono::milliseconds;
-using std::chrono::seconds;
-
-constexpr std::size_t kMostSentAt = 64;
-constexpr Micros kUnreportedFor =
-    milliseconds(1500);                           // So long a send may be missing in a endpoint's reports.
-constexpr Micros kSentNews = milliseconds(1500);  // What a peer told of its sends is of use so long.
-constexpr std::size_t kMostSends = 4096;
-// Shares of a datagram. What is urgent goes first; counts fill the rest of an ack.
-constexpr std::size_t kRoomMembers = 200, kRoomEvidence = 220, kRoomHave = 420, kRoomCounts = 820,
-                      kRoomRoster = 800, kRoomFresher = 300;
-constexpr std::size_t kMostSentTold = 12, kMostIdleTold = 8, kMostReturns = 8;
-constexpr std::size_t kTellLeave = 5;
-constexpr Micros kRequestInterval =
-    milliseconds(50);  // What is rejected makes requests go out, but not quota_templates time.
-
-// Up to 16 relays quota_templates tick; beyond that pauses grow with the logarithm, so that what one relay
-// sends does not grow with the fleet.
-Micros GossipPause(Micros tick, std::size_t peers) {
+
+// Bytes of a datagram that each part may take. What is urgent goes first; counts fill the rest of an answer.
+constexpr std::size_t kMemberUpdateBytes = 200, kEvidenceBytes = 220, kDigestBytes = 420,
+                      kCountsUpdateBytes = 820, kMemberListBytes = 800, kFresherDigestBytes = 300;
+constexpr std::size_t kMaxSendsGossiped = 12, kMaxIdleGossiped = 8, kMaxReturnsSent = 8;
+constexpr std::size_t kLeaseRequestBytes = 64;     // Without the quota's name.
+constexpr std::size_t kNotifiedOfLeave = 5;        // Enough that gossip reaches the others.
+constexpr Micros kDeniedPause = milliseconds(50);  // A denial makes lease requests go out, but not each one.
+
+// Up to 16 relays each tick; beyond that pauses grow with the logarithm, so that what one relay sends does
+// not grow with the fleet.
+Micros GossipInterval(Micros tick, std::size_t peers) {
   const double beyond = std::max(0.0, std::log2(static_cast<double>(peers + 1) / 16.0));
   return Micros(static_cast<std::int64_t>(static_cast<double>(tick.count()) * (1 + beyond)));
 }
 
+std::size_t BytesLeft(const Datagram& datagram, std::size_t most) {
+  const std::size_t size = SizeOf(datagram);
+  return size >= kMaxDatagramBytes ? 0 : std::min(most, kMaxDatagramBytes - size);
+}
+
+template <typename Part>
+void AppendWhileFits(const std::vector<Part>& parts, std::vector<Part>& out, std::size_t& size) {
+  for (const Part& part : parts) {
+    if (size + SizeOf(part) > kMaxDatagramBytes) break;
+    size += SizeOf(part);
+    out.push_back(part);
+  }
+}
+
 }  // namespace
 
 Node::Node(const Settings& settings, std::string name, Incarnation incarnation, std::uint64_t seed,
@@ -39,11 +50,11 @@
       members_(settings, incarnation, random_.Next(), now),
       quotas_(settings, random_.Next(), now),
       totals_(settings, random_.Next()),
-      outliers_(settings) {
-  // From the first moment this run is known here: what is told of its place later is of former ones.
-  totals_.SetLocal(now, incarnation, ++report_, {});
-  reported_ = true;
-  reported_at_ = now;
+      outliers_(settings),
+      reported_at_(now) {
+  // From the first moment this incarnation is known here: what peers report of this member later is of former
+  // ones.
+  totals_.SetLocal(now, incarnation, ++report_version_, {});
 }
 
 void Node::Follow(const std::vector<Peer>& peers, Micros now) {
@@ -51,354 +62,304 @@
   members_.Follow(peers, now);
   quotas_.Follow(peers);
   totals_.Follow(peers);
-  std::erase_if(links_, [&](const auto& l) { return members_.Find(l.first) == nullptr; });
+  links_.Follow(peers);
+  sends_.Follow(peers);
 }
 
 std::vector<MemberId> Node::AliveMembers() const {
   std::vector<MemberId> alive;
-  for (const auto& m : members_.Members()) {
-    if (m.state == MemberState::kAlive) alive.push_back(m.member_id);
+  for (const Membership::Member& member : members_.Members()) {
+    if (member.state == MemberState::kAlive) alive.push_back(member.member_id);
   }
   return alive;
 }
 
-// A datagram under way to `to`: the one of this turn, if there is one.
-Datagram& Node::To(Micros now, MemberId to, Outbox& out, bool update) {
-  const auto with_updates = [&](Datagram& d) -> Datagram& {
-    if (update && d.member_updates.empty()) d.member_updates = members_.UpdatesFor(to, kRoomMembers);
-    return d;
-  };
-  for (Outgoing& o : out) {
-    if (o.to == to) return with_updates(o.datagram);
-  }
-  Link& link = links_[to];
-  Datagram d;
-  d.from = settings_.self;
-  d.name = name_;
-  d.incarnation = members_.SelfIncarnation();
-  d.refutations = members_.SelfRefutations();
-  d.seq = ++link.sent_seq;
-  d.fleet_size = settings_.fleet_size;
-  if (link.heard_incarnation) {
-    d.echo_run = ShortIncarnationId(link.heard_incarnation);
-    d.echo_seq = link.heard_seq;
-    d.echo_held = now - link.heard_at;
-  }
-  link.sent_at.emplace_back(d.seq, now);
-  if (link.sent_at.size() > kMostSentAt) link.sent_at.pop_front();
+// ---- datagrams out ----
+
+Datagram& Node::To(Micros now, MemberId to, Outbox& out) {
+  const auto existing =
+      std::find_if(out.begin(), out.end(), [&](const Outgoing& outgoing) { return outgoing.to == to; });
+  if (existing != out.end()) return existing->datagram;
+  Datagram datagram;
+  datagram.from = settings_.self;
+  datagram.name = name_;
+  datagram.incarnation = members_.SelfIncarnation();
+  datagram.refutations = members_.SelfRefutations();
+  datagram.fleet_size = settings_.fleet_size;
+  links_.Stamp(now, to, datagram);
   ++counts_.out;
-  out.push_back({to, std::move(d)});
-  return with_updates(out.back().datagram);
+  out.push_back({to, std::move(datagram)});
+  return out.back().datagram;
 }
 
-// The datagram left its sender after ours, which it names, had come there, and was held there for the time
-// that it tells. All else of the time since ours went out may have been its way.
-std::optional<Micros> Node::Transit(Micros now, const Link& link, const Datagram& d) const {
-  if (d.echo_run != ShortIncarnationId(members_.SelfIncarnation())) return std::nullopt;
-  for (const auto& [seq, at] : link.sent_at) {
-    // Either clock may be the fast one.
-    if (seq == d.echo_seq) return std::max(Micros(0), AtLeast(now - at) - AtMost(d.echo_held));
-  }
-  return std::nullopt;
+Datagram& Node::GossipTo(Micros now, MemberId to, Outbox& out) {
+  Datagram& datagram = To(now, to, out);
+  if (datagram.member_updates.empty()) datagram.member_updates = members_.UpdatesFor(to, kMemberUpdateBytes);
+  return datagram;
 }
 
-void Node::Report(Micros now) {
-  if (reported_ && local_connections_.Changes() == reported_changes_) {  // Still true: it is as of now.
-    totals_.SetLocal(now, members_.SelfIncarnation(), report_, local_connections_.Rows());
-    return;
-  }
-  if (reported_ && now < reported_at_ + FleetCounts::ReportPause(members_.Members().size() + 1)) return;
-  reported_ = true;
-  reported_at_ = now;
-  reported_changes_ = local_connections_.Changes();
-  totals_.SetLocal(now, members_.SelfIncarnation(), ++report_, local_connections_.Rows());
+void Node::TrimAll(Outbox& out) {
+  for (Outgoing& outgoing : out) counts_.oversized += TrimToSize(outgoing.datagram) ? 1 : 0;
 }
 
-FleetCounts::Total Node::Sum(Micros now, std::optional<std::uint32_t> class_index,
-                             std::optional<std::string_view> group) {
-  // Our own part is what it is now. The version rises, so that nobody takes two states for one.
-  if (!reported_ || local_connections_.Changes() != reported_changes_) {
-    reported_ = true;
+// ---- connection counts ----
+
+void Node::ReportCounts(Micros now) {
+  const bool changed = local_connections_.Changes() != reported_changes_;
+  if (changed && now < reported_at_ + FleetCounts::ReportPause(members_.Members().size() + 1)) return;
+  if (changed) {
+    ++report_version_;
+    reported_at_ = now;
     reported_changes_ = local_connections_.Changes();
-    ++report_;
   }
-  totals_.SetLocal(now, members_.SelfIncarnation(), report_, local_connections_.Rows());
-  return totals_.Sum(now, class_index, group);
-}
-
-void Node::OnRequestSent(Micros now, const std::string& endpoint) {
-  sends_.emplace_back(now, endpoint);
-  while (sends_.size() > kMostSends || (!sends_.empty() && sends_.front().first + kUnreportedFor <= now))
-    sends_.pop_front();
+  // An unchanged report is still true: it is as of now.
+  totals_.SetLocal(now, members_.SelfIncarnation(), report_version_, local_connections_.Rows());
 }
 
-std::optional<double> Node::UnreportedInFlight(Micros now, const std::string& endpoint) const {
-  double told = 0;
-  std::size_t relays = 0;
-  for (const auto& [member_id, link] : links_) {
-    if (!link.sent_told || now >= link.sent_told_at + kSentNews) continue;
-    ++relays;
-    const auto at = link.sent.find(endpoint);
-    if (at != link.sent.end()) told += at->second;
+ConnectionTotals Node::Sum(Micros now, std::optional<std::uint32_t> class_index,
+                           std::optional<std::string_view> group) {
+  // The own part is what it is now. The version rises, so that no peer takes two states for one.
+  if (local_connections_.Changes() != reported_changes_) {
+    reported_changes_ = local_connections_.Changes();
+    ++report_version_;
   }
-  if (relays == 0) return std::nullopt;
-  return told * static_cast<double>(std::max<std::size_t>(members_.Alive(), relays)) /
-         static_cast<double>(relays);
+  totals_.SetLocal(now, members_.SelfIncarnation(), report_version_, local_connections_.Rows());
+  return totals_.Sum(now, class_index, group);
 }
 
+// ---- quotas ----
+
 bool Node::TryAcquire(Micros now, const std::string& quota, Outbox& out) {
   if (quotas_.TryAcquire(now, quota)) return true;
-  if (now >= requested_at_ + kRequestInterval) {
+  if (now >= leases_requested_at_ + kDeniedPause) {
     RequestLeases(now, out);
-    TrimToSize(out);
+    TrimAll(out);
   }
   return false;
 }
 
 void Node::RequestLeases(Micros now, Outbox& out) {
-  requested_at_ = now;
+  leases_requested_at_ = now;
   const std::vector<MemberId> alive = AliveMembers();
-  for (const QuotaLeases::DueRequest& w : quotas_.Tick(now)) {
-    const auto lender = w.lender ? w.lender : quotas_.LenderFor(now, w.request.quota, alive);
+  for (const QuotaLeases::DueRequest& due : quotas_.Tick(now)) {
+    const auto lender = due.lender ? due.lender : quotas_.LenderFor(now, due.request.quota, alive);
     if (!lender) continue;
-    Datagram& d = To(now, *lender, out);
-    if (SizeOf(d) + 64 + w.request.quota.size() > kMaxDatagramBytes) continue;
-    d.lease_requests.push_back(w.request);
-    quotas_.OnRequestSent(now, *lender, w.request);
+    Datagram& datagram = To(now, *lender, out);
+    if (SizeOf(datagram) + kLeaseRequestBytes + due.request.quota.size() > kMaxDatagramBytes) continue;
+    datagram.lease_requests.push_back(due.request);
+    quotas_.OnRequestSent(now, *lender, due.request);
   }
 }
 
-void Node::Tick(Micros now, Outbox& out) {
-  Turn(now, out);
-  TrimToSize(out);
+void Node::SendLeaseReturns(Micros now, Outbox& out) {
+  for (const Membership::Member& member : members_.Members()) {
+    if (!member.incarnation || member.state == MemberState::kLeft) continue;
+    std::vector<LeaseReturn> returns = quotas_.Returns(member.member_id);
+    if (returns.empty()) continue;
+    if (returns.size() > kMaxReturnsSent) returns.resize(kMaxReturnsSent);
+    Datagram& datagram = To(now, member.member_id, out);
+    datagram.returns.insert(datagram.returns.end(), returns.begin(), returns.end());
+  }
 }
 
-void Node::OnDatagram(Micros now, const Datagram& d, Outbox& out) {
-  Take(now, d, out);
-  TrimToSize(out);
+// A concurrency lease that ended by this relay's clock and was not returned: the borrower may have lost it.
+void Node::AskAboutEndedLeases(Micros now, Outbox& out) {
+  for (const QuotaLeases::Lease& lease : quotas_.Lent(now)) {
+    if (lease.ended) To(now, lease.other, out).wants_held_leases = true;
+  }
 }
 
-void Node::Turn(Micros now, Outbox& out) {
-  Report(now);
-  for (const auto& [member_id, ping] : members_.Tick(now)) {
-    Datagram& d = To(now, member_id, out, true);
-    // Two pings for one peer in a turn: the one that is for somebody else waits for its next chance.
-    if (!d.ping) d.ping = ping;
-  }
+// ---- a turn ----
+
+void Node::Tick(Micros now, Outbox& out) {
+  ReportCounts(now);
+  SendPings(now, out);
   RequestLeases(now, out);
-  for (const auto& m : members_.Members()) {
-    if (!m.incarnation || m.state == MemberState::kLeft) continue;
-    const std::vector<LeaseReturn> returns = quotas_.Returns(m.member_id);
-    if (returns.empty()) continue;
-    Datagram& d = To(now, m.member_id, out);
-    for (std::size_t k = 0; k < returns.size() && k < kMostReturns; ++k) d.returns.push_back(returns[k]);
-  }
-  for (const QuotaLeases::Lease& l :
-       quotas_.Lent(now)) {  // A level's lease that ended and was not given back.
-    if (!l.ended) continue;
-    To(now, l.other, out).wants_held_leases = true;
+  SendLeaseReturns(now, out);
+  AskAboutEndedLeases(now, out);
+  if (now >= next_gossip_) Gossip(now, out);
+  TrimAll(out);
+}
+
+void Node::SendPings(Micros now, Outbox& out) {
+  for (const Membership::OutgoingPing& outgoing : members_.Tick(now)) {
+    Datagram& datagram = GossipTo(now, outgoing.to, out);
+    // Two pings for one peer in a turn: the indirect one waits for its next chance.
+    if (!datagram.ping) datagram.ping = outgoing.ping;
   }
-  if (now < next_gossip_) return;
-  next_gossip_ = now + GossipPause(settings_.tick, members_.Members().size());
+}
+
+void Node::Gossip(Micros now, Outbox& out) {
+  const std::vector<Membership::Member>& members = members_.Members();
+  next_gossip_ = now + GossipInterval(settings_.tick, members.size());
   auto to = members_.AnyAlive();
-  if (!to && !members_.Members().empty())
-    to = members_.Members()[random_.Below(members_.Members().size())].member_id;
+  if (!to && !members.empty()) to = members[random_.Below(members.size())].member_id;
   if (!to) return;
-  Datagram& d = To(now, *to, out, true);
-  d.periodic = true;
-  d.member_list_from = totals_.MemberListWanted(now, *to);
-  const auto left = [&](std::size_t most) {
-    const std::size_t size = SizeOf(d);
-    return size >= kMaxDatagramBytes ? 0 : std::min(most, kMaxDatagramBytes - size);
-  };
-  d.evidence = outliers_.EvidenceToGossip(now, members_.SelfIncarnation(), left(kRoomEvidence),
-                                          members_.Members().size() + 1);
-  d.digests = totals_.Have(now, left(kRoomHave));
-  std::map<std::string, std::uint32_t> sent;
-  for (const auto& [at, endpoint] : sends_) {
-    if (now < at + kUnreportedFor) ++sent[endpoint];
-  }
-  for (const auto& [endpoint, count] : sent) {
-    const UnreportedSends part{endpoint, count};
-    if (d.unreported_sends.size() < kMostSentTold && SizeOf(part) <= left(kMaxDatagramBytes))
-      d.unreported_sends.push_back(part);
+  Datagram& datagram = GossipTo(now, *to, out);
+  datagram.periodic = true;
+  datagram.member_list_from = totals_.MemberListWanted(now, *to);
+  datagram.evidence = outliers_.EvidenceToGossip(now, members_.SelfIncarnation(),
+                                                 BytesLeft(datagram, kEvidenceBytes), members.size() + 1);
+  datagram.digests = totals_.Digests(now, BytesLeft(datagram, kDigestBytes));
+  AddLocalSends(now, datagram);
+  AddIdleUnits(now, datagram);
+  datagram.wants_held_leases = datagram.wants_held_leases || quotas_.NeedsHeldFrom(*to);
+}
+
+void Node::AddLocalSends(Micros now, Datagram& datagram) const {
+  for (const UnreportedSends& part : sends_.LocalSends(now)) {
+    if (datagram.unreported_sends.size() < kMaxSendsGossiped &&
+        SizeOf(part) <= BytesLeft(datagram, kMaxDatagramBytes))
+      datagram.unreported_sends.push_back(part);
   }
+}
+
+void Node::AddIdleUnits(Micros now, Datagram& datagram) {
   std::vector<IdleUnits> idle = quotas_.IdleUnitsNow(now);
   random_.Shuffle(idle);
   for (const IdleUnits& part : idle) {
-    if (d.idle_units.size() < kMostIdleTold && SizeOf(part) <= left(kMaxDatagramBytes))
-      d.idle_units.push_back(part);
+    if (datagram.idle_units.size() < kMaxIdleGossiped &&
+        SizeOf(part) <= BytesLeft(datagram, kMaxDatagramBytes))
+      datagram.idle_units.push_back(part);
   }
-  d.wants_held_leases = d.wants_held_leases || quotas_.NeedsHeldFrom(*to);
 }
 
-void Node::Take(Micros now, const Datagram& d, Outbox& out) {
-  const Membership::Member* m = members_.Find(d.from);
-  if (m == nullptr || m->name != d.name || d.from == settings_.self || !d.incarnation) {
+// ---- datagrams in ----
+
+bool Node::IsFromPeer(const Datagram& datagram) const {
+  const Membership::Member* member = members_.Find(datagram.from);
+  return member != nullptr && member->name == datagram.name && datagram.from != settings_.self &&
+         datagram.incarnation;
+}
+
+void Node::OnDatagram(Micros now, const Datagram& datagram, Outbox& out) {
+  if (IsFromPeer(datagram)) {
+    OnPeerDatagram(now, datagram, out);
+  } else {
     ++counts_.strangers;
-    return;
   }
+  TrimAll(out);
+}
+
+// Hands each part to the module that owns it. The order is part of the behaviour: it decides what an answer
+// holds.
+void Node::OnPeerDatagram(Micros now, const Datagram& datagram, Outbox& out) {
   ++counts_.in;
-  const auto hear = [&](const MemberUpdate& update) {
-    const Membership::Change change = members_.OnUpdate(now, update);
-    if (change.left) totals_.OnIncarnationEnded(now, update.member_id, update.incarnation);
-    if (!change.superseded) {
-      if (members_.Present(update.member_id, update.incarnation) && update.state != MemberState::kLeft)
-        totals_.Heard(now, update.member_id, update.incarnation);
-      return;
-    }
-    quotas_.OnIncarnationSuperseded(update.member_id, change.former);
-    outliers_.OnIncarnationEnded(update.member_id, change.former);
-    totals_.OnIncarnationEnded(now, update.member_id, change.former, update.incarnation);
-    totals_.Heard(now, update.member_id, update.incarnation);
-  };
-  hear({d.from, d.incarnation, d.refutations, MemberState::kAlive});
-  if (!members_.Present(d.from, d.incarnation)) {
-    // Of a run that is ended, or of one that does not know that it came after another: told, it raises
-    // itself.
+  OnMemberUpdate(now, {datagram.from, datagram.incarnation, datagram.refutations, MemberState::kAlive});
+  if (!members_.IsPresent(datagram.from, datagram.incarnation)) {
+    // A superseded incarnation, or one that does not know that it follows another: it then raises its
+    // generation.
     ++counts_.former_runs;
-    To(now, d.from, out).member_updates.push_back({d.from, m->incarnation, m->refutations, m->state});
+    const Membership::Member* present = members_.Find(datagram.from);
+    To(now, datagram.from, out)
+        .member_updates.push_back(
+            {datagram.from, present->incarnation, present->refutations, present->state});
     return;
   }
-  Link& link = links_[d.from];
-  if (link.heard_incarnation.id != d.incarnation.id) {
-    link.heard_incarnation = d.incarnation;
-    link.heard_seq = 0;
-    link.sent_told = false;
-  }
-  const auto transit = Transit(now, link, d);
-  if (d.seq > link.heard_seq) {
-    link.heard_seq = d.seq;
-    link.heard_at = now;
-    link.fleet_size = d.fleet_size;
+  const PeerLinks::Receipt receipt = links_.OnReceived(now, datagram, members_.SelfIncarnation());
+  if (receipt.new_incarnation) sends_.ErasePeer(datagram.from);
+  if (datagram.fleet_size != settings_.fleet_size) ++counts_.other_size;
+  for (const MemberUpdate& update : datagram.member_updates) OnMemberUpdate(now, update);
+  OnPing(now, datagram, out);
+  OnCounts(now, datagram, receipt.transit);
+  OnMemberList(now, datagram, out);
+  for (const Evidence& evidence : datagram.evidence) outliers_.OnEvidence(now, evidence, receipt.transit);
+  // A delayed datagram must not undo what a newer one reported.
+  if (receipt.newest && datagram.periodic) {
+    sends_.OnPeerReport(now, datagram.from, datagram.unreported_sends);
+    quotas_.OnIdleUnits(now, datagram.from, datagram.idle_units);
   }
-  if (d.fleet_size != settings_.fleet_size) ++counts_.other_size;
-  for (const MemberUpdate& update : d.member_updates) hear(update);
-  if (d.ping) {
-    if (const auto pass = members_.OnPingRequest(d.from, *d.ping)) {
-      Datagram& on = To(now, pass->first, out);
-      if (!on.ping) on.ping = pass->second;
-    } else if (!d.ping->target || *d.ping->target == settings_.self) {
-      To(now, d.from, out, true).ack = d.ping->nonce;
-    }
+  OnLeases(now, datagram, out);
+  if (!datagram.digests.empty()) AnswerDigests(now, datagram, out);
+}
+
+void Node::OnMemberUpdate(Micros now, const MemberUpdate& update) {
+  const Membership::Change change = members_.OnUpdate(now, update);
+  if (change.left) totals_.OnIncarnationEnded(now, update.member_id, update.incarnation);
+  if (!change.superseded) {
+    if (members_.IsPresent(update.member_id, update.incarnation) && update.state != MemberState::kLeft)
+      totals_.OnIncarnation(now, update.member_id, update.incarnation);
+    return;
   }
-  if (d.ack) {
-    if (const auto for_other = members_.OnAck(now, d.from, *d.ack)) {
-      To(now, for_other->first, out).ack = for_other->second;
+  quotas_.OnIncarnationSuperseded(update.member_id, change.former);
+  outliers_.OnIncarnationEnded(update.member_id, change.former);
+  totals_.OnIncarnationEnded(now, update.member_id, change.former, update.incarnation);
+  totals_.OnIncarnation(now, update.member_id, update.incarnation);
+}
+
+void Node::OnPing(Micros now, const Datagram& datagram, Outbox& out) {
+  if (datagram.ping) {
+    if (const auto forwarded = members_.OnPingRequest(datagram.from, *datagram.ping)) {
+      Datagram& indirect = To(now, forwarded->to, out);
+      if (!indirect.ping) indirect.ping = forwarded->ping;
+    } else if (!datagram.ping->target || *datagram.ping->target == settings_.self) {
+      GossipTo(now, datagram.from, out).ack = datagram.ping->nonce;
     }
   }
-  for (const CountsUpdate& c : d.counts_updates) totals_.OnUpdate(now, c, transit);
-  for (const CountsDigest& h : d.digests) totals_.OnDigest(now, h, transit);
-  if (d.member_list_from)
-    To(now, d.from, out).member_list = totals_.MemberList(*d.member_list_from, kRoomRoster);
-  if (d.member_list) {
-    if (const auto next = totals_.OnMemberList(now, d.from, *d.member_list))
-      To(now, d.from, out).member_list_from = next;
-  }
-  for (const Evidence& e : d.evidence) outliers_.OnEvidence(now, e, transit);
-  // An older datagram that came late must not undo what a newer one told.
-  if (d.seq == link.heard_seq && d.periodic) {
-    link.sent.clear();
-    for (const UnreportedSends& s : d.unreported_sends) link.sent[s.endpoint] = s.count;
-    link.sent_told_at = now;
-    link.sent_told = true;
-    quotas_.OnIdleUnits(now, d.from, d.idle_units);
+  if (datagram.ack) {
+    if (const auto forwarded = members_.OnAck(now, datagram.from, *datagram.ack))
+      To(now, forwarded->to, out).ack = forwarded->nonce;
   }
-  for (const LeaseRequest& a : d.lease_requests) {
-    To(now, d.from, out).grants.push_back(quotas_.OnRequest(now, d.from, d.incarnation, a));
-  }
-  for (const LeaseGrant& g : d.grants)
-    quotas_.OnGrant(now, d.from, d.incarnation, members_.SelfIncarnation(), g);
-  for (const LeaseReturn& r : d.returns) {
-    if (const auto settled = quotas_.OnReturn(now, d.from, members_.SelfIncarnation(), r)) {
-      To(now, d.from, out).return_acks.push_back(*settled);
-    }
-  }
-  for (const LeaseReturnAck& s : d.return_acks) quotas_.OnReturnAck(d.from, s);
-  if (d.wants_held_leases) To(now, d.from, out).held_leases = quotas_.HeldFrom(d.from, d.incarnation);
-  if (d.held_leases)
-    quotas_.OnHeldLeases(now, d.from, d.incarnation, members_.SelfIncarnation(), *d.held_leases);
-  if (!d.digests.empty()) {
-    // Only to a digest, never to an ack that requests: two relays must not ack quota_templates other for
-    // ever.
-    const auto lacking = d.periodic ? totals_.Lacking(now, d.digests) : std::vector<CountsDigest>();
-    const auto missing = totals_.Missing(now, d.digests, kRoomCounts);
-    const auto fresher =
-        d.periodic ? totals_.Fresher(now, d.digests, kRoomFresher) : std::vector<CountsDigest>();
-    if (!lacking.empty() || !missing.empty() || !fresher.empty()) {
-      Datagram& ack = To(now, d.from, out);
-      std::size_t size = SizeOf(ack);
-      for (const CountsUpdate& c : missing) {
-        if (size + SizeOf(c) > kMaxDatagramBytes) break;
-        size += SizeOf(c);
-        ack.counts_updates.push_back(c);
-      }
-      for (const auto* list : {&lacking, &fresher}) {
-        for (const CountsDigest& h : *list) {
-          if (size + SizeOf(h) > kMaxDatagramBytes) break;
-          size += SizeOf(h);
-          ack.digests.push_back(h);
-        }
-      }
-    }
+}
+
+void Node::OnCounts(Micros now, const Datagram& datagram, std::optional<Micros> transit) {
+  for (const CountsUpdate& update : datagram.counts_updates) totals_.OnUpdate(now, update, transit);
+  for (const CountsDigest& digest : datagram.digests) totals_.OnDigest(now, digest, transit);
+}
+
+void Node::OnMemberList(Micros now, const Datagram& datagram, Outbox& out) {
+  if (datagram.member_list_from) {
+    To(now, datagram.from, out).member_list =
+        totals_.MemberList(*datagram.member_list_from, kMemberListBytes);
   }
+  if (!datagram.member_list) return;
+  if (const auto next = totals_.OnMemberList(now, datagram.from, *datagram.member_list))
+    To(now, datagram.from, out).member_list_from = next;
+}
+
+void Node::OnLeases(Micros now, const Datagram& datagram, Outbox& out) {
+  const MemberId from = datagram.from;
+  const Incarnation& self = members_.SelfIncarnation();
+  for (const LeaseRequest& request : datagram.lease_requests)
+    To(now, from, out).grants.push_back(quotas_.OnRequest(now, from, datagram.incarnation, request));
+  for (const LeaseGrant& grant : datagram.grants)
+    quotas_.OnGrant(now, from, datagram.incarnation, self, grant);
+  for (const LeaseReturn& lease_return : datagram.returns)
+    To(now, from, out).return_acks.push_back(quotas_.OnReturn(now, from, lease_return));
+  for (const LeaseReturnAck& ack : datagram.return_acks) quotas_.OnReturnAck(from, ack);
+  if (datagram.wants_held_leases)
+    To(now, from, out).held_leases = quotas_.HeldFrom(from, datagram.incarnation);
+  if (datagram.held_leases)
+    quotas_.OnHeldLeases(now, from, datagram.incarnation, self, *datagram.held_leases);
+}
+
+// Sends what the peer lacks. Asks for what this relay lacks only in answer to a gossip round, never in answer
+// to an answer: two relays must not answer each other without end.
+void Node::AnswerDigests(Micros now, const Datagram& datagram, Outbox& out) {
+  std::vector<CountsDigest> lacking, fresher;
+  if (datagram.periodic) lacking = totals_.Lacking(now, datagram.digests);
+  const std::vector<CountsUpdate> missing = totals_.Missing(now, datagram.digests, kCountsUpdateBytes);
+  if (datagram.periodic) fresher = totals_.Fresher(now, datagram.digests, kFresherDigestBytes);
+  if (lacking.empty() && missing.empty() && fresher.empty()) return;
+  Datagram& answer = To(now, datagram.from, out);
+  std::size_t size = SizeOf(answer);
+  AppendWhileFits(missing, answer.counts_updates, size);
+  AppendWhileFits(lacking, answer.digests, size);
+  AppendWhileFits(fresher, answer.digests, size);
 }
 
 void Node::Leave(Micros now, Outbox& out) {
   std::vector<MemberId> alive = AliveMembers();
   random_.Shuffle(alive);
-  if (alive.size() > kTellLeave) alive.resize(kTellLeave);
+  if (alive.size() > kNotifiedOfLeave) alive.resize(kNotifiedOfLeave);
   Sum(now);  // The last report is the final one.
-  const std::vector<CountsDigest> nothing{{settings_.self, 0, 0, std::nullopt, false}};
+  const std::vector<CountsDigest> knows_nothing{{settings_.self, 0, 0, std::nullopt, false}};
   for (const MemberId member_id : alive) {
-    Datagram& d = To(now, member_id, out);
-    d.member_updates.push_back(members_.Leave());
-    d.counts_updates = totals_.Missing(now, nothing, kRoomCounts);
-  }
-  TrimToSize(out);
-}
-
-void Node::TrimToSize(Outbox& out) {
-  for (Outgoing& o : out) {
-    Datagram& d = o.datagram;
-    std::size_t size = SizeOf(d);
-    if (size <= kMaxDatagramBytes) continue;
-    ++counts_.oversized;
-    const auto shed = [&](auto& parts) {
-      while (size > kMaxDatagramBytes && !parts.empty()) {
-        size -= SizeOf(parts.back());
-        parts.pop_back();
-      }
-    };
-    shed(d.idle_units);
-    shed(d.unreported_sends);
-    shed(d.counts_updates);
-    if (size > kMaxDatagramBytes && d.member_list) {  // It is asked for again.
-      size -= SizeOf(*d.member_list);
-      d.member_list.reset();
-    }
-    shed(d.evidence);
-    shed(d.digests);
-    shed(d.lease_requests);
-    shed(d.returns);
-    shed(d.member_updates);
-    if (size > kMaxDatagramBytes && d.held_leases) {
-      // Half a statement would say that the rest is not held.
-      size -= SizeOf(*d.held_leases);
-      d.held_leases.reset();
-    }
-    shed(d.return_acks);
-    shed(d.grants);
-  }
-}
-
-std::vector<std::pair<MemberId, std::uint32_t>> Node::OtherSizes() const {
-  std::vector<std::pair<MemberId, std::uint32_t>> out;
-  for (const auto& [member_id, link] : links_) {
-    if (link.fleet_size != 0 && link.fleet_size != settings_.fleet_size)
-      out.emplace_back(member_id, link.fleet_size);
+    Datagram& datagram = To(now, member_id, out);
+    datagram.member_updates.push_back(members_.LeaveUpdate());
+    datagram.counts_updates = totals_.Missing(now, knows_nothing, kCountsUpdateBytes);
   }
-  return out;
+  TrimAll(out);
 }
 
 }  // namespace stoatrun::fleet
--- a/src/fleet/node.h
+++ b/src/fleet/node.h
@@ -1,17 +1,18 @@
-// One relay's part in the fleet: all that it knows of the others and all that it tells them, in one place.
-// Time, randomness and datagrams in; datagrams out. It reads no clock and opens no socket.
+// One relay's part in the fleet: the modules of its shared state, and the dispatcher between them and
+// datagrams.
+//
+// Deterministic: time, randomness and datagrams in, datagrams out. It reads no clock and opens no socket, so
+// that the simulator runs the very code that the relay runs. Not thread-safe. A node sends at most one
+// datagram to each peer in a turn, of at most kMaxDatagramBytes; beyond 16 relays the pause between gossip
+// rounds grows with the logarithm of the fleet, so that one relay's traffic is bounded.
 #ifndef STOATRUN_FLEET_NODE_H_
 #define STOATRUN_FLEET_NODE_H_
 
 #include <cstddef>
 #include <cstdint>
-#include <deque>
-#include <map>
 #include <optional>
-#include <set>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 #include "base/random.h"
@@ -19,77 +20,103 @@
 #include "fleet/membership.h"
 #include "fleet/message.h"
 #include "fleet/outlier_consensus.h"
+#include "fleet/peer_links.h"
 #include "fleet/quota_leases.h"
+#include "fleet/send_tracker.h"
 #include "fleet/types.h"
 
 namespace stoatrun::fleet {
 
+// A relay as a member of its fleet.
 class Node {
  public:
+  // Counters of datagrams, since the start.
   struct Counts {
-    std::uint64_t in = 0, out = 0, strangers = 0, former_runs = 0, other_size = 0, oversized = 0;
+    std::uint64_t in = 0, out = 0;
+    std::uint64_t strangers = 0;    // Of senders that the operator file doesn't name.
+    std::uint64_t former_runs = 0;  // Of incarnations that were superseded.
+    std::uint64_t other_size = 0;   // Of senders with another size of the fleet.
+    std::uint64_t oversized = 0;    // Sent after parts were dropped.
   };
 
-  // `name`: as the peers' files have it. `incarnation`: this run's; its generation may be raised later, its
-  // id stays.
+  // `name`: as the peers' operator files have it. `incarnation`: this run's; its generation may be raised
+  // later, its id stays.
   Node(const Settings& settings, std::string name, Incarnation incarnation, std::uint64_t seed, Micros now);
 
-  // Call it quota_templates `settings.tick`, and whenever `Urgent`.
+  // Does what is due; called each `settings.tick`. Appends the datagrams to be sent to `out`.
   void Tick(Micros now, Outbox& out);
-  void OnDatagram(Micros now, const Datagram& d, Outbox& out);
-  // An orderly end: tells a few.
+  // Handles a datagram whose sender's address was checked, and appends the answers to `out`.
+  void OnDatagram(Micros now, const Datagram& datagram, Outbox& out);
+  // Graceful shutdown: notifies a few peers.
   void Leave(Micros now, Outbox& out);
+  // Follows a changed operator file: peers added or removed.
   void Follow(const std::vector<Peer>& peers, Micros now);
 
-  // QuotaLeases. `now` is to be read in the turn in which the unit is used. What is rejected here may make
-  // requests go out.
+  // Acquires one unit of a quota. `now` must be read in the turn in which the unit is used. If it fails,
+  // lease requests may be appended to `out`.
   bool TryAcquire(Micros now, const std::string& quota, Outbox& out);
+  // Releases one unit of a concurrency quota.
   void Release(const std::string& quota) { quotas_.Release(quota); }
+  // The fleet's quotas as this relay sees them.
   QuotaLeases& Quotas() { return quotas_; }
 
-  // Connections of this relay.
+  // This relay's own connections, which its callers begin and end.
   LocalConnectionCounts& LocalConnections() { return local_connections_; }
-  // False: the accounts don't balance, which is an error of the program.
+  // False: the own counts don't balance, which is a defect of the program.
   bool Balanced() const { return local_connections_.IsBalanced(); }
-  FleetCounts::Total Sum(Micros now, std::optional<std::uint32_t> class_index = std::nullopt,
-                         std::optional<std::string_view> group = std::nullopt);
+  // The fleet's connections as intervals, over all classes and groups or those named.
+  ConnectionTotals Sum(Micros now, std::optional<std::uint32_t> class_index = std::nullopt,
+                       std::optional<std::string_view> group = std::nullopt);
+  // All relays' counts as this relay knows them.
   FleetCounts& Totals() { return totals_; }
 
-  // Outliers.
+  // Outlier detection over the fleet's endpoints.
   OutlierConsensus& Outliers() { return outliers_; }
-  void OnRequestSent(Micros now, const std::string& endpoint);
-  // What the others have sent to a endpoint and its reports may not show: by what those heard lately tell,
-  // accepted as a sample of all. Nothing: nobody was heard lately.
-  std::optional<double> UnreportedInFlight(Micros now, const std::string& endpoint) const;
+  // This relay sent a request to `endpoint`.
+  void OnRequestSent(Micros now, const std::string& endpoint) { sends_.OnRequestSent(now, endpoint); }
+  // Requests that other relays sent to `endpoint` and its load reports may not show yet; nothing: unknown.
+  std::optional<double> UnreportedInFlight(Micros now, const std::string& endpoint) const {
+    return sends_.UnreportedInFlight(now, endpoint, members_.Alive());
+  }
 
+  // The fleet's members as this relay sees them.
   Membership& Members() { return members_; }
+  // The settings in force.
   const Settings& Setup() const { return settings_; }
+  // Counters since the start.
   const Counts& GetCounts() const { return counts_; }
-  // Peers whose file states another size of the fleet: shares don't fit together until that is mended.
-  std::vector<std::pair<MemberId, std::uint32_t>> OtherSizes() const;
+  // Peers whose operator file states another size of the fleet: shares don't add up until that is mended.
+  std::vector<FleetSizeMismatch> FleetSizeMismatches() const {
+    return links_.FleetSizeMismatches(settings_.fleet_size);
+  }
 
  private:
-  struct Link {
-    std::uint64_t sent_seq = 0;
-    std::deque<std::pair<std::uint64_t, Micros>> sent_at;  // The last ones.
-    Incarnation heard_incarnation;
-    std::uint64_t heard_seq = 0;
-    Micros heard_at{0};
-    std::uint32_t fleet_size = 0;
-    std::map<std::string, std::uint32_t> sent;  // Its unseen sends, as it told them last.
-    Micros sent_told_at{0};
-    bool sent_told = false;
-  };
+  // This turn's datagram to a member; made if there is none yet.
+  Datagram& To(Micros now, MemberId to, Outbox& out);
+  // The same, with member updates piggybacked, where the datagram goes out regularly.
+  Datagram& GossipTo(Micros now, MemberId to, Outbox& out);
+  void TrimAll(Outbox& out);
 
-  // With update of members, where the datagram is one that goes out anyhow; leases alone carry none.
-  Datagram& To(Micros now, MemberId to, Outbox& out, bool update = false);
-  void Turn(Micros now, Outbox& out);
-  void Take(Micros now, const Datagram& d, Outbox& out);
-  std::optional<Micros> Transit(Micros now, const Link& link, const Datagram& d) const;
+  // Parts of Tick, one module each.
+  void ReportCounts(Micros now);
+  void SendPings(Micros now, Outbox& out);
   void RequestLeases(Micros now, Outbox& out);
-  void Report(Micros now);
-  // Takes parts out of what became too large; all of them are told again by themselves.
-  void TrimToSize(Outbox& out);
+  void SendLeaseReturns(Micros now, Outbox& out);
+  void AskAboutEndedLeases(Micros now, Outbox& out);
+  void Gossip(Micros now, Outbox& out);
+  void AddLocalSends(Micros now, Datagram& datagram) const;
+  void AddIdleUnits(Micros now, Datagram& datagram);
+
+  // Parts of OnDatagram, one module each.
+  bool IsFromPeer(const Datagram& datagram) const;
+  void OnPeerDatagram(Micros now, const Datagram& datagram, Outbox& out);
+  void OnMemberUpdate(Micros now, const MemberUpdate& update);
+  void OnPing(Micros now, const Datagram& datagram, Outbox& out);
+  void OnCounts(Micros now, const Datagram& datagram, std::optional<Micros> transit);
+  void OnMemberList(Micros now, const Datagram& datagram, Outbox& out);
+  void OnLeases(Micros now, const Datagram& datagram, Outbox& out);
+  void AnswerDigests(Micros now, const Datagram& datagram, Outbox& out);
+
   std::vector<MemberId> AliveMembers() const;
 
   Settings settings_;
@@ -100,11 +127,11 @@
   LocalConnectionCounts local_connections_;
   FleetCounts totals_;
   OutlierConsensus outliers_;
-  std::map<MemberId, Link> links_;
-  std::deque<std::pair<Micros, std::string>> sends_;
-  std::uint64_t report_ = 0, reported_changes_ = 0;
-  Micros reported_at_{0}, next_gossip_{0}, requested_at_{0};
-  bool reported_ = false;
+  PeerLinks links_;
+  SendTracker sends_;
+  // The version of the own counts, and the state of the local counts that it reports.
+  std::uint64_t report_version_ = 0, reported_changes_ = 0;
+  Micros reported_at_{0}, next_gossip_{0}, leases_requested_at_{0};
   Counts counts_;
 };
 
--- /dev/null
+++ b/src/fleet/peer_links.cpp
@@ -0,0 +1,67 @@
+#include "fleet/peer_links.h"
+
+#include <algorithm>
+
+namespace stoatrun::fleet {
+namespace {
+
+constexpr std::size_t kMaxSentRemembered = 64;  // An echo of an older datagram bounds nothing useful.
+
+}  // namespace
+
+void PeerLinks::Stamp(Micros now, MemberId to, Datagram& datagram) {
+  Link& link = links_[to];
+  datagram.seq = ++link.last_seq;
+  if (link.heard_incarnation) {
+    datagram.echo_run = ShortIncarnationId(link.heard_incarnation);
+    datagram.echo_seq = link.heard_seq;
+    datagram.echo_held = now - link.heard_at;
+  }
+  link.sent.push_back({datagram.seq, now});
+  if (link.sent.size() > kMaxSentRemembered) link.sent.pop_front();
+}
+
+std::optional<Micros> PeerLinks::TransitBound(Micros now, const Link& link, const Datagram& datagram,
+                                              const Incarnation& self) {
+  if (datagram.echo_run != ShortIncarnationId(self)) return std::nullopt;
+  const auto sent = std::find_if(link.sent.begin(), link.sent.end(),
+                                 [&](const SentDatagram& own) { return own.seq == datagram.echo_seq; });
+  if (sent == link.sent.end()) return std::nullopt;
+  // Either clock may be the fast one.
+  return std::max(Micros(0), AtLeast(now - sent->at) - AtMost(datagram.echo_held));
+}
+
+PeerLinks::Receipt PeerLinks::OnReceived(Micros now, const Datagram& datagram, const Incarnation& self) {
+  Link& link = links_[datagram.from];
+  Receipt receipt;
+  receipt.new_incarnation = link.heard_incarnation.id != datagram.incarnation.id;
+  if (receipt.new_incarnation) {
+    link.heard_incarnation = datagram.incarnation;
+    link.heard_seq = 0;
+  }
+  receipt.transit = TransitBound(now, link, datagram, self);
+  if (datagram.seq > link.heard_seq) {
+    link.heard_seq = datagram.seq;
+    link.heard_at = now;
+    link.fleet_size = datagram.fleet_size;
+  }
+  receipt.newest = datagram.seq == link.heard_seq;
+  return receipt;
+}
+
+void PeerLinks::Follow(const std::vector<Peer>& peers) {
+  std::erase_if(links_, [&](const auto& link) {
+    return std::none_of(peers.begin(), peers.end(),
+                        [&](const Peer& peer) { return peer.member_id == link.first; });
+  });
+}
+
+std::vector<FleetSizeMismatch> PeerLinks::FleetSizeMismatches(std::uint32_t fleet_size) const {
+  std::vector<FleetSizeMismatch> out;
+  for (const auto& [member_id, link] : links_) {
+    if (link.fleet_size != 0 && link.fleet_size != fleet_size) out.push_back({member_id, link.fleet_size});
+  }
+  return out;
+}
+
+}  // namespace stoatrun::fleet
--- a/src/fleet/quota_leases.cpp
+++ b/src/fleet/quota_leases.cpp
@@ -370,11 +370,7 @@
   return out;
 }
 
-std::optional<LeaseReturnAck> QuotaLeases::OnReturn(Micros now, MemberId from, const Incarnation& self,
-                                                    const LeaseReturn& r) {
-  // A return to a former run is as good: the run that holds the place now counts the lease as lent, if it
-  // counts it.
-  (void)self;
+LeaseReturnAck QuotaLeases::OnReturn(Micros now, MemberId from, const LeaseReturn& r) {
   const auto at = accounts_.find(r.quota);
   if (at != accounts_.end() && at->second.rule.IsConcurrencyQuota()) {
     std::erase_if(at->second.lent, [&](const LentLease& l) { return l.id == r.lease && l.borrower == from; });
--- a/src/fleet/quota_leases.h
+++ b/src/fleet/quota_leases.h
@@ -89,8 +89,7 @@
   // Returns that were not settled yet, for `lender`.
   std::vector<LeaseReturn> Returns(MemberId lender);
   // What to confirm; nothing: it is not ours.
-  std::optional<LeaseReturnAck> OnReturn(Micros now, MemberId from, const Incarnation& self,
-                                         const LeaseReturn& r);
+  LeaseReturnAck OnReturn(Micros now, MemberId from, const LeaseReturn& r);
   void OnReturnAck(MemberId from, const LeaseReturnAck& settled);
   HeldLeases HeldFrom(MemberId lender, const Incarnation& lender_incarnation);
   void OnHeldLeases(Micros now, MemberId from, const Incarnation& borrower, const Incarnation& self,
--- a/src/fleet/types.h
+++ b/src/fleet/types.h
@@ -77,7 +77,7 @@
   std::vector<QuotaRule> quotas;                 // Exist from the start.
   std::vector<QuotaRule> quota_templates;        // Quotas made on demand, by the part of the name before ':'.
   Micros period = std::chrono::seconds(1);       // Between two pings that a member sends.
-  Micros tick = std::chrono::milliseconds(250);  // Between two calls of FleetNode::Tick.
+  Micros tick = std::chrono::milliseconds(250);  // Between two calls of Node::Tick.
   Micros stale_after = std::chrono::seconds(10);  // Counts older than that are widened to an interval.
   // Bounds on what a relay may do while nothing is heard of it: connections accepted a second, and open at
   // once.
--- a/tests/fleet/modules_test.cpp
+++ b/tests/fleet/modules_test.cpp
@@ -161,12 +161,12 @@
   borrower.Tick(late);
   const auto returns = borrower.Returns(0);
   REQUIRE(returns.size() == 1);
-  const auto settled = lender.OnReturn(late, 1, kIncarnation, returns[0]);
-  REQUIRE(settled);
+  const auto settled = lender.OnReturn(late, 1, returns[0]);
+  CHECK(settled.lease == returns[0].lease);
   CHECK(lender.Available(late, "group") == 4);
-  lender.OnReturn(late, 1, kIncarnation, returns[0]);  // Doubled on its way.
+  lender.OnReturn(late, 1, returns[0]);  // Doubled on its way.
   CHECK(lender.Available(late, "group") == 4);
-  borrower.OnReturnAck(0, *settled);
+  borrower.OnReturnAck(0, settled);
   CHECK(borrower.Returns(0).empty());
 }
 
@@ -209,14 +209,14 @@
   peer.OnUpdate(kStart, {0, Incarnation{900, 7}, 0, MemberState::kAlive});
   const Incarnation fresh{10, 8};  // Its clock was set back, and its disk is empty.
   CHECK_FALSE(peer.OnUpdate(kStart, {0, fresh, 0, MemberState::kAlive}).superseded);
-  CHECK_FALSE(peer.Present(0, fresh));
+  CHECK_FALSE(peer.IsPresent(0, fresh));
   Membership self(Three(0), fresh, 2, kStart);
   self.OnUpdate(kStart, {0, Incarnation{900, 7}, 0, MemberState::kAlive});
   CHECK(self.SelfIncarnation() == Incarnation{901, 8});
   const auto change = peer.OnUpdate(kStart, {0, self.SelfIncarnation(), 0, MemberState::kAlive});
   CHECK(change.superseded);
   CHECK(change.former.id == 7);
-  CHECK(peer.Present(0, self.SelfIncarnation()));
+  CHECK(peer.IsPresent(0, self.SelfIncarnation()));
   CHECK_FALSE(self.HasDuplicate());
   CHECK_FALSE(peer.Find(0)->duplicate);
 }
@@ -282,7 +282,7 @@
   CHECK(a.Sum() == ConnectionCounts{2, 1, 1, 0, 0});
   CHECK_FALSE(a.IsBalanced());
   for (int k = 0; k < 2000; ++k) a.Begin(0, "g" + std::to_string(k));
-  CHECK(a.Rows().size() <= LocalConnectionCounts::kMostRows + 2);
+  CHECK(a.Rows().size() <= LocalConnectionCounts::kMaxRows + 2);
 }
 
 CountsUpdate UpdateAbout(MemberId member_id, Incarnation incarnation, std::uint64_t version,
@@ -294,7 +294,7 @@
 FleetCounts IsComplete() {
   FleetCounts f(Three(0), 1);
   f.SetLocal(kStart, kIncarnation, 1, {});
-  CHECK(f.Sum(kStart).accepted.high == FleetCounts::kUnbounded);
+  CHECK(f.Sum(kStart).accepted.high == kUnbounded);
   CHECK(f.MemberListWanted(kStart, 1) == MemberId{0});
   CHECK_FALSE(f.MemberListWanted(kStart, 2));  // One at a time.
   CHECK_FALSE(f.OnMemberList(kStart, 2, {0, 3, true, "", {}}));
@@ -328,11 +328,11 @@
 
 TEST_CASE("a part that is not heard widens by the written rule") {
   FleetCounts f = IsComplete();
-  CHECK(f.Sum(kStart).accepted.high == FleetCounts::kUnbounded);
+  CHECK(f.Sum(kStart).accepted.high == kUnbounded);
   CHECK(f.Sum(kStart).unheard == 2);
   f.OnUpdate(kStart, UpdateAbout(1, kOther, 1, {10, 6, 1, 1, 2}, milliseconds(500)), milliseconds(500));
   f.OnUpdate(kStart, UpdateAbout(2, Incarnation{1, 9}, 1, {1, 0, 0, 0, 1}, std::nullopt), milliseconds(1));
-  CHECK(f.Sum(kStart).accepted.high == FleetCounts::kUnbounded);  // Its age has no bound.
+  CHECK(f.Sum(kStart).accepted.high == kUnbounded);  // Its age has no bound.
   f.OnUpdate(kStart, UpdateAbout(2, Incarnation{1, 9}, 1, {1, 0, 0, 0, 1}, Micros(0)), Micros(0));
   CHECK(f.Sum(kStart).accepted.high == 11);
   CHECK(f.Sum(kStart).oldest >= seconds(1));
