--- a/src/fleet/io/status.cpp
+++ b/src/fleet/io/status.cpp
@@ -83,7 +83,7 @@
         add,
         R"({}{{"budget":{},"units":{},"share":{},"available":{},"used":{},"lent":{},"borrowed":{},)"
         R"("excess":{},"whole":{}}})",
-        comma, Quoted(v.quota), v.units, v.share, v.available, v.spent, v.lent, v.borrowed, v.excess,
+        comma, Quoted(v.quota), v.units, v.share, v.available, v.acquired, v.lent, v.borrowed, v.excess,
         v.reconciled);
     comma = ",";
   }
