--- a/tests/fleet/golden_test.cpp
+++ b/tests/fleet/golden_test.cpp
@@ -243,7 +243,7 @@
     for (MemberId slot = 0; slot < started; ++slot) Start(slot, {100 + slot, 1000 + slot});
   }
   static std::string NameOf(MemberId slot) { return slot == 3 ? "n\"3\"" : fmt::format("n{}", slot); }
-  FleetNode& At(MemberId slot) { return *nodes_.at(slot); }
+  Node& At(MemberId slot) { return *nodes_.at(slot); }
   Micros Now() const { return now_; }
 
   void Start(MemberId slot, const Incarnation& incarnation) {
@@ -259,7 +259,7 @@
     s.stale_after = seconds(5);
     s.max_accepted_per_s = 10;
     s.max_open = 100;
-    nodes_[slot] = std::make_unique<FleetNode>(s, NameOf(slot), incarnation, 7 + slot, now_);
+    nodes_[slot] = std::make_unique<Node>(s, NameOf(slot), incarnation, 7 + slot, now_);
     nodes_[slot]->Outliers().SetEndpoints({{"s-1", 1}, {"s-2", 2}, {"s-3", 3}, {"s-4", 4}, {"s-5", 5}});
   }
   void Stop(MemberId slot) { nodes_.erase(slot); }
@@ -312,7 +312,7 @@
 
   const MemberId places_;
   Micros now_ = seconds(1000);
-  std::map<MemberId, std::unique_ptr<FleetNode>> nodes_;
+  std::map<MemberId, std::unique_ptr<Node>> nodes_;
   Outbox out_;
 };
 
@@ -336,13 +336,14 @@
 
 // One connection with each end, and one that stays open.
 void Connect(SmallFleet& fleet, MemberId slot) {
-  Accounts& accounts = fleet.At(slot).Own();
+  LocalConnectionCounts& connections = fleet.At(slot).LocalConnections();
   const char* group = slot % 2 == 0 ? "coast" : "";
-  for (const auto end : {Accounts::End::kServed, Accounts::End::kRefused, Accounts::End::kFailed}) {
-    auto ticket = accounts.Take(slot % 3, group);
-    accounts.Finish(ticket, end);
+  for (const auto end : {LocalConnectionCounts::Outcome::kServed, LocalConnectionCounts::Outcome::kRejected,
+                         LocalConnectionCounts::Outcome::kFailed}) {
+    auto ticket = connections.Begin(slot % 3, group);
+    connections.End(ticket, end);
   }
-  accounts.Take(slot % 3, group);
+  connections.Begin(slot % 3, group);
 }
 
 TEST_CASE("the operators' status of a relay is the golden text") {
@@ -381,7 +382,7 @@
   std::string suspicion;
   fleet.Run(seconds(8), [&] {
     const auto* member = fleet.At(0).Members().Find(2);
-    if (suspicion.empty() && member->standing == MemberState::kSuspect) suspicion = StatusOf(fleet, 0);
+    if (suspicion.empty() && member->state == MemberState::kSuspect) suspicion = StatusOf(fleet, 0);
   });
   all += CheckStatus("suspicion", suspicion);
   fleet.Leave(3);
