--- a/bench/ledger_bench.cpp
+++ b/bench/ledger_bench.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::int64_t kHour = 1'800'000'000;
 
-AccountsSetup SetupOf(int groups) {
+AccountsSetup MakeAccountsSetup(int groups) {
   AccountsSetup setup;
   setup.period = std::chrono::hours(1);
   setup.classes = {"feed", "watch", "sync"};
@@ -28,31 +28,32 @@
 }
 
 // A connection's begin and end, with others open.
-void BM_BeginAndEnd(benchmark::State& state) {
+void BeginAndEnd(benchmark::State& state) {
   const int groups = static_cast<int>(state.range(0));
-  const AccountsSetup setup = SetupOf(groups);
+  const AccountsSetup setup = MakeAccountsSetup(groups);
   Accounts accounts(setup, Micros(0), std::chrono::seconds(kHour));
   std::int64_t now = 0;
   for (auto _ : state) {
     const auto& group = setup.groups[static_cast<std::size_t>(now) % setup.groups.size()];
-    UsageHandle t = accounts.Begin(Micros(++now), group.name, 1);
-    accounts.End(Micros(++now), t);
+    UsageHandle handle = accounts.Begin(Micros(++now), group.name, 1);
+    accounts.End(Micros(++now), handle);
   }
 }
-BENCHMARK(BM_BeginAndEnd)->Arg(4)->Arg(100);
+BENCHMARK(BeginAndEnd)->Name("BM_BeginAndEnd")->Arg(4)->Arg(100);
 
-void BM_Checkpoint(benchmark::State& state) {
+void Checkpoint(benchmark::State& state) {
   const int groups = static_cast<int>(state.range(0));
-  const AccountsSetup setup = SetupOf(groups);
+  const AccountsSetup setup = MakeAccountsSetup(groups);
   Accounts accounts(setup, Micros(0), std::chrono::seconds(kHour));
   std::int64_t now = 0;
-  for (const auto& g : setup.groups) {
-    for (std::size_t c = 0; c < 3; ++c) accounts.Begin(Micros(++now), g.name, c);
+  for (const auto& group : setup.groups) {
+    for (std::size_t class_index = 0; class_index < 3; ++class_index)
+      accounts.Begin(Micros(++now), group.name, class_index);
   }
   for (auto _ : state)
     benchmark::DoNotOptimize(accounts.TakePostings(Micros(now += 1000), Accounts::CurrentPeriod::kContinues));
 }
-BENCHMARK(BM_Checkpoint)->Arg(4)->Arg(100);
+BENCHMARK(Checkpoint)->Name("BM_Checkpoint")->Arg(4)->Arg(100);
 
 struct Folder {
   std::string path;
@@ -65,28 +66,29 @@
 
 void FillLedger(Store& store, int periods, int groups) {
   store.BeginRun(kHour * 1'000'000, kHour);
-  Posting p;
-  for (int g = 0; g < groups; ++g) {
-    p.groups.push_back({fmt::format("group-{:03}", g),
-                        900'000'000,
-                        600'000'000,
-                        1500,
-                        40,
-                        {{"feed", 400'000'000, 90}, {"sync", 200'000'000, 70}, {"watch", 300'000'000, 80}}});
+  Posting posting;
+  for (int group = 0; group < groups; ++group) {
+    posting.groups.push_back(
+        {fmt::format("group-{:03}", group),
+         900'000'000,
+         600'000'000,
+         1500,
+         40,
+         {{"feed", 400'000'000, 90}, {"sync", 200'000'000, 70}, {"watch", 300'000'000, 80}}});
   }
-  p.period_s = 3600;
-  p.connection_time_us = std::int64_t{900'000'000} * groups;
+  posting.period_s = 3600;
+  posting.connection_time_us = std::int64_t{900'000'000} * groups;
   for (int k = 0; k < periods; ++k) {
-    p.number = static_cast<std::uint64_t>(k) + 1;
-    p.period_start_s = kHour + 3600 * k;
-    p.wall_us = p.period_start_s * 1'000'000;
-    p.period_ended = true;
-    store.Apply(p, {});
+    posting.number = static_cast<std::uint64_t>(k) + 1;
+    posting.period_start_s = kHour + 3600 * k;
+    posting.wall_us = posting.period_start_s * 1'000'000;
+    posting.period_ended = true;
+    store.Apply(posting, {});
   }
 }
 
 // A start on a ledger of so many periods and groups, up to the first posting that it takes.
-void BM_Recovery(benchmark::State& state) {
+void Recovery(benchmark::State& state) {
   const Folder folder;
   const StoreSetup setup{folder.path, "n0", "b", nullptr, true, 5000};
   {
@@ -102,28 +104,33 @@
   state.counters["file_mib"] =
       static_cast<double>(std::filesystem::file_size(Store::DatabasePath(folder.path))) / (1024 * 1024);
 }
-BENCHMARK(BM_Recovery)->Args({100, 100})->Args({10000, 100})->Unit(benchmark::kMillisecond)->Iterations(5);
+BENCHMARK(Recovery)
+    ->Name("BM_Recovery")
+    ->Args({100, 100})
+    ->Args({10000, 100})
+    ->Unit(benchmark::kMillisecond)
+    ->Iterations(5);
 
 // The file after a million connections in 24 periods and 20 groups, posted every 5 s.
-void BM_MillionConnections(benchmark::State& state) {
+void MillionConnections(benchmark::State& state) {
   for (auto _ : state) {
     const Folder folder;
     Store store({folder.path, "n0", "b", nullptr, true, 5000});
-    const AccountsSetup setup = SetupOf(20);
+    const AccountsSetup setup = MakeAccountsSetup(20);
     Accounts accounts(setup, Micros(0), std::chrono::seconds(kHour));
     store.BeginRun(kHour * 1'000'000, kHour);
     std::int64_t now = 0;
     std::uint64_t number = 0;
     for (int k = 0; k < 1'000'000; ++k) {
-      UsageHandle t = accounts.Begin(Micros(now), setup.groups[static_cast<std::size_t>(k % 20)].name,
-                                     static_cast<std::size_t>(k % 3));
+      UsageHandle handle = accounts.Begin(Micros(now), setup.groups[static_cast<std::size_t>(k % 20)].name,
+                                          static_cast<std::size_t>(k % 3));
       now += 86'400;
-      accounts.End(Micros(now), t);
+      accounts.End(Micros(now), handle);
       if (k % 58 != 0) continue;  // About 5 s. Postings of one period are joined, as on a slow disk.
       if (k % 5800 == 0) {
-        for (Posting& p : accounts.TakePostings(Micros(now), Accounts::CurrentPeriod::kContinues)) {
-          p.number = ++number;
-          store.Apply(p, accounts.OpenByGroup());
+        for (Posting& posting : accounts.TakePostings(Micros(now), Accounts::CurrentPeriod::kContinues)) {
+          posting.number = ++number;
+          store.Apply(posting, accounts.OpenByGroup());
         }
       }
     }
@@ -131,44 +138,61 @@
         static_cast<double>(std::filesystem::file_size(Store::DatabasePath(folder.path))) / (1024 * 1024);
   }
 }
-BENCHMARK(BM_MillionConnections)->Unit(benchmark::kSecond)->Iterations(1);
+BENCHMARK(MillionConnections)->Name("BM_MillionConnections")->Unit(benchmark::kSecond)->Iterations(1);
+
+// The record that all records of an export are made from.
+wire::Record MakeUseRecord(const std::string& relay) {
+  wire::Record record;
+  record.set_relay(relay);
+  record.set_book("b");
+  wire::Use& use = *record.mutable_use();
+  use.set_period_s(3600);
+  use.set_share_milli(1500);
+  use.set_peak(40);
+  for (const char* name : {"feed", "sync", "watch"}) use.add_classes()->set_name(name);
+  return record;
+}
+
+// Numbers the record and fills in usage that depends on the number.
+void FillIn(wire::Record& record, std::uint64_t seq) {
+  record.set_seq(seq);
+  wire::Use& use = *record.mutable_use();
+  std::int64_t sum_us = 0;
+  for (int k = 0; k < use.classes_size(); ++k) {
+    const std::int64_t use_us = 100'000'000 + static_cast<std::int64_t>(seq) * (k + 1);
+    use.mutable_classes(k)->set_use_us(use_us);
+    use.mutable_classes(k)->set_begun(seq % 97);
+    sum_us += use_us;
+  }
+  use.set_use_us(sum_us);
+  use.set_within_us(sum_us / 3);
+  use.set_beyond_us(sum_us - sum_us / 3);
+}
+
+// Writes the export of one relay.
+void WriteExport(const std::string& path, const std::string& relay, int periods, int groups) {
+  std::ofstream out(path, std::ios::binary);
+  std::string previous_hash = FirstHash();
+  std::uint64_t seq = 0;
+  wire::Record record = MakeUseRecord(relay);
+  for (int period = 0; period < periods; ++period) {
+    record.mutable_use()->set_period_start_s(kHour + 3600 * period);
+    for (int group = 0; group < groups; ++group) {
+      record.mutable_use()->set_group(fmt::format("group-{:03}", group));
+      FillIn(record, ++seq);
+      const Line line = MakeLine(record, previous_hash);
+      previous_hash = line.hash;
+      out << line.text;
+    }
+  }
+  out << MakeTrailer({relay, "b", 1, seq, previous_hash});
+}
 
 // Exports of `relays` relays, one file each.
 void WriteExports(const std::string& folder, int relays, int periods, int groups) {
-  for (int r = 0; r < relays; ++r) {
-    const std::string relay = fmt::format("n{}", r);
-    std::ofstream out(fmt::format("{}/{}.jsonl", folder, relay), std::ios::binary);
-    std::string prev = FirstHash();
-    std::uint64_t seq = 0;
-    wire::Record record;
-    record.set_relay(relay);
-    record.set_book("b");
-    wire::Use& u = *record.mutable_use();
-    u.set_period_s(3600);
-    u.set_share_milli(1500);
-    u.set_peak(40);
-    for (const char* name : {"feed", "sync", "watch"}) u.add_classes()->set_name(name);
-    for (int p = 0; p < periods; ++p) {
-      u.set_period_start_s(kHour + 3600 * p);
-      for (int g = 0; g < groups; ++g) {
-        record.set_seq(++seq);
-        u.set_group(fmt::format("group-{:03}", g));
-        std::int64_t sum = 0;
-        for (int c = 0; c < 3; ++c) {
-          const std::int64_t use = 100'000'000 + static_cast<std::int64_t>(seq) * (c + 1);
-          u.mutable_classes(c)->set_use_us(use);
-          u.mutable_classes(c)->set_begun(seq % 97);
-          sum += use;
-        }
-        u.set_use_us(sum);
-        u.set_within_us(sum / 3);
-        u.set_beyond_us(sum - sum / 3);
-        const Line line = MakeLine(record, prev);
-        prev = line.hash;
-        out << line.text;
-      }
-    }
-    out << MakeTrailer({relay, "b", 1, seq, prev});
+  for (int k = 0; k < relays; ++k) {
+    const std::string relay = fmt::format("n{}", k);
+    WriteExport(fmt::format("{}/{}.jsonl", folder, relay), relay, periods, groups);
   }
 }
 
--- a/src/ledger/io/export_client.h
+++ b/src/ledger/io/export_client.h
@@ -1,17 +1,26 @@
-// Carries records to the billing receiver: HTTP/1.1 POST of record lines, as ledger/delivery decides.
+// Sends records to the billing receiver: HTTP/1.1 POST of record lines, when ledger/delivery.h decides.
 //
 // The request: POST PATH, `Content-Type: application/x-ndjson`, `Idempotency-Key: RELAY-BOOK-FROM-TO-HASH`
-// (HASH: of the last line). The answer, 200 or 409: {"seq":N,"hash":"..."}, the last record of this ledger_id
-// that the receiver holds durably. Anything else is no receipt.
+// (BOOK: the ledger's id; HASH: of the last line). The response, 200 or 409: {"seq":N,"hash":"..."}, the last
+// record of this ledger that the receiver holds durably. Anything else acknowledges nothing.
+//
+// Contract: at-least-once delivery in order; the store notes an acknowledgement durably before anything
+// further is sent. Errors of the receiver and of the store lead to retries with backoff and are logged and
+// counted.
+//
+// Threading: of the event loop's thread; the store is read through the recorder's worker.
 #ifndef STOATRUN_LEDGER_IO_EXPORT_CLIENT_H_
 #define STOATRUN_LEDGER_IO_EXPORT_CLIENT_H_
 
 #include <http_parser.h>
 
+#include <chrono>
+#include <cstddef>
 #include <cstdint>
 #include <random>
 #include <string>
 #include <string_view>
+#include <vector>
 
 #include "base/event_loop.h"
 #include "base/slot_map.h"
@@ -21,24 +30,34 @@
 
 namespace stoatrun::ledger {
 
+// Settings of an ExportClient.
 struct ExportClientSetup {
   Address receiver;
-  std::string host, path = "/";
-  Micros response_timeout = std::chrono::seconds(10);
+  std::string host, path = "/";                        // Of the request's head.
+  Micros response_timeout = std::chrono::seconds(10);  // From connecting to the complete response.
   DeliverySetup delivery;
-  std::uint64_t seed = 0;
+  std::uint64_t seed = 0;  // Of the jitter.
 };
 
+// Totals since the start.
 struct ExportClientCounters {
-  std::uint64_t requests = 0, records = 0, failures = 0, refused = 0, disagreements = 0;
+  std::uint64_t requests = 0, records = 0;
+  std::uint64_t failures = 0;       // Attempts without progress, of whatever kind.
+  std::uint64_t rejections = 0;     // The receiver did not accept the request.
+  std::uint64_t disagreements = 0;  // The receiver holds a record that this ledger never made.
 };
 
+// See the comment at the top of this file.
 class ExportClient : public TcpConnectionHandler {
  public:
+  // Sends the records of `recorder`, once it reports its first state. Both must outlive this object.
   ExportClient(EventLoop& loop, UsageRecorder& recorder, const ExportClientSetup& setup);
 
+  // Totals since the start.
   const ExportClientCounters& Counts() const { return counts_; }
+  // Records that are not delivered yet.
   std::uint64_t Backlog() const { return delivery_.Backlog(); }
+  // Adds the counters to a log record.
   void AddFields(LogLine& record) const;
 
   void OnConnected(SlotId id) override;
@@ -46,40 +65,50 @@
   void OnEnd(SlotId id, ConnectionEnd end) override;
 
  private:
+  // The connection of one request.
   struct Call {
-    Call(SlotId slot, ExportClient& all) : id(slot), stream(all.loop_, all, slot) {}
+    Call(SlotId slot, ExportClient& client) : id(slot), connection(client.loop_, client, slot) {}
     SlotId id;
-    TcpConnection stream;
+    TcpConnection connection;
   };
-  void TakeState(const StoreState& state);
-  void Wait();
-  void Send();
-  void Connect(const std::vector<StoredRecord>& records);
-  ReceiverResponse ReadAnswer() const;  // Of a response that is whole.
-  void Finish(const ReceiverResponse& answer);
-  void Confirm(std::uint64_t seq, const std::string& hash);
-  void Told(Delivery::Verdict verdict, std::string_view why);
-  double Chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  static int OnField(http_parser* p, const char* at, std::size_t size);
-  static int OnValue(http_parser* p, const char* at, std::size_t size);
-  static int OnBody(http_parser* p, const char* at, std::size_t size);
-  static int OnComplete(http_parser* p);
+  // What the parser has found of the response.
+  struct ParsedResponse {
+    std::string header_name, body, retry_after;
+    bool complete = false;
+  };
+
+  void OnStoreState(const StoreState& state);
+  void ScheduleAttempt();
+  void ReadBatch();
+  void SendRequest(const std::vector<StoredRecord>& records);
+  std::string FormatRequest(const std::vector<StoredRecord>& records) const;
+  ReceiverResponse Response() const;  // Of a complete one.
+  void EndCall(const ReceiverResponse& response);
+  void VerifyAcknowledgement(std::uint64_t seq, const std::string& hash);
+  void OnAttemptEnded(Delivery::Verdict verdict, std::string_view reason);
+  void LogFailure(Delivery::Verdict verdict, std::string_view reason);
+  double NextJitter() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  static int OnHeaderField(http_parser* parser, const char* data, std::size_t size);
+  static int OnHeaderValue(http_parser* parser, const char* data, std::size_t size);
+  static int OnBody(http_parser* parser, const char* data, std::size_t size);
+  static int OnMessageComplete(http_parser* parser);
 
   EventLoop& loop_;
-  UsageRecorder& usage_recorder_;
+  UsageRecorder& recorder_;
   const ExportClientSetup setup_;
   Delivery delivery_;
   std::mt19937_64 random_;
   StoreState state_;
-  Timer due_, response_timer_;
+  bool has_state_ = false;
+  Timer attempt_timer_, response_timer_;
   SlotMap<Call> calls_;
-  SlotId call_;
-  std::string request_, field_, body_, retry_after_;
-  bool complete_ = false, begun_ = false;
+  SlotId call_;  // The one in flight.
+  std::string request_;
+  ParsedResponse response_;
   http_parser parser_{};
   http_parser_settings parser_settings_{};
   ExportClientCounters counts_;
-  LogRateLimiter told_;
+  LogRateLimiter log_limiter_;
 };
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/io/export_file.cpp
+++ b/src/ledger/io/export_file.cpp
@@ -13,6 +13,7 @@
 #include <set>
 #include <stdexcept>
 #include <thread>
+#include <tuple>
 #include <utility>
 
 namespace stoatrun::ledger {
@@ -48,9 +49,9 @@
       text.remove_prefix(static_cast<std::size_t>(written));
     }
   }
-  std::size_t Read(char* to, std::size_t size) {
+  std::size_t Read(char* data, std::size_t size) {
     for (;;) {
-      const ssize_t bytes = read(fd_, to, size);
+      const ssize_t bytes = read(fd_, data, size);
       if (bytes >= 0) return static_cast<std::size_t>(bytes);
       if (errno != EINTR) ThrowErrno(path_);
     }
@@ -68,7 +69,9 @@
 struct LedgerKey {
   std::string relay, ledger_id;
 
-  auto operator<=>(const LedgerKey&) const = default;
+  bool operator<(const LedgerKey& other) const {
+    return std::tie(relay, ledger_id) < std::tie(other.relay, other.ledger_id);
+  }
 };
 
 // One of the files of a ledger's export.
@@ -76,7 +79,9 @@
   std::uint64_t first_seq = 0;
   std::string path;
 
-  auto operator<=>(const ExportPart&) const = default;
+  bool operator<(const ExportPart& other) const {
+    return std::tie(first_seq, path) < std::tie(other.first_seq, other.path);
+  }
 };
 
 // One ledger's export.
@@ -86,11 +91,11 @@
 };
 
 std::string FirstLine(const std::string& path) {
-  File in(path, O_RDONLY);
+  File input(path, O_RDONLY);
   std::string text(kReadBufferSize, '\0');
   std::size_t size = 0;
   while (size < text.size()) {
-    const std::size_t bytes = in.Read(text.data() + size, text.size() - size);
+    const std::size_t bytes = input.Read(text.data() + size, text.size() - size);
     size += bytes;
     if (bytes == 0 || std::string_view(text.data(), size).find('\n') != std::string_view::npos) break;
   }
@@ -200,7 +205,7 @@
 }
 
 void EachLine(const std::string& path, const std::function<void(std::string_view)>& each) {
-  File in(path, O_RDONLY);
+  File input(path, O_RDONLY);
   std::vector<char> buffer(kReadBufferSize + simdjson::SIMDJSON_PADDING);
   std::size_t size = 0;
   for (;;) {
@@ -209,7 +214,7 @@
       buffer.resize(2 * buffer.size());
     }
     const std::size_t bytes =
-        in.Read(buffer.data() + size, buffer.size() - simdjson::SIMDJSON_PADDING - size);
+        input.Read(buffer.data() + size, buffer.size() - simdjson::SIMDJSON_PADDING - size);
     size += bytes;
     std::string_view rest(buffer.data(), size);
     for (std::size_t end = 0; (end = rest.find('\n')) != std::string_view::npos;
--- a/src/ledger/io/period_table.cpp
+++ b/src/ledger/io/period_table.cpp
@@ -6,15 +6,15 @@
 namespace stoatrun::ledger {
 
 std::optional<std::int64_t> PeriodTable::FindOpen(std::int64_t start_s) {
-  Query query(database_, "SELECT id FROM period WHERE start_s = ? AND closed = 0");
+  Statement query(database_, "SELECT id FROM period WHERE start_s = ? AND closed = 0");
   return query.Bind(start_s).Step() ? std::optional(query.Int(0)) : std::nullopt;
 }
 
 std::int64_t PeriodTable::FindOrBegin(const Posting& posting) {
   if (const auto open = FindOpen(posting.period_start_s)) return *open;
-  Query supplement(database_, "SELECT coalesce(max(supplement) + 1, 0) FROM period WHERE start_s = ?");
+  Statement supplement(database_, "SELECT coalesce(max(supplement) + 1, 0) FROM period WHERE start_s = ?");
   supplement.Bind(posting.period_start_s).Step();
-  Query(database_, "INSERT INTO period(start_s, supplement, length_s) VALUES(?, ?, ?)")
+  Statement(database_, "INSERT INTO period(start_s, supplement, length_s) VALUES(?, ?, ?)")
       .Bind(posting.period_start_s)
       .Bind(supplement.Int(0))
       .Bind(posting.period_s)
@@ -28,18 +28,18 @@
     AddGroup(period_id, group);
     for (const ClassUse& use : group.classes) AddClass(period_id, group.name, use);
   }
-  Query(database_, "UPDATE period SET lives_us = lives_us + ? WHERE id = ?")
+  Statement(database_, "UPDATE period SET lives_us = lives_us + ? WHERE id = ?")
       .Bind(posting.connection_time_us)
       .Bind(period_id)
       .Run();
 }
 
 void PeriodTable::AddGroup(std::int64_t period_id, const GroupUse& group) {
-  Query(database_,
-        "INSERT INTO split VALUES(?, ?, ?, ?, ?, ?) ON CONFLICT DO UPDATE SET use_us = use_us + "
-        "excluded.use_us, within_us = within_us + excluded.within_us, share_milli = "
-        "excluded.share_milli, "
-        "peak = max(peak, excluded.peak)")
+  Statement(database_,
+            "INSERT INTO split VALUES(?, ?, ?, ?, ?, ?) ON CONFLICT DO UPDATE SET use_us = use_us + "
+            "excluded.use_us, within_us = within_us + excluded.within_us, share_milli = "
+            "excluded.share_milli, "
+            "peak = max(peak, excluded.peak)")
       .Bind(period_id)
       .Bind(group.name)
       .Bind(group.use_us)
@@ -50,10 +50,10 @@
 }
 
 void PeriodTable::AddClass(std::int64_t period_id, const std::string& group, const ClassUse& use) {
-  Query(database_,
-        "INSERT INTO cell(period, grp, class, use_us, begun) VALUES(?, ?, ?, ?, ?) ON CONFLICT DO "
-        "UPDATE "
-        "SET use_us = use_us + excluded.use_us, begun = begun + excluded.begun")
+  Statement(database_,
+            "INSERT INTO cell(period, grp, class, use_us, begun) VALUES(?, ?, ?, ?, ?) ON CONFLICT DO "
+            "UPDATE "
+            "SET use_us = use_us + excluded.use_us, begun = begun + excluded.begun")
       .Bind(period_id)
       .Bind(group)
       .Bind(use.name)
@@ -68,13 +68,13 @@
 
 void PeriodTable::CloseAllExcept(std::int64_t start_s) {
   std::vector<std::int64_t> ids;
-  Query open(database_, "SELECT id FROM period WHERE closed = 0 AND start_s != ? ORDER BY id");
+  Statement open(database_, "SELECT id FROM period WHERE closed = 0 AND start_s != ? ORDER BY id");
   for (open.Bind(start_s); open.Step();) ids.push_back(open.Int(0));
   for (const std::int64_t id : ids) Close(id);
 }
 
 PeriodTable::Period PeriodTable::Load(std::int64_t id) {
-  Query query(database_, "SELECT start_s, supplement, length_s, lives_us FROM period WHERE id = ?");
+  Statement query(database_, "SELECT start_s, supplement, length_s, lives_us FROM period WHERE id = ?");
   query.Bind(id).Step();
   return {id, query.Int(0), query.Int(1), query.Int(2), query.Int(3)};
 }
@@ -86,16 +86,16 @@
     AppendImbalance(period, sums);
   }
   // From here on the usage is in the records.
-  Query(database_, "DELETE FROM cell WHERE period = ?").Bind(id).Run();
-  Query(database_, "DELETE FROM split WHERE period = ?").Bind(id).Run();
-  Query(database_, "UPDATE period SET closed = 1 WHERE id = ?").Bind(id).Run();
+  Statement(database_, "DELETE FROM cell WHERE period = ?").Bind(id).Run();
+  Statement(database_, "DELETE FROM split WHERE period = ?").Bind(id).Run();
+  Statement(database_, "UPDATE period SET closed = 1 WHERE id = ?").Bind(id).Run();
 }
 
 // Groups and their classes are read in order of their names, so that the same usage gives the same records.
 PeriodTable::Sums PeriodTable::AppendUseRecords(const Period& period) {
   Sums sums;
-  Query groups(database_,
-               "SELECT grp, use_us, within_us, share_milli, peak FROM split WHERE period = ? ORDER BY grp");
+  Statement groups(
+      database_, "SELECT grp, use_us, within_us, share_milli, peak FROM split WHERE period = ? ORDER BY grp");
   for (groups.Bind(period.id); groups.Step();) {
     const std::string group(groups.Text(0));
     const std::int64_t use_us = groups.Int(1), within_us = groups.Int(2);
@@ -119,8 +119,8 @@
 
 std::int64_t PeriodTable::ReadClasses(const Period& period, wire::Use& use) {
   std::int64_t sum_us = 0;
-  Query classes(database_,
-                "SELECT class, use_us, begun FROM cell WHERE period = ? AND grp = ? ORDER BY class");
+  Statement classes(database_,
+                    "SELECT class, use_us, begun FROM cell WHERE period = ? AND grp = ? ORDER BY class");
   for (classes.Bind(period.id).Bind(use.group()); classes.Step();) {
     wire::ClassUse& class_use = *use.add_classes();
     class_use.set_name(std::string(classes.Text(0)));
@@ -142,19 +142,19 @@
 }
 
 std::optional<std::int64_t> PeriodTable::Length(std::int64_t start_s) {
-  Query query(database_, "SELECT length_s FROM period WHERE start_s = ? LIMIT 1");
+  Statement query(database_, "SELECT length_s FROM period WHERE start_s = ? LIMIT 1");
   return query.Bind(start_s).Step() ? std::optional(query.Int(0)) : std::nullopt;
 }
 
 std::uint64_t PeriodTable::OpenCount() {
-  Query query(database_, "SELECT count(*) FROM period WHERE closed = 0");
+  Statement query(database_, "SELECT count(*) FROM period WHERE closed = 0");
   query.Step();
   return static_cast<std::uint64_t>(query.Int(0));
 }
 
 std::vector<OpenUse> PeriodTable::OpenUsage() {
   std::vector<OpenUse> usage;
-  Query query(
+  Statement query(
       database_,
       "SELECT p.start_s, p.length_s, p.supplement, s.grp, s.use_us, s.within_us, s.share_milli, s.peak "
       "FROM period p JOIN split s ON s.period = p.id WHERE p.closed = 0 ORDER BY p.id, s.grp");
--- a/src/ledger/io/period_table.h
+++ b/src/ledger/io/period_table.h
@@ -24,7 +24,7 @@
 class PeriodTable {
  public:
   // Both must outlive this object.
-  PeriodTable(Sql& database, RecordLog& records) : database_(database), records_(records) {}
+  PeriodTable(Database& database, RecordLog& records) : database_(database), records_(records) {}
 
   // Adds the usage of a posting to the open period that starts where the posting's does; begins it if needed.
   void AddUsage(const Posting& posting);
@@ -62,7 +62,7 @@
   std::int64_t ReadClasses(const Period& period, wire::Use& use);
   void AppendImbalance(const Period& period, const Sums& sums);
 
-  Sql& database_;
+  Database& database_;
   RecordLog& records_;
 };
 
--- a/src/ledger/io/record_log.cpp
+++ b/src/ledger/io/record_log.cpp
@@ -38,7 +38,7 @@
   record.set_book(ledger_id_);
   record.set_seq(seq);
   const Line line = MakeLine(record, meta_.Get(MetaTable::kHeadHash));
-  Query insert(
+  Statement insert(
       database_,
       "INSERT INTO record(seq, kind, start_s, grp, reference, hash, line) VALUES(?, ?, ?, ?, ?, ?, ?)");
   insert.Bind(static_cast<std::int64_t>(seq)).Bind(kind).Bind(index.period_start_s).Bind(index.group);
@@ -55,7 +55,7 @@
 
 std::vector<StoredRecord> RecordLog::Read(std::uint64_t from_seq, std::size_t max_records) {
   std::vector<StoredRecord> records;
-  Query query(database_, "SELECT seq, hash, line FROM record WHERE seq >= ? ORDER BY seq LIMIT ?");
+  Statement query(database_, "SELECT seq, hash, line FROM record WHERE seq >= ? ORDER BY seq LIMIT ?");
   query.Bind(static_cast<std::int64_t>(from_seq)).Bind(static_cast<std::int64_t>(max_records));
   while (query.Step()) {
     records.push_back(
@@ -65,19 +65,19 @@
 }
 
 std::optional<std::int64_t> RecordLog::FindByReference(std::string_view reference) {
-  Query query(database_, "SELECT seq FROM record WHERE reference = ?");
+  Statement query(database_, "SELECT seq FROM record WHERE reference = ?");
   return query.Bind(reference).Step() ? std::optional(query.Int(0)) : std::nullopt;
 }
 
 std::optional<std::uint64_t> RecordLog::FindUse(std::int64_t period_start_s, std::string_view group) {
-  Query query(database_,
-              "SELECT seq FROM record WHERE start_s = ? AND grp = ? AND kind = 'use' ORDER BY seq");
+  Statement query(database_,
+                  "SELECT seq FROM record WHERE start_s = ? AND grp = ? AND kind = 'use' ORDER BY seq");
   if (!query.Bind(period_start_s).Bind(group).Step()) return std::nullopt;
   return static_cast<std::uint64_t>(query.Int(0));
 }
 
 bool RecordLog::Contains(std::uint64_t seq, std::string_view hash) {
-  Query query(database_, "SELECT hash FROM record WHERE seq = ?");
+  Statement query(database_, "SELECT hash FROM record WHERE seq = ?");
   return query.Bind(static_cast<std::int64_t>(seq)).Step() && query.Text(0) == hash;
 }
 
--- a/src/ledger/io/record_log.h
+++ b/src/ledger/io/record_log.h
@@ -34,7 +34,7 @@
 class RecordLog {
  public:
   // `database` must outlive this object.
-  explicit RecordLog(Sql& database) : database_(database), meta_(database) {}
+  explicit RecordLog(Database& database) : database_(database), meta_(database) {}
 
   // Whose records are appended: the relay's name and the id of its ledger.
   void SetIdentity(const std::string& relay, const std::string& ledger_id);
@@ -53,7 +53,7 @@
   bool Contains(std::uint64_t seq, std::string_view hash);
 
  private:
-  Sql& database_;
+  Database& database_;
   MetaTable meta_;
   std::string relay_, ledger_id_;
 };
--- a/src/ledger/io/sqlite.cpp
+++ b/src/ledger/io/sqlite.cpp
@@ -3,43 +3,44 @@
 namespace stoatrun::ledger {
 namespace {
 
-constexpr int kBusyMs = 5000;  // Another process on the same folder holds the lock for a transaction only.
+constexpr int kBusyTimeoutMs =
+    5000;  // Other processes on the same file hold its lock for a transaction only.
 
 }  // namespace
 
-Sql::Sql(const std::string& path, int flags, const char* vfs) {
-  sqlite3* raw = nullptr;
-  const int code = sqlite3_open_v2(path.c_str(), &raw, flags, vfs);
-  db_.reset(raw);
+Database::Database(const std::string& path, int flags, const char* vfs) {
+  sqlite3* handle = nullptr;
+  const int code = sqlite3_open_v2(path.c_str(), &handle, flags, vfs);
+  handle_.reset(handle);
   if (code != SQLITE_OK) {
-    throw SqlError(raw != nullptr ? sqlite3_extended_errcode(raw) : code,
-                   path + ": " + (raw != nullptr ? sqlite3_errmsg(raw) : sqlite3_errstr(code)));
+    throw SqlError(handle != nullptr ? sqlite3_extended_errcode(handle) : code,
+                   path + ": " + (handle != nullptr ? sqlite3_errmsg(handle) : sqlite3_errstr(code)));
   }
-  sqlite3_extended_result_codes(raw, 1);
-  sqlite3_busy_timeout(raw, kBusyMs);
+  sqlite3_extended_result_codes(handle, 1);
+  sqlite3_busy_timeout(handle, kBusyTimeoutMs);
 }
 
-void Sql::Do(const char* sql) {
-  const int code = sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr);
-  if (code != SQLITE_OK) throw SqlError(code, sqlite3_errmsg(db_.get()));
+void Database::Execute(const char* sql) {
+  const int code = sqlite3_exec(handle_.get(), sql, nullptr, nullptr, nullptr);
+  if (code != SQLITE_OK) throw SqlError(code, sqlite3_errmsg(handle_.get()));
 }
 
-Query::Query(Sql& db, std::string_view sql) : db_(db) {
-  sqlite3_stmt* raw = nullptr;
-  const int code =
-      sqlite3_prepare_v2(db.native_handle(), sql.data(), static_cast<int>(sql.size()), &raw, nullptr);
-  statement_.reset(raw);
+Statement::Statement(Database& database, std::string_view sql) : database_(database) {
+  sqlite3_stmt* statement = nullptr;
+  const int code = sqlite3_prepare_v2(database.native_handle(), sql.data(), static_cast<int>(sql.size()),
+                                      &statement, nullptr);
+  statement_.reset(statement);
   if (code != SQLITE_OK) Fail(code);
 }
 
-void Query::Fail(int code) { throw SqlError(code, sqlite3_errmsg(db_.native_handle())); }
+void Statement::Fail(int code) { throw SqlError(code, sqlite3_errmsg(database_.native_handle())); }
 
-Query& Query::Bind(std::int64_t value) {
+Statement& Statement::Bind(std::int64_t value) {
   if (const int code = sqlite3_bind_int64(statement_.get(), ++bound_, value); code != SQLITE_OK) Fail(code);
   return *this;
 }
 
-Query& Query::Bind(std::string_view value) {
+Statement& Statement::Bind(std::string_view value) {
   const int code = sqlite3_bind_text(statement_.get(), ++bound_, value.empty() ? "" : value.data(),
                                      static_cast<int>(value.size()),
                                      SQLITE_TRANSIENT);  // NOLINT: SQLite's own macro casts a number.
@@ -47,29 +48,38 @@
   return *this;
 }
 
-Query& Query::BindNull() {
+Statement& Statement::BindNull() {
   if (const int code = sqlite3_bind_null(statement_.get(), ++bound_); code != SQLITE_OK) Fail(code);
   return *this;
 }
 
-bool Query::Step() {
+bool Statement::Step() {
   const int code = sqlite3_step(statement_.get());
   if (code == SQLITE_ROW) return true;
   if (code != SQLITE_DONE) Fail(code);
   return false;
 }
 
-std::string_view Query::Text(int column) {
+std::string_view Statement::Text(int column) {
   const auto* text = reinterpret_cast<const char*>(sqlite3_column_text(statement_.get(), column));
   return {text != nullptr ? text : "",
           static_cast<std::size_t>(sqlite3_column_bytes(statement_.get(), column))};
 }
 
+Transaction::Transaction(Database& database, Kind kind) : database_(database) {
+  database.Execute(kind == Kind::kWrite ? "BEGIN IMMEDIATE" : "BEGIN");
+}
+
 Transaction::~Transaction() {
-  // After an error SQLite may have rolled back by itself; then there is none to roll back.
-  if (!done_ && sqlite3_get_autocommit(db_.native_handle()) == 0) {
-    sqlite3_exec(db_.native_handle(), "ROLLBACK", nullptr, nullptr, nullptr);
+  // After an error SQLite may have rolled back by itself; then no transaction is open.
+  if (!committed_ && sqlite3_get_autocommit(database_.native_handle()) == 0) {
+    sqlite3_exec(database_.native_handle(), "ROLLBACK", nullptr, nullptr, nullptr);
   }
 }
 
+void Transaction::Commit() {
+  database_.Execute("COMMIT");
+  committed_ = true;
+}
+
 }  // namespace stoatrun::ledger
--- a/src/ledger/io/sqlite.h
+++ b/src/ledger/io/sqlite.h
@@ -1,4 +1,6 @@
 // SQLite with owned handles, and errors as exceptions.
+//
+// A Database and its statements are used by one thread at a time.
 #ifndef STOATRUN_LEDGER_IO_SQLITE_H_
 #define STOATRUN_LEDGER_IO_SQLITE_H_
 
@@ -12,69 +14,78 @@
 
 namespace stoatrun::ledger {
 
-// `code` is SQLite's extended result code.
+// An error of SQLite; `code` is its extended result code.
 class SqlError : public std::runtime_error {
  public:
+  // An error with SQLite's own message.
   SqlError(int result, const std::string& what) : std::runtime_error(what), code(result) {}
   int code;
 };
 
-class Sql {
+// A connection to a database file. Waits up to five seconds for the locks of other connections.
+class Database {
  public:
-  // Throws SqlError. `vfs`: null for the system's.
-  Sql(const std::string& path, int flags, const char* vfs);
-  void Do(const char* sql);  // Statements without values; throws SqlError.
-  sqlite3* native_handle() { return db_.get(); }
-  std::int64_t Changes() { return sqlite3_changes64(db_.get()); }
+  // Opens `path` with SQLITE_OPEN_* flags on a VFS; null: the system's. Throws SqlError.
+  Database(const std::string& path, int flags, const char* vfs);
+  // Runs statements that take and return no values. Throws SqlError.
+  void Execute(const char* sql);
+  // The connection, for functions of SQLite that have no wrapper here; still owned by this object.
+  sqlite3* native_handle() { return handle_.get(); }
 
  private:
   struct Close {
-    void operator()(sqlite3* db) const { sqlite3_close_v2(db); }
+    void operator()(sqlite3* handle) const { sqlite3_close_v2(handle); }
   };
-  std::unique_ptr<sqlite3, Close> db_;
+  std::unique_ptr<sqlite3, Close> handle_;
 };
 
-// A prepared statement, bound in order: Query(db, "...").Bind(1).Bind("a").Step().
-class Query {
+// A prepared statement; parameters are bound in order: Statement(db, "...").Bind(1).Bind("a").Step(). Every
+// function throws SqlError, except those that read columns.
+class Statement {
  public:
-  Query(Sql& db, std::string_view sql);
-  Query& Bind(std::int64_t value);
-  Query& Bind(std::string_view value);  // Copied.
-  Query& BindNull();
-  bool Step();  // Whether there is a row. Throws SqlError.
+  // `database` must outlive this object.
+  Statement(Database& database, std::string_view sql);
+  // Binds the next parameter.
+  Statement& Bind(std::int64_t value);
+  // Binds the next parameter to a copy of `value`.
+  Statement& Bind(std::string_view value);
+  // Binds the next parameter to NULL.
+  Statement& BindNull();
+  // Executes up to the next row. Returns whether there is one.
+  bool Step();
+  // Executes a statement that returns no rows.
   void Run() { Step(); }
+  // A column of the current row, from 0.
   std::int64_t Int(int column) { return sqlite3_column_int64(statement_.get(), column); }
-  // Good until the next Step.
+  // A column of the current row; valid until the next Step.
   std::string_view Text(int column);
-  bool IsNull(int column) { return sqlite3_column_type(statement_.get(), column) == SQLITE_NULL; }
 
  private:
   struct Finalize {
-    void operator()(sqlite3_stmt* s) const { sqlite3_finalize(s); }
+    void operator()(sqlite3_stmt* statement) const { sqlite3_finalize(statement); }
   };
-  void Fail(int code);
-  Sql& db_;
+  [[noreturn]] void Fail(int code);
+  Database& database_;
   std::unique_ptr<sqlite3_stmt, Finalize> statement_;
   int bound_ = 0;
 };
 
-// Rolled back when it goes, unless committed.
+// A transaction, rolled back at the end of its scope unless committed.
 class Transaction {
  public:
+  // kWrite takes the write lock at once, kRead the read lock at the first read.
   enum class Kind { kRead, kWrite };
-  Transaction(Sql& db, Kind kind) : db_(db) { db.Do(kind == Kind::kWrite ? "BEGIN IMMEDIATE" : "BEGIN"); }
+  // Begins a transaction. Throws SqlError. `database` must outlive this object.
+  Transaction(Database& database, Kind kind);
   ~Transaction();
   Transaction(const Transaction&) = delete;
   Transaction& operator=(const Transaction&) = delete;
-  // Throws SqlError: whether it took place is then not known, until the next transaction has begun.
-  void Commit() {
-    db_.Do("COMMIT");
-    done_ = true;
-  }
+  // Commits. Throws SqlError: whether it took effect is then not known until the next transaction has begun.
+  void Commit();
 
  private:
-  Sql& db_;
-  bool done_ = false;
+  Database& database_;
+  bool committed_ = false;
 };
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/io/store.cpp
+++ b/src/ledger/io/store.cpp
@@ -28,8 +28,8 @@
   }
 }
 
-void DeleteOpenConnections(Sql& database, std::int64_t run) {
-  Query(database, "DELETE FROM run_open WHERE run = ?").Bind(run).Run();
+void DeleteOpenConnections(Database& database, std::int64_t run) {
+  Statement(database, "DELETE FROM run_open WHERE run = ?").Bind(run).Run();
 }
 
 }  // namespace
@@ -45,14 +45,14 @@
   Guarded(path_, [&] { LoadIdentity(setup); });
 }
 
-Sql Store::OpenDatabase(const StoreSetup& setup, const std::string& path) {
+Database Store::OpenDatabase(const StoreSetup& setup, const std::string& path) {
   return Guarded(path, [&] {
     const int create = setup.lock_folder ? SQLITE_OPEN_CREATE : 0;
-    Sql database(path, SQLITE_OPEN_READWRITE | create, CheckedVfs(setup.vfs));
-    Prepare(database.native_handle());
-    database.Do("PRAGMA page_size = 4096");
+    Database database(path, SQLITE_OPEN_READWRITE | create, CheckedVfs(setup.vfs));
+    ReservePageChecksums(database.native_handle());
+    database.Execute("PRAGMA page_size = 4096");
     // A commit is in force once the deletion of its journal is on the disk, the folder's entry included.
-    database.Do(
+    database.Execute(
         "PRAGMA journal_mode = DELETE; PRAGMA synchronous = EXTRA; PRAGMA temp_store = MEMORY;"
         "PRAGMA cache_size = -2048; PRAGMA foreign_keys = ON");
     MigrateSchema(database, path);
@@ -88,7 +88,7 @@
     Transaction transaction(database_, Transaction::Kind::kWrite);
     RecordUnattested(wall_us);
     periods_.CloseAllExcept(period_start_s);
-    Query(database_, "INSERT INTO run(began_wall_us, last_wall_us, last_number) VALUES(?, ?, 0)")
+    Statement(database_, "INSERT INTO run(began_wall_us, last_wall_us, last_number) VALUES(?, ?, 0)")
         .Bind(wall_us)
         .Bind(wall_us)
         .Run();
@@ -101,7 +101,7 @@
 
 bool Store::ResumeRun(std::int64_t run) {
   return Guarded(path_, [&] {
-    Query query(database_, "SELECT 1 FROM run WHERE id = ? AND ended = 0");
+    Statement query(database_, "SELECT 1 FROM run WHERE id = ? AND ended = 0");
     if (!query.Bind(run).Step()) return false;
     run_ = run;
     return true;
@@ -109,7 +109,7 @@
 }
 
 void Store::RecordUnattested(std::int64_t wall_us) {
-  Query last(database_, "SELECT id, last_wall_us, ended FROM run ORDER BY id DESC LIMIT 1");
+  Statement last(database_, "SELECT id, last_wall_us, ended FROM run ORDER BY id DESC LIMIT 1");
   if (!last.Step() || last.Int(2) != static_cast<std::int64_t>(RunEnd::kRunning)) return;
   const std::int64_t last_run = last.Int(0), checkpoint_wall_us = last.Int(1);
   wire::Record record;
@@ -118,7 +118,7 @@
   unattested.set_to_wall_us(wall_us);
   unattested.set_checkpoint_ms(checkpoint_ms_);
   const std::int64_t max_span_us = std::max<std::int64_t>(0, wall_us - checkpoint_wall_us);
-  Query open(database_, "SELECT grp, open FROM run_open WHERE run = ? ORDER BY grp");
+  Statement open(database_, "SELECT grp, open FROM run_open WHERE run = ? ORDER BY grp");
   for (open.Bind(last_run); open.Step();) {
     wire::OpenConnections& connections = *unattested.add_open();
     connections.set_group(std::string(open.Text(0)));
@@ -126,7 +126,7 @@
     connections.set_bound_us(max_span_us * open.Int(1));
   }
   records_.Append(std::move(record));
-  Query(database_, "UPDATE run SET ended = ? WHERE id = ?")
+  Statement(database_, "UPDATE run SET ended = ? WHERE id = ?")
       .Bind(static_cast<std::int64_t>(RunEnd::kUnattested))
       .Bind(last_run)
       .Run();
@@ -148,7 +148,7 @@
 
 // An earlier attempt's commit may have succeeded although it returned an error.
 bool Store::IsApplied(std::uint64_t posting_number) {
-  Query last(database_, "SELECT last_number FROM run WHERE id = ?");
+  Statement last(database_, "SELECT last_number FROM run WHERE id = ?");
   if (!last.Bind(run_).Step()) throw StoreError(StoreErrorCode::kCorrupt, path_ + ": the run is gone");
   return static_cast<std::uint64_t>(last.Int(0)) >= posting_number;
 }
@@ -171,21 +171,21 @@
 }
 
 void Store::SaveRunProgress(const Posting& posting, const OpenCounts& open) {
-  Query(database_, "UPDATE run SET last_number = ?, last_wall_us = ? WHERE id = ?")
+  Statement(database_, "UPDATE run SET last_number = ?, last_wall_us = ? WHERE id = ?")
       .Bind(static_cast<std::int64_t>(posting.number))
       .Bind(posting.wall_us)
       .Bind(run_)
       .Run();
   DeleteOpenConnections(database_, run_);
   for (const auto& [group, count] : open) {
-    Query(database_, "INSERT INTO run_open VALUES(?, ?, ?)").Bind(run_).Bind(group).Bind(count).Run();
+    Statement(database_, "INSERT INTO run_open VALUES(?, ?, ?)").Bind(run_).Bind(group).Bind(count).Run();
   }
 }
 
 void Store::EndRun(std::int64_t wall_us) {
   Guarded(path_, [&] {
     Transaction transaction(database_, Transaction::Kind::kWrite);
-    Query(database_, "UPDATE run SET ended = ?, last_wall_us = ? WHERE id = ?")
+    Statement(database_, "UPDATE run SET ended = ?, last_wall_us = ? WHERE id = ?")
         .Bind(static_cast<std::int64_t>(RunEnd::kOrderly))
         .Bind(wall_us)
         .Bind(run_)
--- a/src/ledger/io/store.h
+++ b/src/ledger/io/store.h
@@ -107,7 +107,7 @@
   static std::string DatabasePath(const std::string& folder) { return folder + "/ledger.db"; }
 
  private:
-  static Sql OpenDatabase(const StoreSetup& setup, const std::string& path);
+  static Database OpenDatabase(const StoreSetup& setup, const std::string& path);
   void LoadIdentity(const StoreSetup& setup);
   // All inside a transaction of the caller's.
   void RecordUnattested(std::int64_t wall_us);
@@ -119,7 +119,7 @@
   const std::string path_;
   const std::uint64_t checkpoint_ms_;
   const std::optional<FolderLock> lock_;  // Before the database: released after it is closed.
-  Sql database_;
+  Database database_;
   MetaTable meta_;
   RecordLog records_;
   PeriodTable periods_;
--- a/src/ledger/io/store_schema.cpp
+++ b/src/ledger/io/store_schema.cpp
@@ -33,15 +33,15 @@
     R"(ALTER TABLE cell ADD COLUMN begun INTEGER NOT NULL DEFAULT 0;
        CREATE INDEX record_period ON record(start_s, grp);)"};
 
-std::int64_t SchemaVersion(Sql& database) {
-  Query version(database, "PRAGMA user_version");
+std::int64_t SchemaVersion(Database& database) {
+  Statement version(database, "PRAGMA user_version");
   version.Step();
   return version.Int(0);
 }
 
 }  // namespace
 
-void MigrateSchema(Sql& database, const std::string& path) {
+void MigrateSchema(Database& database, const std::string& path) {
   if (SchemaVersion(database) == kSchema) return;
   Transaction transaction(database, Transaction::Kind::kWrite);
   const std::int64_t from = SchemaVersion(database);  // Another process may have migrated it meanwhile.
@@ -50,14 +50,14 @@
                      fmt::format("{}: its schema is {}, this program knows up to {}", path, from, kSchema));
   }
   for (auto step = static_cast<std::size_t>(from); step < kMigrations.size(); ++step) {
-    database.Do(kMigrations[step]);
+    database.Execute(kMigrations[step]);
   }
-  database.Do(fmt::format("PRAGMA user_version = {}", kSchema).c_str());
+  database.Execute(fmt::format("PRAGMA user_version = {}", kSchema).c_str());
   transaction.Commit();
 }
 
 std::string MetaTable::Get(std::string_view key) {
-  Query query(database_, "SELECT value FROM meta WHERE key = ?");
+  Statement query(database_, "SELECT value FROM meta WHERE key = ?");
   return query.Bind(key).Step() ? std::string(query.Text(0)) : std::string();
 }
 
@@ -69,7 +69,7 @@
 }
 
 void MetaTable::Set(std::string_view key, std::string_view value) {
-  Query(database_, "INSERT INTO meta VALUES(?, ?) ON CONFLICT(key) DO UPDATE SET value = excluded.value")
+  Statement(database_, "INSERT INTO meta VALUES(?, ?) ON CONFLICT(key) DO UPDATE SET value = excluded.value")
       .Bind(key)
       .Bind(value)
       .Run();
--- a/src/ledger/io/store_schema.h
+++ b/src/ledger/io/store_schema.h
@@ -19,7 +19,7 @@
 
 // Lifts the database to kSchema, all steps in one transaction. `path` is for error texts. Throws StoreError
 // kNewerSchema if a newer release wrote the file, else SqlError.
-void MigrateSchema(Sql& database, const std::string& path);
+void MigrateSchema(Database& database, const std::string& path);
 
 // Single values by key. Inside or outside a transaction of the caller's; throws SqlError.
 class MetaTable {
@@ -31,7 +31,7 @@
   static constexpr std::string_view kDeliveredSeq = "delivered_seq";  // The last one the receiver holds.
 
   // `database` must outlive this object.
-  explicit MetaTable(Sql& database) : database_(database) {}
+  explicit MetaTable(Database& database) : database_(database) {}
 
   // The value of `key`; empty if there is none.
   std::string Get(std::string_view key);
@@ -41,7 +41,7 @@
   void Set(std::string_view key, std::string_view value);
 
  private:
-  Sql& database_;
+  Database& database_;
 };
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/io/store_verifier.cpp
+++ b/src/ledger/io/store_verifier.cpp
@@ -14,7 +14,7 @@
 // Checks one database and gathers what is wrong.
 class Verifier {
  public:
-  Verifier(Sql& database, const std::string& path) : database_(database), path_(path), meta_(database) {}
+  Verifier(Database& database, const std::string& path) : database_(database), path_(path), meta_(database) {}
 
   void CheckAll() {
     // The first read takes the read lock, which FindInvalidPage relies on.
@@ -35,7 +35,7 @@
   }
 
   void CheckSqlite() {
-    Query check(database_, "PRAGMA integrity_check");
+    Statement check(database_, "PRAGMA integrity_check");
     while (check.Step()) {
       if (check.Text(0) != "ok") Report(fmt::format("{}: {}", path_, check.Text(0)));
     }
@@ -44,7 +44,7 @@
   void CheckChain(std::uint64_t head_seq) {
     std::uint64_t expected = 1;
     std::string previous_hash = FirstHash();
-    Query records(database_, "SELECT seq, hash, line FROM record ORDER BY seq");
+    Statement records(database_, "SELECT seq, hash, line FROM record ORDER BY seq");
     for (; records.Step(); ++expected) {
       const auto seq = static_cast<std::uint64_t>(records.Int(0));
       if (seq != expected) Report(fmt::format("record {} is missing", expected));
@@ -63,7 +63,7 @@
   }
 
   void CheckSums() {
-    Query sums(
+    Statement sums(
         database_,
         "SELECT p.start_s, p.lives_us, (SELECT coalesce(sum(use_us), 0) FROM cell WHERE period = p.id), "
         "(SELECT coalesce(sum(use_us), 0) FROM split WHERE period = p.id) FROM period p WHERE closed = 0");
@@ -75,7 +75,7 @@
     }
   }
 
-  Sql& database_;
+  Database& database_;
   const std::string& path_;
   MetaTable meta_;
   std::vector<std::string> findings_;
@@ -83,7 +83,7 @@
 
 }  // namespace
 
-std::vector<std::string> VerifyDatabase(Sql& database, const std::string& path) {
+std::vector<std::string> VerifyDatabase(Database& database, const std::string& path) {
   const Transaction transaction(database, Transaction::Kind::kRead);
   Verifier verifier(database, path);
   try {
--- a/src/ledger/io/store_verifier.h
+++ b/src/ledger/io/store_verifier.h
@@ -12,7 +12,7 @@
 // Checks everything inside one read transaction, so that no page changes meanwhile. Returns what is wrong as
 // sentences for the operator, each damage of the file with `path`; empty if nothing is. An error of SQLite
 // while checking is a finding; throws SqlError only if the transaction can't begin.
-std::vector<std::string> VerifyDatabase(Sql& database, const std::string& path);
+std::vector<std::string> VerifyDatabase(Database& database, const std::string& path);
 
 }  // namespace stoatrun::ledger
 
--- a/src/ledger/io/usage_recorder.cpp
+++ b/src/ledger/io/usage_recorder.cpp
@@ -169,22 +169,22 @@
   last_error_ = result.error;
 }
 
-bool UsageRecorder::WithStore(std::function<void(Store&)> job, std::function<void(bool ok)> reply) {
+bool UsageRecorder::WithStore(std::function<void(Store&)> job, std::function<void(bool done)> reply) {
   return worker_.Post(
       [disk = disk_, job = std::move(job), reply = std::move(reply)]() -> BackgroundWorker::Reply {
-        bool ok = false;
+        bool done = false;
         std::string reason = "there is no store";
         try {
           if (disk->store) {
             job(*disk->store);
-            ok = true;
+            done = true;
           }
         } catch (const StoreError& e) {
           reason = e.what();
         }
-        return [reply, ok, reason] {
-          if (!ok) LogLine(Level::kWarn, "ledger store call failed").Why(reason);
-          reply(ok);
+        return [reply, done, reason] {
+          if (!done) LogLine(Level::kWarn, "ledger store call failed").Why(reason);
+          reply(done);
         };
       });
 }
--- a/src/ledger/io/usage_recorder.h
+++ b/src/ledger/io/usage_recorder.h
@@ -68,7 +68,7 @@
   // Runs `job` on the worker with the store, if it is open, then `reply` on the event loop with whether it
   // ran without error. `job` may throw StoreError, which is logged. Returns false if the worker's queue is
   // full; neither is run then.
-  bool WithStore(std::function<void(Store&)> job, std::function<void(bool ok)> reply);
+  bool WithStore(std::function<void(Store&)> job, std::function<void(bool done)> reply);
   // Sets the function that is called on the event loop after each write, with the store's state.
   void OnState(std::function<void(const StoreState&)> callback) { on_state_ = std::move(callback); }
 
--- a/src/ledger/reconcile.h
+++ b/src/ledger/reconcile.h
@@ -53,7 +53,9 @@
   std::int64_t period_start_s = 0;
   std::string group;
 
-  auto operator<=>(const PeriodGroup&) const = default;
+  bool operator<(const PeriodGroup& other) const {
+    return std::tie(period_start_s, group) < std::tie(other.period_start_s, other.group);
+  }
 };
 
 // The length of a period, and the file that first says so.
--- a/src/ledger/record.cpp
+++ b/src/ledger/record.cpp
@@ -11,6 +11,7 @@
 namespace stoatrun::ledger {
 namespace {
 
+// A line is kHead RECORD kPrev HASH kHash HASH kTail.
 constexpr std::string_view kHead = R"({"record":)", kPrev = R"(,"prev":")", kHash = R"(","hash":")",
                            kTail = "\"}\n";
 
@@ -20,6 +21,7 @@
          });
 }
 
+// Owns OpenSSL's handles of SHA-256.
 struct Digest {
   EVP_MD* md = EVP_MD_fetch(nullptr, "SHA256", nullptr);
   EVP_MD_CTX* context = EVP_MD_CTX_new();
@@ -32,8 +34,8 @@
   }
 };
 
-std::array<char, kHashSize> Hex(std::string_view text) {
-  thread_local const Digest digest;  // Looking the method up costs more than a line's hash.
+std::array<char, kHashSize> HashHex(std::string_view text) {
+  thread_local const Digest digest;  // Fetching the algorithm costs more than hashing a line.
   std::array<unsigned char, kHashSize / 2> raw{};
   unsigned size = 0;
   if (digest.md == nullptr || EVP_DigestInit_ex2(digest.context, digest.md, nullptr) != 1 ||
@@ -55,7 +57,7 @@
 std::string FirstHash() { return std::string(kHashSize, '0'); }
 
 std::string Sha256Hex(std::string_view text) {
-  const auto hex = Hex(text);
+  const auto hex = HashHex(text);
   return {hex.data(), hex.size()};
 }
 
@@ -67,7 +69,7 @@
   line.text = kHead;
   if (!util::MessageToJsonString(record, &line.text, options).ok())
     throw std::runtime_error("a record has no JSON form");
-  if (!line.text.starts_with(kHead)) line.text.insert(0, kHead);  // Some releases clear what was there.
+  if (!line.text.starts_with(kHead)) line.text.insert(0, kHead);  // Some releases of protobuf clear the text.
   line.text.append(kPrev).append(prev).append(1, '"');
   line.hash = Sha256Hex(line.text);
   line.text.append(kHash.substr(1)).append(line.hash).append(kTail);
@@ -87,7 +89,7 @@
       line.substr(end, kHash.size()) != kHash || !IsHash(parts.prev) || !IsHash(parts.hash)) {
     return std::nullopt;
   }
-  const auto hex = Hex(line.substr(0, end + 1));  // With the closing quote of `prev`.
+  const auto hex = HashHex(line.substr(0, end + 1));  // With the closing quote of `prev`.
   if (parts.hash != std::string_view(hex.data(), hex.size())) return std::nullopt;
   return parts;
 }
--- a/tests/ledger/accounts_test.cpp
+++ b/tests/ledger/accounts_test.cpp
@@ -1,4 +1,4 @@
-// The accounting against a naive model, and its hard cases one by one.
+// The accounting against a naive model, and its special cases.
 #include "ledger/accounts.h"
 
 #include <rapidcheck.h>
@@ -18,47 +18,47 @@
 using std::chrono::seconds;
 
 constexpr Micros kStart(5'000'000);
-constexpr Micros kWall = seconds(1'800'000'000);  // On a border of all lengths used here.
+constexpr Micros kWall = seconds(1'800'000'000);  // A boundary of periods of all lengths used here.
 
-AccountsSetup Setup() {
+AccountsSetup MakeSetup() {
   return {seconds(60), {{"wetland", 1500}, {"coast", 0}, {"garden", std::nullopt}}, {"feed", "watch"}, 2};
 }
 
-// Sums over postings by period and row, however they were cut.
-struct Books {
+// Sums over postings by period and row, whatever intervals they are of.
+struct Totals {
   std::map<std::tuple<std::int64_t, std::string, std::string>, std::int64_t> rows;
   std::map<std::pair<std::int64_t, std::string>, std::int64_t> within, use;
-  std::int64_t lives = 0;
+  std::int64_t connection_time_us = 0;
   std::uint64_t begun = 0, steps = 0;
 
   void Add(const std::vector<Posting>& postings) {
-    for (const Posting& p : postings) {
+    for (const Posting& posting : postings) {
       std::int64_t posted = 0;
-      for (const GroupUse& g : p.groups) {
-        use[{p.period_start_s, g.name}] += g.use_us;
-        within[{p.period_start_s, g.name}] += g.within_us;
-        for (const ClassUse& c : g.classes) {
-          rows[{p.period_start_s, g.name, c.name}] += c.use_us;
-          posted += c.use_us;
-          begun += c.begun;
+      for (const GroupUse& group : posting.groups) {
+        use[{posting.period_start_s, group.name}] += group.use_us;
+        within[{posting.period_start_s, group.name}] += group.within_us;
+        for (const ClassUse& use_by_class : group.classes) {
+          rows[{posting.period_start_s, group.name, use_by_class.name}] += use_by_class.use_us;
+          posted += use_by_class.use_us;
+          begun += use_by_class.begun;
         }
       }
-      CHECK(posted == p.connection_time_us);
-      CHECK(posted == p.UseUs());
-      lives += p.connection_time_us;
-      steps += p.steps.size();
+      CHECK(posted == posting.connection_time_us);
+      CHECK(posted == posting.UseUs());
+      connection_time_us += posting.connection_time_us;
+      steps += posting.steps.size();
     }
   }
 };
 
-// Walks the same history stretch by stretch: between two events nothing changes but the period.
-class Naive {
+// Follows the same history interval by interval: between two events nothing changes but the period.
+class NaiveModel {
  public:
-  void Walk(std::int64_t to_us, std::int64_t wall_less_mono) {
+  void AdvanceTo(std::int64_t to_us, std::int64_t wall_offset) {
     while (now_ < to_us) {
-      const std::int64_t wall = now_ + wall_less_mono;
+      const std::int64_t wall = now_ + wall_offset;
       const std::int64_t start = wall / 60'000'000 * 60;
-      const std::int64_t next = std::min(to_us, (start + 60) * 1'000'000 - wall_less_mono);
+      const std::int64_t next = std::min(to_us, (start + 60) * 1'000'000 - wall_offset);
       std::map<std::string, std::int64_t> open;
       for (const auto& [group, class_name] : open_) {
         rows[{start, group, class_name}] += next - now_;
@@ -74,7 +74,7 @@
   void Open(const std::string& group, const std::string& class_name) {
     open_.emplace_back(group, class_name);
   }
-  void Shut(std::size_t k) { open_.erase(open_.begin() + static_cast<std::ptrdiff_t>(k)); }
+  void Close(std::size_t k) { open_.erase(open_.begin() + static_cast<std::ptrdiff_t>(k)); }
 
   std::map<std::tuple<std::int64_t, std::string, std::string>, std::int64_t> rows;
   std::map<std::pair<std::int64_t, std::string>, std::int64_t> within_milli;
@@ -86,9 +86,9 @@
 
 TEST_CASE("accounts agree with a naive model over random histories with clock steps") {
   const bool holds = rc::check([] {
-    Accounts accounts(Setup(), kStart, kWall);
-    Naive naive;
-    Books ledgers;
+    Accounts accounts(MakeSetup(), kStart, kWall);
+    NaiveModel naive;
+    Totals totals;
     std::vector<UsageHandle> handles;
     Micros now = kStart;
     std::int64_t offset = (kWall - kStart).count();
@@ -98,14 +98,14 @@
       now += Micros(
           *rc::gen::weightedOneOf<std::int64_t>({{5, rc::gen::inRange<std::int64_t>(0, 3'000'000)},
                                                  {1, rc::gen::inRange<std::int64_t>(0, 200'000'000)}}));
-      naive.Walk(now.count(), offset);
+      naive.AdvanceTo(now.count(), offset);
       switch (*rc::gen::inRange(0, 5)) {
         case 0:
         case 1: {
           const std::string group = *rc::gen::elementOf(groups);
-          const std::size_t c = *rc::gen::inRange<std::size_t>(0, 2);
-          handles.push_back(accounts.Begin(now, group == "(missing)" ? "" : group, c));
-          naive.Open(group, Setup().classes[c]);
+          const std::size_t class_index = *rc::gen::inRange<std::size_t>(0, 2);
+          handles.push_back(accounts.Begin(now, group == "(missing)" ? "" : group, class_index));
+          naive.Open(group, MakeSetup().classes[class_index]);
           break;
         }
         case 2:
@@ -113,11 +113,11 @@
             const auto at = *rc::gen::inRange<std::size_t>(0, handles.size());
             accounts.End(now, handles[at]);
             handles.erase(handles.begin() + static_cast<std::ptrdiff_t>(at));
-            naive.Shut(at);
+            naive.Close(at);
           }
           break;
         case 3:
-          ledgers.Add(accounts.TakePostings(now, Accounts::CurrentPeriod::kContinues));
+          totals.Add(accounts.TakePostings(now, Accounts::CurrentPeriod::kContinues));
           break;
         default: {  // Steps of up to three hours either way; under the slack it is no step.
           std::int64_t step = *rc::gen::inRange<std::int64_t>(-10'800'000'000, 10'800'000'000);
@@ -130,15 +130,15 @@
       }
       RC_ASSERT(accounts.ComputeSums(now).AreBalanced());
     }
-    ledgers.Add(accounts.TakePostings(now, Accounts::CurrentPeriod::kEnds));
-    std::erase_if(ledgers.rows, [](const auto& r) { return r.second == 0; });
-    std::erase_if(naive.rows, [](const auto& r) { return r.second == 0; });
-    RC_ASSERT(ledgers.rows == naive.rows);
+    totals.Add(accounts.TakePostings(now, Accounts::CurrentPeriod::kEnds));
+    std::erase_if(totals.rows, [](const auto& row) { return row.second == 0; });
+    std::erase_if(naive.rows, [](const auto& row) { return row.second == 0; });
+    RC_ASSERT(totals.rows == naive.rows);
     // What is under a microsecond is carried into the next period of its group.
     std::map<std::string, std::int64_t> ours, theirs;
-    for (const auto& [key, value] : ledgers.within) {
+    for (const auto& [key, value] : totals.within) {
       RC_ASSERT(std::abs(value * 1000 - naive.within_milli[key]) < 1000);
-      RC_ASSERT(value <= ledgers.use[key]);
+      RC_ASSERT(value <= totals.use[key]);
       ours[key.second] += value;
     }
     for (const auto& [key, value] : naive.within_milli) theirs[key.second] += value;
@@ -147,10 +147,10 @@
   CHECK(holds);
 }
 
-TEST_CASE("a connection across borders is cut at them, to the microsecond") {
-  Accounts accounts(Setup(), kStart, kWall + seconds(30));
-  UsageHandle t = accounts.Begin(kStart, "garden", 0);
-  accounts.End(kStart + seconds(100) + Micros(7), t);
+TEST_CASE("a connection across boundaries of periods is split at them, to the microsecond") {
+  Accounts accounts(MakeSetup(), kStart, kWall + seconds(30));
+  UsageHandle handle = accounts.Begin(kStart, "garden", 0);
+  accounts.End(kStart + seconds(100) + Micros(7), handle);
   const auto postings =
       accounts.TakePostings(kStart + seconds(100) + Micros(7), Accounts::CurrentPeriod::kContinues);
   REQUIRE(postings.size() == 3);
@@ -162,58 +162,58 @@
   CHECK(postings[2].period_start_s == 1'800'000'120);
 }
 
-TEST_CASE("a clock that is stepped neither loses nor doubles, and is recorded") {
-  const auto by = GENERATE(hours(3), hours(-3), hours(24 * 400));
-  Accounts accounts(Setup(), kStart, kWall + seconds(10));
-  UsageHandle t = accounts.Begin(kStart, "garden", 1);
-  accounts.OnClockReading(kStart + seconds(20), kWall + seconds(30) + by);
-  accounts.End(kStart + seconds(25), t);
+TEST_CASE("a step of the clock neither loses nor doubles usage, and is recorded") {
+  const auto step = GENERATE(hours(3), hours(-3), hours(24 * 400));
+  Accounts accounts(MakeSetup(), kStart, kWall + seconds(10));
+  UsageHandle handle = accounts.Begin(kStart, "garden", 1);
+  accounts.OnClockReading(kStart + seconds(20), kWall + seconds(30) + step);
+  accounts.End(kStart + seconds(25), handle);
   const auto postings = accounts.TakePostings(kStart + seconds(25), Accounts::CurrentPeriod::kContinues);
   REQUIRE(postings.size() == 2);
   CHECK(postings[0].period_start_s == 1'800'000'000);
   CHECK(postings[0].UseUs() == 20'000'000);
-  CHECK(postings[1].period_start_s == 1'800'000'000 + seconds(by).count());
+  CHECK(postings[1].period_start_s == 1'800'000'000 + seconds(step).count());
   CHECK(postings[1].UseUs() == 5'000'000);
   REQUIRE(postings[0].steps.size() == 1);
-  CHECK(postings[0].steps[0].to_wall_us - postings[0].steps[0].from_wall_us == Micros(by).count());
+  CHECK(postings[0].steps[0].to_wall_us - postings[0].steps[0].from_wall_us == Micros(step).count());
 }
 
-TEST_CASE("a clock that drifts moves the borders and is no step") {
-  Accounts accounts(Setup(), kStart, kWall);
-  UsageHandle t = accounts.Begin(kStart, "garden", 0);
+TEST_CASE("a clock that drifts shifts the boundaries and is not a step") {
+  Accounts accounts(MakeSetup(), kStart, kWall);
+  UsageHandle handle = accounts.Begin(kStart, "garden", 0);
   for (int k = 1; k <= 600; ++k)
     accounts.OnClockReading(kStart + milliseconds(100 * k), kWall + milliseconds(99 * k));
-  accounts.End(kStart + seconds(60), t);
-  Books ledgers;
-  ledgers.Add(accounts.TakePostings(kStart + seconds(60), Accounts::CurrentPeriod::kContinues));
-  CHECK(ledgers.steps == 0);
-  CHECK(ledgers.lives == 60'000'000);
-  CHECK(ledgers.use[{1'800'000'000, "garden"}] == 60'000'000);  // 59.4 s by the wall.
+  accounts.End(kStart + seconds(60), handle);
+  Totals totals;
+  totals.Add(accounts.TakePostings(kStart + seconds(60), Accounts::CurrentPeriod::kContinues));
+  CHECK(totals.steps == 0);
+  CHECK(totals.connection_time_us == 60'000'000);
+  CHECK(totals.use[{1'800'000'000, "garden"}] == 60'000'000);  // 59.4 s by the wall.
 }
 
-TEST_CASE("groups that nobody named get rows of their own, within a bound, and none is dropped") {
-  Accounts accounts(Setup(), kStart, kWall);
+TEST_CASE("unlisted groups get rows of their own, within a bound, and no usage is dropped") {
+  Accounts accounts(MakeSetup(), kStart, kWall);
   std::vector<UsageHandle> handles;
   const std::string endless(500, 'x');
   for (const char* name : {"raptor", "", "bad name", "owls", "third", "fourth"}) {
     handles.push_back(accounts.Begin(kStart, name, 0));
   }
   handles.push_back(accounts.Begin(kStart, endless, 0));
-  Books ledgers;
-  ledgers.Add(accounts.TakePostings(kStart + seconds(1), Accounts::CurrentPeriod::kContinues));
-  CHECK(ledgers.use[{1'800'000'000, "raptor"}] == 1'000'000);
-  CHECK(ledgers.use[{1'800'000'000, "owls"}] == 1'000'000);
-  CHECK(ledgers.use[{1'800'000'000, kMissingGroup}] == 1'000'000);
-  CHECK(ledgers.use[{1'800'000'000, kOtherGroups}] == 4'000'000);
+  Totals totals;
+  totals.Add(accounts.TakePostings(kStart + seconds(1), Accounts::CurrentPeriod::kContinues));
+  CHECK(totals.use[{1'800'000'000, "raptor"}] == 1'000'000);
+  CHECK(totals.use[{1'800'000'000, "owls"}] == 1'000'000);
+  CHECK(totals.use[{1'800'000'000, kMissingGroup}] == 1'000'000);
+  CHECK(totals.use[{1'800'000'000, kOtherGroups}] == 4'000'000);
   CHECK(accounts.RowCount() == 4);
 }
 
-TEST_CASE("the check tells what broke") {
-  Accounts accounts(Setup(), kStart, kWall);
-  UsageHandle t = accounts.Begin(kStart, "garden", 0);
-  UsageHandle copy = t;
-  accounts.End(kStart + seconds(1), t);
-  accounts.End(kStart + seconds(2), t);  // A handle that is not open is passed by.
+TEST_CASE("the comparison of sums detects a handle that was ended twice") {
+  Accounts accounts(MakeSetup(), kStart, kWall);
+  UsageHandle handle = accounts.Begin(kStart, "garden", 0);
+  UsageHandle copy = handle;
+  accounts.End(kStart + seconds(1), handle);
+  accounts.End(kStart + seconds(2), handle);  // A handle that is not open is passed by.
   CHECK(accounts.ComputeSums(kStart + seconds(3)).AreBalanced());
   UsageHandle other = accounts.Begin(kStart + seconds(3), "garden", 1);
   accounts.End(kStart + seconds(5), copy);  // Ended twice, by way of a copy.
--- a/tests/ledger/store_test.cpp
+++ b/tests/ledger/store_test.cpp
@@ -1,4 +1,4 @@
-// The store under loss of power, errors and damage.
+// The store under loss of power, errors and corruption.
 #include "ledger/io/store.h"
 
 #include <fmt/format.h>
@@ -37,30 +37,30 @@
   std::string path_;
 };
 
-StoreSetup SetupIn(const Folder& folder, const char* vfs = nullptr) {
+StoreSetup MakeSetup(const Folder& folder, const char* vfs = nullptr) {
   return {folder.Path(), "n0", "b0", vfs, true, 5000};
 }
 
-Posting PostingOf(std::uint64_t number, std::int64_t start_s, std::int64_t use_us, bool period_ended) {
-  Posting p;
-  p.number = number;
-  p.period_start_s = start_s;
-  p.period_s = 3600;
-  p.wall_us = start_s * 1'000'000 + static_cast<std::int64_t>(number);
-  p.connection_time_us = 2 * use_us;
-  p.period_ended = period_ended;
+Posting MakePosting(std::uint64_t number, std::int64_t start_s, std::int64_t use_us, bool period_ended) {
+  Posting posting;
+  posting.number = number;
+  posting.period_start_s = start_s;
+  posting.period_s = 3600;
+  posting.wall_us = start_s * 1'000'000 + static_cast<std::int64_t>(number);
+  posting.connection_time_us = 2 * use_us;
+  posting.period_ended = period_ended;
   for (const char* group : {"coast", "wetland"}) {
-    p.groups.push_back(
+    posting.groups.push_back(
         {group, use_us, use_us / 3, 1500, 2, {{"feed", use_us / 4, 1}, {"watch", use_us - use_us / 4, 1}}});
   }
-  return p;
+  return posting;
 }
 
-// What is booked: in records and in periods that are not closed.
-std::int64_t Booked(Store& store) {
+// All usage in the store: in records and in periods that are not closed.
+std::int64_t StoredUse(Store& store) {
   std::int64_t sum = 0;
-  store.EachRecord(1, [&](const StoredRecord& r) {
-    const auto record = ParseRecord(SplitLine(r.line).value().record);
+  store.EachRecord(1, [&](const StoredRecord& stored) {
+    const auto record = ParseRecord(SplitLine(stored.line).value().record);
     REQUIRE(record);
     if (record->has_use()) sum += record->use().use_us();
   });
@@ -68,25 +68,25 @@
   return sum;
 }
 
-// A day of a relay: each step may be cut off anywhere.
-struct Day {
+// A run of a relay in steps, each of which may be cut off anywhere.
+struct Scenario {
   const Folder& folder;
   InMemoryDisk& disk;
   std::optional<Store> store;
-  std::int64_t kept_us = 0, trying_us = 0;  // Taken for sure; perhaps taken.
-  std::size_t done = 0;
+  std::int64_t applied_us = 0, pending_us = 0;  // Applied for sure; perhaps applied.
+  std::size_t completed = 0;
   std::uint64_t number = 0;
 
   void Post(std::int64_t start_s, std::int64_t use_us, bool period_ended, bool step = false) {
-    Posting p = PostingOf(number + 1, start_s, use_us, period_ended);
-    if (step) p.steps.push_back({p.wall_us, p.wall_us - 3'600'000'000});
-    trying_us = 2 * use_us;
-    store->Apply(p, {{"coast", 1}});
+    Posting posting = MakePosting(number + 1, start_s, use_us, period_ended);
+    if (step) posting.steps.push_back({posting.wall_us, posting.wall_us - 3'600'000'000});
+    pending_us = 2 * use_us;
+    store->Apply(posting, {{"coast", 1}});
     ++number;
-    kept_us += std::exchange(trying_us, 0);
+    applied_us += std::exchange(pending_us, 0);
   }
   std::vector<std::function<void()>> Steps() {
-    return {[this] { store.emplace(SetupIn(folder, disk.Vfs())); },
+    return {[this] { store.emplace(MakeSetup(folder, disk.Vfs())); },
             [this] { store->BeginRun(kHour * 1'000'000, kHour); },
             [this] { Post(kHour, 1'000'000, false); },
             [this] { Post(kHour, 2'000'001, true); },
@@ -100,19 +100,21 @@
             [this] { Post(kHour + 7200, 9, false); },
             [this] { store->EndRun((kHour + 7300) * 1'000'000); }};
   }
-  void Play() {
+  void Run() {
     const auto steps = Steps();
-    for (; done < steps.size(); ++done) steps[done]();
+    for (; completed < steps.size(); ++completed) steps[completed]();
   }
 };
 
-TEST_CASE("power lost at any call leaves each posting whole or out, and the ledger goes on") {
+TEST_CASE(
+    "after a power loss at any call each posting is applied completely or not at all, and the ledger goes "
+    "on") {
   const Folder folder;
   int calls = 0;
   {
     InMemoryDisk disk("count");
-    Day day{folder, disk, {}};
-    day.Play();
+    Scenario scenario{folder, disk, {}};
+    scenario.Run();
     calls = disk.Changes();
   }
   REQUIRE(calls > 100);
@@ -120,129 +122,131 @@
     for (const std::uint64_t seed : {1, 2, 3}) {
       INFO("call " << n << " seed " << seed);
       InMemoryDisk disk(fmt::format("power-{}-{}", n, seed));
-      Day day{folder, disk, {}};
+      Scenario scenario{folder, disk, {}};
       disk.LosePowerAt(n);
       try {
-        day.Play();
+        scenario.Run();
         FAIL("the power was not lost");
       } catch (const StoreError&) {
       }
-      const bool ended = day.done >= day.Steps().size();
-      REQUIRE_FALSE(ended);
-      day.store.reset();
+      const bool all_completed = scenario.completed >= scenario.Steps().size();
+      REQUIRE_FALSE(all_completed);
+      scenario.store.reset();
       disk.PowerOn(seed);
-      Store store(SetupIn(folder, disk.Vfs()));
-      const std::int64_t booked = Booked(store);
-      const bool whole = booked == day.kept_us || booked == day.kept_us + day.trying_us;
-      REQUIRE(whole);
-      // The next run goes on from there, and what the lost one left unattested is told, once.
+      Store store(MakeSetup(folder, disk.Vfs()));
+      const std::int64_t stored_us = StoredUse(store);
+      const bool atomic =
+          stored_us == scenario.applied_us || stored_us == scenario.applied_us + scenario.pending_us;
+      REQUIRE(atomic);
+      // The next run goes on from there, and what the lost one left unattested is recorded once.
       store.BeginRun((kHour + 9000) * 1'000'000, kHour + 7200);
-      store.Apply(PostingOf(1, kHour + 7200, 1000, true), {});
+      store.Apply(MakePosting(1, kHour + 7200, 1000, true), {});
       store.EndRun((kHour + 9001) * 1'000'000);
-      REQUIRE(Booked(store) == booked + 2000);
+      REQUIRE(StoredUse(store) == stored_us + 2000);
       int unattested = 0;
-      std::string prev = FirstHash();
+      std::string previous_hash = FirstHash();
       std::uint64_t expected = 0;
-      store.EachRecord(1, [&](const StoredRecord& r) {
-        const auto parts = SplitLine(r.line);
+      store.EachRecord(1, [&](const StoredRecord& stored) {
+        const auto parts = SplitLine(stored.line);
         REQUIRE(parts);
-        REQUIRE(r.seq == ++expected);
-        REQUIRE(parts->prev == prev);
-        prev = r.hash;
+        REQUIRE(stored.seq == ++expected);
+        REQUIRE(parts->prev == previous_hash);
+        previous_hash = stored.hash;
         unattested += ParseRecord(parts->record)->has_unattested() ? 1 : 0;
       });
-      REQUIRE(store.State().head_hash == prev);
+      REQUIRE(store.State().head_hash == previous_hash);
       // In the first and the last step the run may not have begun, or have ended in order.
-      const bool surely = day.done >= 2 && day.done + 1 < day.Steps().size();
+      const bool run_was_open = scenario.completed >= 2 && scenario.completed + 1 < scenario.Steps().size();
       REQUIRE(unattested <= 1);
-      REQUIRE(unattested >= (surely ? 1 : 0));
+      REQUIRE(unattested >= (run_was_open ? 1 : 0));
     }
   }
 }
 
-TEST_CASE("an error at any call is told, and the same posting again is taken once") {
+TEST_CASE("an error at any call is reported, and a retried posting is applied once") {
   const Folder folder;
   int calls = 0;
   std::int64_t expected = 0;
   {
     InMemoryDisk disk("errors");
-    Day day{folder, disk, {}};
-    day.Play();
+    Scenario scenario{folder, disk, {}};
+    scenario.Run();
     calls = disk.Changes();
-    expected = day.kept_us;
+    expected = scenario.applied_us;
   }
   for (int n = 1; n <= calls; ++n) {
     for (const int code : {SQLITE_FULL, SQLITE_IOERR_WRITE, SQLITE_IOERR_FSYNC}) {
       INFO("call " << n << " code " << code);
       InMemoryDisk disk(fmt::format("error-{}-{}", n, code));
-      Day day{folder, disk, {}};
+      Scenario scenario{folder, disk, {}};
       disk.FailOnceAt(n, code);
       std::int64_t run = 0;
       int faults = 0;
-      const auto steps = day.Steps();
-      while (day.done < steps.size()) {
+      const auto steps = scenario.Steps();
+      while (scenario.completed < steps.size()) {
         try {
-          if (day.done == 1) {
-            run = day.store->BeginRun(kHour * 1'000'000, kHour);
+          if (scenario.completed == 1) {
+            run = scenario.store->BeginRun(kHour * 1'000'000, kHour);
           } else {
-            steps[day.done]();
+            steps[scenario.completed]();
           }
-          ++day.done;
+          ++scenario.completed;
         } catch (const StoreError& e) {
           if (e.code == StoreErrorCode::kRejected) {  // The correction held although its answer was an error.
-            ++day.done;
+            ++scenario.completed;
             continue;
           }
           REQUIRE(++faults <= 1);
-          day.store.reset();
-          if (day.done > 0) day.store.emplace(SetupIn(folder, disk.Vfs()));
-          if (day.done > 1 && day.done + 1 < steps.size()) REQUIRE(day.store->ResumeRun(run));
-          if (day.done + 1 == steps.size()) day.store->ResumeRun(run);
+          scenario.store.reset();
+          if (scenario.completed > 0) scenario.store.emplace(MakeSetup(folder, disk.Vfs()));
+          if (scenario.completed > 1 && scenario.completed + 1 < steps.size())
+            REQUIRE(scenario.store->ResumeRun(run));
+          if (scenario.completed + 1 == steps.size()) scenario.store->ResumeRun(run);
         }
       }
-      REQUIRE(Booked(*day.store) == expected);
+      REQUIRE(StoredUse(*scenario.store) == expected);
     }
   }
 }
 
-TEST_CASE("a flipped byte anywhere in the file is found") {
+TEST_CASE("a flipped bit in any byte of the file is detected") {
   const Folder folder;
   const std::string path = Store::DatabasePath(folder.Path());
   {
-    Store store(SetupIn(folder));
+    Store store(MakeSetup(folder));
     store.BeginRun(kHour * 1'000'000, kHour);
     for (std::uint64_t k = 1; k <= 20; ++k) {
-      store.Apply(PostingOf(k, kHour + 3600 * static_cast<std::int64_t>(k), 1'000'000, k < 20), {});
+      store.Apply(MakePosting(k, kHour + 3600 * static_cast<std::int64_t>(k), 1'000'000, k < 20), {});
     }
     CHECK(store.Verify().empty());
   }
-  std::ifstream in(path, std::ios::binary);
-  std::string bytes{std::istreambuf_iterator<char>(in), {}};
+  std::ifstream input(path, std::ios::binary);
+  std::string bytes{std::istreambuf_iterator<char>(input), {}};
   REQUIRE(bytes.size() % kPageSize == 0);
   for (std::size_t at = 0; at < bytes.size(); ++at) {
     bytes[at] = static_cast<char>(bytes[at] ^ (1 << (at % 8)));
     const std::size_t page = at / kPageSize;
-    const bool held = IsPageValid(std::string_view(bytes).substr(page * kPageSize, kPageSize), page + 1);
+    const bool valid = IsPageValid(std::string_view(bytes).substr(page * kPageSize, kPageSize), page + 1);
     bytes[at] = static_cast<char>(bytes[at] ^ (1 << (at % 8)));
-    if (held) FAIL("byte " << at);
+    if (valid) FAIL("byte " << at);
   }
-  // By way of the program: it is told, whether by the check or because the file can't be opened at all.
+  // Through the store: detected by Verify, or because the file can't be opened at all.
   for (std::size_t at = 5; at < bytes.size(); at += 1511) {
     std::string broken = bytes;
     broken[at] = static_cast<char>(broken[at] ^ 0x10);
     std::ofstream(path, std::ios::binary) << broken;
-    bool told = false;
+    bool detected = false;
     try {
-      told = !Store(SetupIn(folder)).Verify().empty();
+      detected = !Store(MakeSetup(folder)).Verify().empty();
     } catch (const StoreError&) {
-      told = true;
+      detected = true;
     }
     INFO("byte " << at);
-    CHECK(told);
+    CHECK(detected);
   }
 }
 
-TEST_CASE("folders that are not to be used are refused with the reason") {
+TEST_CASE("unusable folders are rejected with the reason") {
   const Folder folder;
   const auto fault = [](const StoreSetup& setup) -> std::optional<StoreErrorCode> {
     try {
@@ -252,7 +256,7 @@
       return e.code;
     }
   };
-  StoreSetup setup = SetupIn(folder);
+  StoreSetup setup = MakeSetup(folder);
   {
     const Store store(setup);
     CHECK(fault(setup) == StoreErrorCode::kLocked);
@@ -264,8 +268,8 @@
   CHECK(fault(setup) == StoreErrorCode::kWrongRelay);
   setup.relay = "n0";
   {
-    Sql db(Store::DatabasePath(folder.Path()), SQLITE_OPEN_READWRITE, CheckedVfs(nullptr));
-    db.Do(fmt::format("PRAGMA user_version = {}", kSchema + 1).c_str());
+    Database database(Store::DatabasePath(folder.Path()), SQLITE_OPEN_READWRITE, CheckedVfs(nullptr));
+    database.Execute(fmt::format("PRAGMA user_version = {}", kSchema + 1).c_str());
   }
   CHECK(fault(setup) == StoreErrorCode::kNewerSchema);
   setup.folder = "/nonexistent";
@@ -275,52 +279,52 @@
         StoreErrorCode::kReadOnly);  // Nothing to read there.
 }
 
-// The ledger of a release before: its schema was 1, without the count of connections begun.
-TEST_CASE("an older schema is lifted and keeps what it holds") {
+// The ledger of an earlier release: its schema was 1, without the count of connections begun.
+TEST_CASE("an older schema is migrated and keeps its data") {
   const Folder folder;
   {
-    Store store(SetupIn(folder));
+    Store store(MakeSetup(folder));
     store.BeginRun(kHour * 1'000'000, kHour);
-    store.Apply(PostingOf(1, kHour, 1'000'000, false), {});
+    store.Apply(MakePosting(1, kHour, 1'000'000, false), {});
   }
   {
-    Sql db(Store::DatabasePath(folder.Path()), SQLITE_OPEN_READWRITE, CheckedVfs(nullptr));
-    db.Do("DROP INDEX record_period; ALTER TABLE cell DROP COLUMN begun; PRAGMA user_version = 1");
+    Database database(Store::DatabasePath(folder.Path()), SQLITE_OPEN_READWRITE, CheckedVfs(nullptr));
+    database.Execute("DROP INDEX record_period; ALTER TABLE cell DROP COLUMN begun; PRAGMA user_version = 1");
   }
-  Store store(SetupIn(folder));
-  CHECK(Booked(store) == 2'000'000);
+  Store store(MakeSetup(folder));
+  CHECK(StoredUse(store) == 2'000'000);
   store.BeginRun(kHour * 1'000'000 + 5, kHour);
-  store.Apply(PostingOf(1, kHour, 1'000'000, true), {});
-  CHECK(Booked(store) == 4'000'000);
+  store.Apply(MakePosting(1, kHour, 1'000'000, true), {});
+  CHECK(StoredUse(store) == 4'000'000);
   CHECK(store.Verify().empty());
 }
 
-TEST_CASE("corrections are entries of their own and refused where there is nothing to correct") {
+TEST_CASE("corrections are records of their own and rejected where there is nothing to correct") {
   const Folder folder;
-  Store store(SetupIn(folder));
+  Store store(MakeSetup(folder));
   store.BeginRun(kHour * 1'000'000, kHour);
-  store.Apply(PostingOf(1, kHour, 1'000'000, true), {});
-  store.Apply(PostingOf(2, kHour + 3600, 1'000'000, false), {});
-  const auto refused = [&](const CorrectionRequest& c) {
+  store.Apply(MakePosting(1, kHour, 1'000'000, true), {});
+  store.Apply(MakePosting(2, kHour + 3600, 1'000'000, false), {});
+  const auto rejection = [&](const CorrectionRequest& request) {
     try {
-      store.EnterCorrection(c);
+      store.EnterCorrection(request);
       return std::string();
     } catch (const StoreError& e) {
       return e.code == StoreErrorCode::kRejected ? std::string(e.what()) : "other";
     }
   };
   const std::uint64_t first = store.EnterCorrection({"wetland", kHour, 60, "outage", "ann", "", 1});
-  const std::uint64_t again = store.EnterCorrection({"wetland", kHour, 60, "outage", "ann", "", 2});
-  CHECK(again == first + 1);
+  const std::uint64_t second = store.EnterCorrection({"wetland", kHour, 60, "outage", "ann", "", 2});
+  CHECK(second == first + 1);
   const auto entry = [&](std::uint64_t seq) {
     return ParseRecord(SplitLine(store.Records(seq, 1).at(0).line)->record)->correction();
   };
   CHECK(entry(first).original_seq() == 2);
   CHECK(entry(store.EnterCorrection({"owls", kHour, 5, "late", "bob", "", 3})).original_seq() == 0);
-  CHECK_THAT(refused({"wetland", kHour + 3600, 1, "x", "ann", "", 4}), Catch::Contains("not closed"));
-  CHECK_THAT(refused({"wetland", kHour + 1, 1, "x", "ann", "", 4}), Catch::Contains("no period starts at"));
+  CHECK_THAT(rejection({"wetland", kHour + 3600, 1, "x", "ann", "", 4}), Catch::Contains("not closed"));
+  CHECK_THAT(rejection({"wetland", kHour + 1, 1, "x", "ann", "", 4}), Catch::Contains("no period starts at"));
   store.EnterCorrection({"wetland", kHour, 1, "x", "ann", "r1", 4});
-  CHECK_THAT(refused({"wetland", kHour, 1, "x", "ann", "r1", 4}), Catch::Contains("entered already"));
+  CHECK_THAT(rejection({"wetland", kHour, 1, "x", "ann", "r1", 4}), Catch::Contains("entered already"));
 }
 
 }  // namespace
--- a/tests/standin/in_memory_disk.cpp
+++ b/tests/standin/in_memory_disk.cpp
@@ -8,64 +8,64 @@
 namespace stoatrun::standin {
 namespace {
 
-constexpr std::size_t kSector = 512;  // What a disk writes whole or not at all.
+constexpr std::size_t kSector = 512;  // What a disk writes completely or not at all.
 
+// What SQLite sees as its file.
 struct OpenFile {
   sqlite3_file file;
   InMemoryDisk* disk;
   std::shared_ptr<InMemoryDisk::Content>* content;
-  int lock;
 };
 
-OpenFile* Of(sqlite3_file* f) { return reinterpret_cast<OpenFile*>(f); }
-InMemoryDisk::Content& ContentOf(sqlite3_file* f) { return **Of(f)->content; }
+OpenFile* AsOpenFile(sqlite3_file* file) { return reinterpret_cast<OpenFile*>(file); }
+InMemoryDisk::Content& ContentOf(sqlite3_file* file) { return **AsOpenFile(file)->content; }
 
-int Close(sqlite3_file* f) {
-  delete Of(f)->content;
+int Close(sqlite3_file* file) {
+  delete AsOpenFile(file)->content;
   return SQLITE_OK;
 }
 
-int Read(sqlite3_file* f, void* to, int amount, sqlite3_int64 offset) {
-  if (Of(f)->disk->Lost()) return SQLITE_IOERR_READ;
-  const std::string& now = ContentOf(f).now;
-  const auto at = std::min(static_cast<std::size_t>(offset), now.size());
-  const std::size_t n = std::min(static_cast<std::size_t>(amount), now.size() - at);
-  std::memcpy(to, now.data() + at, n);
-  std::memset(static_cast<char*>(to) + n, 0, static_cast<std::size_t>(amount) - n);
+int Read(sqlite3_file* file, void* data, int amount, sqlite3_int64 offset) {
+  if (AsOpenFile(file)->disk->Lost()) return SQLITE_IOERR_READ;
+  const std::string& current = ContentOf(file).current;
+  const auto at = std::min(static_cast<std::size_t>(offset), current.size());
+  const std::size_t n = std::min(static_cast<std::size_t>(amount), current.size() - at);
+  std::memcpy(data, current.data() + at, n);
+  std::memset(static_cast<char*>(data) + n, 0, static_cast<std::size_t>(amount) - n);
   return n == static_cast<std::size_t>(amount) ? SQLITE_OK : SQLITE_IOERR_SHORT_READ;
 }
 
-int Change(sqlite3_file* f, InMemoryDisk::Change change) {
-  bool part = false;
-  const int code = Of(f)->disk->Step(&part);
-  if (code != SQLITE_OK && !part) return code;
-  InMemoryDisk::Content& c = ContentOf(f);
-  if (part && !change.truncate) {  // A prefix made it.
-    change.bytes.resize(Of(f)->disk->random() % (change.bytes.size() + 1));
+int Change(sqlite3_file* file, InMemoryDisk::Change change) {
+  bool partial = false;
+  const int code = AsOpenFile(file)->disk->CountChange(&partial);
+  if (code != SQLITE_OK && !partial) return code;
+  InMemoryDisk::Content& content = ContentOf(file);
+  if (partial && !change.truncate) {  // A prefix reached the disk.
+    change.bytes.resize(AsOpenFile(file)->disk->random() % (change.bytes.size() + 1));
   }
-  c.Apply(change, c.now);
-  c.unsynced.push_back(std::move(change));
+  content.Apply(change, content.current);
+  content.unsynced.push_back(std::move(change));
   return code;
 }
 
-int Write(sqlite3_file* f, const void* from, int amount, sqlite3_int64 offset) {
+int Write(sqlite3_file* file, const void* from, int amount, sqlite3_int64 offset) {
   return Change(
-      f, {offset, std::string(static_cast<const char*>(from), static_cast<std::size_t>(amount)), false});
+      file, {offset, std::string(static_cast<const char*>(from), static_cast<std::size_t>(amount)), false});
 }
-int Truncate(sqlite3_file* f, sqlite3_int64 size) { return Change(f, {size, {}, true}); }
-int Sync(sqlite3_file* f, int /*flags*/) { return Of(f)->disk->Sync(ContentOf(f)); }
-int Size(sqlite3_file* f, sqlite3_int64* size) {
-  *size = static_cast<sqlite3_int64>(ContentOf(f).now.size());
+int Truncate(sqlite3_file* file, sqlite3_int64 size) { return Change(file, {size, {}, true}); }
+int Sync(sqlite3_file* file, int /*flags*/) { return AsOpenFile(file)->disk->Sync(ContentOf(file)); }
+int Size(sqlite3_file* file, sqlite3_int64* size) {
+  *size = static_cast<sqlite3_int64>(ContentOf(file).current.size());
   return SQLITE_OK;
 }
-int Lock(sqlite3_file* /*f*/, int /*level*/) { return SQLITE_OK; }  // One connection at a time.
-int Reserved(sqlite3_file* /*f*/, int* out) {
+int Lock(sqlite3_file* /*file*/, int /*level*/) { return SQLITE_OK; }  // One connection at a time.
+int Reserved(sqlite3_file* /*file*/, int* out) {
   *out = 0;
   return SQLITE_OK;
 }
-int Control(sqlite3_file* /*f*/, int /*op*/, void* /*arg*/) { return SQLITE_NOTFOUND; }
-int Sector(sqlite3_file* /*f*/) { return static_cast<int>(kSector); }
-int Traits(sqlite3_file* /*f*/) { return 0; }
+int Control(sqlite3_file* /*file*/, int /*op*/, void* /*arg*/) { return SQLITE_NOTFOUND; }
+int Sector(sqlite3_file* /*file*/) { return static_cast<int>(kSector); }
+int Traits(sqlite3_file* /*file*/) { return 0; }
 
 constexpr sqlite3_io_methods kMethods = {
     1,      Close,   Read,    Write,    Truncate, ::stoatrun::standin::Sync,
@@ -73,101 +73,100 @@
     Traits, nullptr, nullptr, nullptr,  nullptr,  nullptr,
     nullptr};
 
-InMemoryDisk& DiskOf(sqlite3_vfs* v) { return *static_cast<InMemoryDisk*>(v->pAppData); }
+InMemoryDisk& DiskOf(sqlite3_vfs* vfs) { return *static_cast<InMemoryDisk*>(vfs->pAppData); }
 
-int Open(sqlite3_vfs* v, const char* name, sqlite3_file* f, int flags, int* out_flags) {
-  InMemoryDisk& disk = DiskOf(v);
-  f->pMethods = nullptr;
+int Open(sqlite3_vfs* vfs, const char* name, sqlite3_file* file, int flags, int* out_flags) {
+  InMemoryDisk& disk = DiskOf(vfs);
+  file->pMethods = nullptr;
   const std::string key = name != nullptr ? name : "";
   auto it = disk.files.find(key);
   if (disk.Lost()) return SQLITE_CANTOPEN;
   if (it == disk.files.end()) {
     if ((flags & SQLITE_OPEN_CREATE) == 0) return SQLITE_CANTOPEN;
-    if (const int code = disk.Step(); code != SQLITE_OK) return code;
+    if (const int code = disk.CountChange(); code != SQLITE_OK) return code;
     it = disk.files.emplace(key, std::make_shared<InMemoryDisk::Content>()).first;
   }
-  OpenFile* file = Of(f);
-  file->disk = &disk;
-  file->content = new std::shared_ptr<InMemoryDisk::Content>(it->second);
-  file->lock = 0;
-  f->pMethods = &kMethods;
+  OpenFile* open_file = AsOpenFile(file);
+  open_file->disk = &disk;
+  open_file->content = new std::shared_ptr<InMemoryDisk::Content>(it->second);
+  file->pMethods = &kMethods;
   if (out_flags != nullptr) *out_flags = flags;
   return SQLITE_OK;
 }
 
 // The deletion of a synced journal is the moment of a commit; the store asks for the folder's sync with it.
-int Delete(sqlite3_vfs* v, const char* name, int /*sync_folder*/) {
-  InMemoryDisk& disk = DiskOf(v);
+int Delete(sqlite3_vfs* vfs, const char* name, int /*sync_folder*/) {
+  InMemoryDisk& disk = DiskOf(vfs);
   if (!disk.files.contains(name)) return SQLITE_IOERR_DELETE_NOENT;
-  bool part = false;
-  const int code = disk.Step(&part);
-  if (code == SQLITE_OK || (part && disk.random() % 2 == 0)) disk.files.erase(name);
+  bool partial = false;
+  const int code = disk.CountChange(&partial);
+  if (code == SQLITE_OK || (partial && disk.random() % 2 == 0)) disk.files.erase(name);
   return code;
 }
 
-int Access(sqlite3_vfs* v, const char* name, int /*flags*/, int* out) {
-  *out = DiskOf(v).files.contains(name) ? 1 : 0;
-  return DiskOf(v).Lost() ? SQLITE_IOERR_ACCESS : SQLITE_OK;
+int Access(sqlite3_vfs* vfs, const char* name, int /*flags*/, int* out) {
+  *out = DiskOf(vfs).files.contains(name) ? 1 : 0;
+  return DiskOf(vfs).Lost() ? SQLITE_IOERR_ACCESS : SQLITE_OK;
 }
 
-int FullPath(sqlite3_vfs* /*v*/, const char* name, int size, char* out) {
+int FullPath(sqlite3_vfs* /*vfs*/, const char* name, int size, char* out) {
   sqlite3_snprintf(size, out, "%s", name);
   return SQLITE_OK;
 }
-int Randomness(sqlite3_vfs* /*v*/, int size, char* out) {
+int Randomness(sqlite3_vfs* /*vfs*/, int size, char* out) {
   std::memset(out, 7, static_cast<std::size_t>(size));
   return size;
 }
-int Sleep(sqlite3_vfs* /*v*/, int us) { return us; }
-int CurrentTime(sqlite3_vfs* /*v*/, double* out) {
+int Sleep(sqlite3_vfs* /*vfs*/, int us) { return us; }
+int CurrentTime(sqlite3_vfs* /*vfs*/, double* out) {
   *out = 2'460'000.0;
   return SQLITE_OK;
 }
-int LastError(sqlite3_vfs* /*v*/, int /*size*/, char* /*out*/) { return SQLITE_OK; }
+int LastError(sqlite3_vfs* /*vfs*/, int /*size*/, char* /*out*/) { return SQLITE_OK; }
 
 }  // namespace
 
-struct InMemoryDisk::Registered {
+struct InMemoryDisk::Registration {
   sqlite3_vfs vfs{};
 };
 
 InMemoryDisk::InMemoryDisk(std::string name)
-    : name_(std::move(name)), registered_(std::make_unique<Registered>()) {
-  sqlite3_vfs& v = registered_->vfs;
-  v.iVersion = 1;
-  v.szOsFile = sizeof(OpenFile);
-  v.mxPathname = 512;
-  v.zName = name_.c_str();
-  v.pAppData = this;
-  v.xOpen = Open;
-  v.xDelete = Delete;
-  v.xAccess = Access;
-  v.xFullPathname = FullPath;
-  v.xRandomness = Randomness;
-  v.xSleep = ::stoatrun::standin::Sleep;
-  v.xCurrentTime = CurrentTime;
-  v.xGetLastError = LastError;
-  sqlite3_vfs_register(&v, 0);
-}
-
-InMemoryDisk::~InMemoryDisk() { sqlite3_vfs_unregister(&registered_->vfs); }
-
-void InMemoryDisk::Content::Apply(const Change& change, std::string& to) const {
+    : name_(std::move(name)), registration_(std::make_unique<Registration>()) {
+  sqlite3_vfs& vfs = registration_->vfs;
+  vfs.iVersion = 1;
+  vfs.szOsFile = sizeof(OpenFile);
+  vfs.mxPathname = 512;
+  vfs.zName = name_.c_str();
+  vfs.pAppData = this;
+  vfs.xOpen = Open;
+  vfs.xDelete = Delete;
+  vfs.xAccess = Access;
+  vfs.xFullPathname = FullPath;
+  vfs.xRandomness = Randomness;
+  vfs.xSleep = ::stoatrun::standin::Sleep;
+  vfs.xCurrentTime = CurrentTime;
+  vfs.xGetLastError = LastError;
+  sqlite3_vfs_register(&vfs, 0);
+}
+
+InMemoryDisk::~InMemoryDisk() { sqlite3_vfs_unregister(&registration_->vfs); }
+
+void InMemoryDisk::Content::Apply(const Change& change, std::string& target) const {
   const auto at = static_cast<std::size_t>(change.offset);
   if (change.truncate) {
-    to.resize(std::min(to.size(), at));
+    target.resize(std::min(target.size(), at));
     return;
   }
-  if (to.size() < at + change.bytes.size()) to.resize(at + change.bytes.size());
-  change.bytes.copy(to.data() + at, change.bytes.size());
+  if (target.size() < at + change.bytes.size()) target.resize(at + change.bytes.size());
+  change.bytes.copy(target.data() + at, change.bytes.size());
 }
 
-int InMemoryDisk::Step(bool* part) {
+int InMemoryDisk::CountChange(bool* partial) {
   if (lost_) return SQLITE_IOERR;
   ++changes_;
-  if (changes_ == power_) {
+  if (changes_ == power_loss_at_) {
     lost_ = true;
-    if (part != nullptr) *part = true;
+    if (partial != nullptr) *partial = true;
     return SQLITE_IOERR;
   }
   if (changes_ == fail_at_) return fail_code_;
@@ -176,11 +175,11 @@
 
 int InMemoryDisk::Sync(Content& content) {
   {
-    std::unique_lock lock(guard_);
+    std::unique_lock lock(mutex_);
     released_.wait(lock, [this] { return !stalled_; });
   }
-  if (const int code = Step(); code != SQLITE_OK) return code;
-  content.synced = content.now;
+  if (const int code = CountChange(); code != SQLITE_OK) return code;
+  content.synced = content.current;
   content.unsynced.clear();
   return SQLITE_OK;
 }
@@ -188,7 +187,7 @@
 void InMemoryDisk::PowerOn(std::uint64_t seed) {
   random.seed(seed);
   lost_ = false;
-  power_ = fail_at_ = 0;
+  power_loss_at_ = fail_at_ = 0;
   for (auto& [name, content] : files) {
     auto after = std::make_shared<Content>();
     after->synced = content->synced;
@@ -204,19 +203,19 @@
             after->synced);
       }
     }
-    after->now = after->synced;
+    after->current = after->synced;
     content = after;
   }
 }
 
 void InMemoryDisk::Stall() {
-  const std::scoped_lock lock(guard_);
+  const std::scoped_lock lock(mutex_);
   stalled_ = true;
 }
 
 void InMemoryDisk::Release() {
   {
-    const std::scoped_lock lock(guard_);
+    const std::scoped_lock lock(mutex_);
     stalled_ = false;
   }
   released_.notify_all();
