--- a/src/ledger/io/store_verifier.cpp
+++ b/src/ledger/io/store_verifier.cpp
@@ -25,7 +25,7 @@
     CheckSums();
   }
   void Report(std::string finding) { findings_.push_back(std::move(finding)); }
-  const std::vector<std::string>& findings() const { return findings_; }
+  const std::vector<std::string>& Findings() const { return findings_; }
 
  private:
   void CheckPages() {
@@ -91,7 +91,7 @@
   } catch (const SqlError& e) {
     verifier.Report(fmt::format("{}: {}", path, e.what()));
   }
-  return verifier.findings();
+  return verifier.Findings();
 }
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/reconcile.cpp
+++ b/src/ledger/reconcile.cpp
@@ -312,16 +312,16 @@
   }
   const element root = parser_.parse(line.data(), line.size(), false);
   const object trailer = root["end"];
-  const std::uint64_t from = UnsignedField(trailer, "from"), to = UnsignedField(trailer, "to");
+  const std::uint64_t first = UnsignedField(trailer, "from"), last = UnsignedField(trailer, "to");
   if (TextField(trailer, "relay") != relay_ || TextField(trailer, "book") != ledger_id_) {
     AddFault(0, "the end line is of another book");
   }
-  const bool empty = to < from;
+  const bool empty = last < first;
   const bool agrees =
       empty ? file_last_ == 0
-            : file_first_ == from && file_last_ == to && TextField(trailer, "head") == file_hash_;
+            : file_first_ == first && file_last_ == last && TextField(trailer, "head") == file_hash_;
   if (!agrees) {
-    AddFault(0, fmt::format("records are missing: the export held {} to {}, here are {} to {}", from, to,
+    AddFault(0, fmt::format("records are missing: the export held {} to {}, here are {} to {}", first, last,
                             file_first_, file_last_));
   }
   return true;
--- a/src/ledger/record.cpp
+++ b/src/ledger/record.cpp
@@ -35,7 +35,7 @@
 };
 
 std::array<char, kHashSize> HashHex(std::string_view text) {
-  thread_local const Digest digest;  // Fetching the algorithm costs more than hashing a line.
+  thread_local Digest digest;  // Fetching the algorithm costs more than hashing a line.
   std::array<unsigned char, kHashSize / 2> raw{};
   unsigned size = 0;
   if (digest.md == nullptr || EVP_DigestInit_ex2(digest.context, digest.md, nullptr) != 1 ||
@@ -67,8 +67,9 @@
   options.preserve_proto_field_names = true;
   Line line;
   line.text = kHead;
-  if (!util::MessageToJsonString(record, &line.text, options).ok())
+  if (!util::MessageToJsonString(record, &line.text, options).ok()) {
     throw std::runtime_error("a record has no JSON form");
+  }
   if (!line.text.starts_with(kHead)) line.text.insert(0, kHead);  // Some releases of protobuf clear the text.
   line.text.append(kPrev).append(prev).append(1, '"');
   line.hash = Sha256Hex(line.text);
--- a/tests/ledger/accounts_test.cpp
+++ b/tests/ledger/accounts_test.cpp
@@ -84,65 +84,87 @@
   std::vector<std::pair<std::string, std::string>> open_;
 };
 
+// Drives the accounting and the naive model through the same random events.
+class RandomHistory {
+ public:
+  // Lets some time pass, then carries out one event.
+  void Step() {
+    now_ +=
+        Micros(*rc::gen::weightedOneOf<std::int64_t>({{5, rc::gen::inRange<std::int64_t>(0, 3'000'000)},
+                                                      {1, rc::gen::inRange<std::int64_t>(0, 200'000'000)}}));
+    naive_.AdvanceTo(now_.count(), wall_offset_us_);
+    switch (*rc::gen::inRange(0, 5)) {
+      case 0:
+      case 1:
+        Open();
+        break;
+      case 2:
+        if (!handles_.empty()) Close(*rc::gen::inRange<std::size_t>(0, handles_.size()));
+        break;
+      case 3:
+        totals_.Add(accounts_.TakePostings(now_, Accounts::CurrentPeriod::kContinues));
+        break;
+      default:
+        StepClock();
+        break;
+    }
+    RC_ASSERT(accounts_.ComputeSums(now_).AreBalanced());
+  }
+
+  void CheckAgreement() {
+    totals_.Add(accounts_.TakePostings(now_, Accounts::CurrentPeriod::kEnds));
+    std::erase_if(totals_.rows, [](const auto& row) { return row.second == 0; });
+    std::erase_if(naive_.rows, [](const auto& row) { return row.second == 0; });
+    RC_ASSERT(totals_.rows == naive_.rows);
+    // A remainder under a microsecond is carried into the next period of its group.
+    std::map<std::string, std::int64_t> accounted, expected_milli;
+    for (const auto& [key, value] : totals_.within) {
+      RC_ASSERT(std::abs(value * 1000 - naive_.within_milli[key]) < 1000);
+      RC_ASSERT(value <= totals_.use[key]);
+      accounted[key.second] += value;
+    }
+    for (const auto& [key, value] : naive_.within_milli) expected_milli[key.second] += value;
+    for (const auto& [group, value] : accounted) RC_ASSERT(value == expected_milli[group] / 1000);
+  }
+
+ private:
+  void Open() {
+    const std::string group = *rc::gen::elementOf(groups_);
+    const std::size_t class_index = *rc::gen::inRange<std::size_t>(0, 2);
+    handles_.push_back(accounts_.Begin(now_, group == "(missing)" ? "" : group, class_index));
+    naive_.Open(group, MakeSetup().classes[class_index]);
+  }
+
+  void Close(std::size_t index) {
+    accounts_.End(now_, handles_[index]);
+    handles_.erase(handles_.begin() + static_cast<std::ptrdiff_t>(index));
+    naive_.Close(index);
+  }
+
+  // Steps of up to three hours either way; a difference under the threshold would not be a step.
+  void StepClock() {
+    constexpr std::int64_t kThresholdUs = Accounts::kClockStepThreshold.count();
+    std::int64_t step_us = *rc::gen::inRange<std::int64_t>(-10'800'000'000, 10'800'000'000);
+    if (step_us <= kThresholdUs && step_us >= -kThresholdUs) step_us = 1'000'000;
+    wall_offset_us_ += step_us;
+    accounts_.OnClockReading(now_, Micros(now_.count() + wall_offset_us_));
+  }
+
+  const std::vector<std::string> groups_{"wetland", "coast", "garden", "(missing)"};
+  Accounts accounts_{MakeSetup(), kStart, kWall};
+  NaiveModel naive_;
+  Totals totals_;
+  std::vector<UsageHandle> handles_;
+  Micros now_ = kStart;
+  std::int64_t wall_offset_us_ = (kWall - kStart).count();
+};
+
 TEST_CASE("accounts agree with a naive model over random histories with clock steps") {
   const bool holds = rc::check([] {
-    Accounts accounts(MakeSetup(), kStart, kWall);
-    NaiveModel naive;
-    Totals totals;
-    std::vector<UsageHandle> handles;
-    Micros now = kStart;
-    std::int64_t offset = (kWall - kStart).count();
-    const std::vector<std::string> groups{"wetland", "coast", "garden", "(missing)"};
+    RandomHistory history;
     const auto count = *rc::gen::inRange(1, 60);
-    for (int k = 0; k < count; ++k) {
-      now += Micros(
-          *rc::gen::weightedOneOf<std::int64_t>({{5, rc::gen::inRange<std::int64_t>(0, 3'000'000)},
-                                                 {1, rc::gen::inRange<std::int64_t>(0, 200'000'000)}}));
-      naive.AdvanceTo(now.count(), offset);
-      switch (*rc::gen::inRange(0, 5)) {
-        case 0:
-        case 1: {
-          const std::string group = *rc::gen::elementOf(groups);
-          const std::size_t class_index = *rc::gen::inRange<std::size_t>(0, 2);
-          handles.push_back(accounts.Begin(now, group == "(missing)" ? "" : group, class_index));
-          naive.Open(group, MakeSetup().classes[class_index]);
-          break;
-        }
-        case 2:
-          if (!handles.empty()) {
-            const auto at = *rc::gen::inRange<std::size_t>(0, handles.size());
-            accounts.End(now, handles[at]);
-            handles.erase(handles.begin() + static_cast<std::ptrdiff_t>(at));
-            naive.Close(at);
-          }
-          break;
-        case 3:
-          totals.Add(accounts.TakePostings(now, Accounts::CurrentPeriod::kContinues));
-          break;
-        default: {  // Steps of up to three hours either way; under the slack it is no step.
-          std::int64_t step = *rc::gen::inRange<std::int64_t>(-10'800'000'000, 10'800'000'000);
-          if (step <= Accounts::kClockStepThreshold.count() && step >= -Accounts::kClockStepThreshold.count())
-            step = 1'000'000;
-          offset += step;
-          accounts.OnClockReading(now, Micros(now.count() + offset));
-          break;
-        }
-      }
-      RC_ASSERT(accounts.ComputeSums(now).AreBalanced());
-    }
-    totals.Add(accounts.TakePostings(now, Accounts::CurrentPeriod::kEnds));
-    std::erase_if(totals.rows, [](const auto& row) { return row.second == 0; });
-    std::erase_if(naive.rows, [](const auto& row) { return row.second == 0; });
-    RC_ASSERT(totals.rows == naive.rows);
-    // What is under a microsecond is carried into the next period of its group.
-    std::map<std::string, std::int64_t> ours, theirs;
-    for (const auto& [key, value] : totals.within) {
-      RC_ASSERT(std::abs(value * 1000 - naive.within_milli[key]) < 1000);
-      RC_ASSERT(value <= totals.use[key]);
-      ours[key.second] += value;
-    }
-    for (const auto& [key, value] : naive.within_milli) theirs[key.second] += value;
-    for (const auto& [group, value] : ours) RC_ASSERT(value == theirs[group] / 1000);
+    for (int k = 0; k < count; ++k) history.Step();
+    history.CheckAgreement();
   });
   CHECK(holds);
 }
--- a/tests/ledger/ledger_crash_test.cpp
+++ b/tests/ledger/ledger_crash_test.cpp
@@ -54,19 +54,19 @@
   // Ends all connections, closes the open periods and writes every relay's export to `folder`.
   void FinishAndExport(const std::string& folder) {
     for (const Client& client : clients_) served_us_ += ServedUs(client);
-    for (std::size_t k = 0; k < kRelays; ++k) {
-      RecorderFixture& relay = *relays_[k];
+    for (std::size_t index = 0; index < kRelays; ++index) {
+      RecorderFixture& relay = *relays_[index];
       for (Client& client : clients_) {
-        if (client.relay == k) relay.recorder->End(client.handle);
+        if (client.relay == index) relay.recorder->End(client.handle);
       }
       relay.wall_offset += std::chrono::hours(1);  // Ends the current period.
-      relay.Wait(seconds(90), &receivers_.at(k));
+      relay.Wait(seconds(90), &receivers_.at(index));
       REQUIRE(relay.recorder->Finish(seconds(5)));
       unattested_ += relay.ReadTotals().unattested;
       Store store = relay.Reader();
       CHECK(store.State().delivered_seq == store.State().head_seq);
-      CHECK(receivers_.at(k).ContentConflicts() == 0);
-      WriteExport(store, 1, folder + "/n" + std::to_string(k) + ".jsonl");
+      CHECK(receivers_.at(index).ContentConflicts() == 0);
+      WriteExport(store, 1, folder + "/n" + std::to_string(index) + ".jsonl");
     }
   }
 
--- a/tests/ledger/reconcile_test.cpp
+++ b/tests/ledger/reconcile_test.cpp
@@ -105,52 +105,59 @@
   }
 }
 
-TEST_CASE("each fault is reported with its file and record") {
+using Files = std::vector<std::vector<std::string>>;
+
+std::string FaultsOf(const Files& files) { return Faults(Read(files)); }
+
+TEST_CASE("missing, cut and repeated records are reported with their file and record") {
   const Export sound = MakeSoundExport();
   const auto& lines = sound.lines;
   const std::string trailer = sound.Trailer(1, 4);
-  using Files = std::vector<std::vector<std::string>>;
-  const auto faults_of = [](const Files& files) { return Faults(Read(files)); };
-  CHECK(faults_of({{lines[0], lines[2], lines[3], trailer}}) == "f1:2:3 gap: records 2 to 2 are missing\n");
-  CHECK_THAT(faults_of({{lines[0], lines[1], lines[2], lines[3]}}),
+  CHECK(FaultsOf({{lines[0], lines[2], lines[3], trailer}}) == "f1:2:3 gap: records 2 to 2 are missing\n");
+  CHECK_THAT(FaultsOf({{lines[0], lines[1], lines[2], lines[3]}}),
              Catch::StartsWith("f1:4:0 cut short after record 4"));
-  CHECK_THAT(faults_of({{lines[0], lines[1], lines[2], lines[3].substr(0, 99)}}),
+  CHECK_THAT(FaultsOf({{lines[0], lines[1], lines[2], lines[3].substr(0, 99)}}),
              Catch::StartsWith("f1:4:4 cut short within a record"));
-  CHECK_THAT(faults_of({{lines[0], lines[1], lines[2], trailer}}),
+  CHECK_THAT(FaultsOf({{lines[0], lines[1], lines[2], trailer}}),
              Catch::StartsWith("f1:4:0 records are missing"));
-  CHECK_THAT(faults_of({{lines[0], lines[1], lines[1], lines[2], lines[3], trailer}}),
+  CHECK_THAT(FaultsOf({{lines[0], lines[1], lines[1], lines[2], lines[3], trailer}}),
              Catch::Contains("f1:3:2 duplicate"));
-  CHECK_THAT(faults_of({{lines[2], lines[3], sound.Trailer(3, 4)}}),
+  CHECK_THAT(FaultsOf({{lines[2], lines[3], sound.Trailer(3, 4)}}),
              Catch::StartsWith("f1:1:3 gap: records 1 to 2"));
-  CHECK_THAT(faults_of({{lines[0], lines[1], lines[2], lines[3], trailer},
-                        {lines[1], lines[2], lines[3], sound.Trailer(2, 4)}}),
+  CHECK_THAT(FaultsOf({{lines[0], lines[1], lines[2], lines[3], trailer},
+                       {lines[1], lines[2], lines[3], sound.Trailer(2, 4)}}),
              Catch::Contains("f2:1:2 duplicate: the same record"));
   const ReconcileReport twice = Read({{lines[0], lines[1], lines[2], lines[3], trailer},
                                       {lines[1], lines[2], lines[3], sound.Trailer(2, 4)}});
   CHECK(twice.duplicates == 3);
   CHECK(twice.totals.at({kHour, "wetland"}).use_us == 900);
+}
 
+TEST_CASE("records that contradict others are reported with their file and record") {
+  const Export sound = MakeSoundExport();
+  const auto& lines = sound.lines;
+  const std::string trailer = sound.Trailer(1, 4);
   Export fork;
   fork.Add(UseRecord("n0", 1, kHour, "garden"));
   CHECK_THAT(
-      faults_of({{lines[0], lines[1], lines[2], lines[3], trailer}, {fork.lines[0], fork.Trailer(1, 1)}}),
+      FaultsOf({{lines[0], lines[1], lines[2], lines[3], trailer}, {fork.lines[0], fork.Trailer(1, 1)}}),
       Catch::Contains("f2:1:1 fork"));
   Export other;
   other.Add(UseRecord("n0", 1, kHour, "garden"));
   other.Add(UseRecord("n0", 2, kHour, "wetland"));
-  CHECK_THAT(faults_of({{lines[0], other.lines[1], lines[2], lines[3], trailer}}),
+  CHECK_THAT(FaultsOf({{lines[0], other.lines[1], lines[2], lines[3], trailer}}),
              Catch::Contains("f1:2:2 broken chain"));
   Export overlap;
   overlap.Add(UseRecord("n0", 1, kHour, "coast"));
   overlap.Add(UseRecord("n0", 2, kHour, "coast"));
   overlap.Add(UseRecord("n0", 3, kHour + 1800, "coast"));
   const std::string faults =
-      faults_of({{overlap.lines[0], overlap.lines[1], overlap.lines[2], overlap.Trailer(1, 3)}});
+      FaultsOf({{overlap.lines[0], overlap.lines[1], overlap.lines[2], overlap.Trailer(1, 3)}});
   CHECK_THAT(faults, Catch::Contains("f1:2:2 overlapping periods: group coast has a record"));
   CHECK_THAT(faults, Catch::Contains("begins before the one from 1800000000 ends"));
   Export other_relay;
   other_relay.Add(UseRecord("n7", 1, kHour, "coast"));
-  CHECK_THAT(faults_of({{other_relay.lines[0]}}), Catch::Contains("it is of n7 book b"));
+  CHECK_THAT(FaultsOf({{other_relay.lines[0]}}), Catch::Contains("it is of n7 book b"));
 }
 
 TEST_CASE("a flipped bit in any byte of an export is detected") {
--- a/tests/ledger/store_test.cpp
+++ b/tests/ledger/store_test.cpp
@@ -100,23 +100,66 @@
             [this] { Post(kHour + 7200, 9, false); },
             [this] { store->EndRun((kHour + 7300) * 1'000'000); }};
   }
+  static constexpr std::size_t StepCount() { return 11; }
   void Run() {
     const auto steps = Steps();
+    REQUIRE(steps.size() == StepCount());
     for (; completed < steps.size(); ++completed) steps[completed]();
   }
 };
 
-TEST_CASE(
-    "after a power loss at any call each posting is applied completely or not at all, and the ledger goes "
-    "on") {
-  const Folder folder;
+// A scenario without faults: how many calls it makes that change something, and the usage it applies.
+struct Baseline {
   int calls = 0;
-  {
-    InMemoryDisk disk("count");
-    Scenario scenario{folder, disk, {}};
-    scenario.Run();
-    calls = disk.Changes();
-  }
+  std::int64_t applied_us = 0;
+};
+
+Baseline MeasureBaseline(const Folder& folder, const std::string& disk_name) {
+  InMemoryDisk disk(disk_name);
+  Scenario scenario{folder, disk, {}};
+  scenario.Run();
+  return {disk.Changes(), scenario.applied_us};
+}
+
+// Requires that the records are numbered without gaps and chained. Returns how many are unattested.
+int CheckChain(Store& store) {
+  int unattested = 0;
+  std::string previous_hash = FirstHash();
+  std::uint64_t expected = 0;
+  store.EachRecord(1, [&](const StoredRecord& stored) {
+    const auto parts = SplitLine(stored.line);
+    REQUIRE(parts);
+    REQUIRE(stored.seq == ++expected);
+    REQUIRE(parts->prev == previous_hash);
+    previous_hash = stored.hash;
+    unattested += ParseRecord(parts->record)->has_unattested() ? 1 : 0;
+  });
+  REQUIRE(store.State().head_hash == previous_hash);
+  return unattested;
+}
+
+// Opens the store of a scenario that lost power, and requires that it is consistent and goes on.
+void CheckRecovery(const Scenario& scenario) {
+  Store store(MakeSetup(scenario.folder, scenario.disk.Vfs()));
+  const std::int64_t stored_us = StoredUse(store);
+  const bool atomic =
+      stored_us == scenario.applied_us || stored_us == scenario.applied_us + scenario.pending_us;
+  REQUIRE(atomic);
+  // The next run goes on from there, and what the lost one left unattested is recorded once.
+  store.BeginRun((kHour + 9000) * 1'000'000, kHour + 7200);
+  store.Apply(MakePosting(1, kHour + 7200, 1000, true), {});
+  store.EndRun((kHour + 9001) * 1'000'000);
+  REQUIRE(StoredUse(store) == stored_us + 2000);
+  const int unattested = CheckChain(store);
+  // In the first and the last step the run may not have begun, or have ended in order.
+  const bool run_was_open = scenario.completed >= 2 && scenario.completed + 1 < scenario.StepCount();
+  REQUIRE(unattested <= 1);
+  REQUIRE(unattested >= (run_was_open ? 1 : 0));
+}
+
+TEST_CASE("after a power loss at any call each posting is applied completely or not at all") {
+  const Folder folder;
+  const int calls = MeasureBaseline(folder, "count").calls;
   REQUIRE(calls > 100);
   for (int n = 1; n <= calls; ++n) {
     for (const std::uint64_t seed : {1, 2, 3}) {
@@ -129,82 +172,55 @@
         FAIL("the power was not lost");
       } catch (const StoreError&) {
       }
-      const bool all_completed = scenario.completed >= scenario.Steps().size();
+      const bool all_completed = scenario.completed >= scenario.StepCount();
       REQUIRE_FALSE(all_completed);
       scenario.store.reset();
       disk.PowerOn(seed);
-      Store store(MakeSetup(folder, disk.Vfs()));
-      const std::int64_t stored_us = StoredUse(store);
-      const bool atomic =
-          stored_us == scenario.applied_us || stored_us == scenario.applied_us + scenario.pending_us;
-      REQUIRE(atomic);
-      // The next run goes on from there, and what the lost one left unattested is recorded once.
-      store.BeginRun((kHour + 9000) * 1'000'000, kHour + 7200);
-      store.Apply(MakePosting(1, kHour + 7200, 1000, true), {});
-      store.EndRun((kHour + 9001) * 1'000'000);
-      REQUIRE(StoredUse(store) == stored_us + 2000);
-      int unattested = 0;
-      std::string previous_hash = FirstHash();
-      std::uint64_t expected = 0;
-      store.EachRecord(1, [&](const StoredRecord& stored) {
-        const auto parts = SplitLine(stored.line);
-        REQUIRE(parts);
-        REQUIRE(stored.seq == ++expected);
-        REQUIRE(parts->prev == previous_hash);
-        previous_hash = stored.hash;
-        unattested += ParseRecord(parts->record)->has_unattested() ? 1 : 0;
-      });
-      REQUIRE(store.State().head_hash == previous_hash);
-      // In the first and the last step the run may not have begun, or have ended in order.
-      const bool run_was_open = scenario.completed >= 2 && scenario.completed + 1 < scenario.Steps().size();
-      REQUIRE(unattested <= 1);
-      REQUIRE(unattested >= (run_was_open ? 1 : 0));
+      CheckRecovery(scenario);
+    }
+  }
+}
+
+// Runs a scenario on a disk that fails once: opens the store anew after the error and retries the step.
+void RunWithOneError(Scenario& scenario) {
+  std::int64_t run = 0;
+  int errors = 0;
+  const auto steps = scenario.Steps();
+  while (scenario.completed < steps.size()) {
+    try {
+      if (scenario.completed == 1) {
+        run = scenario.store->BeginRun(kHour * 1'000'000, kHour);
+      } else {
+        steps[scenario.completed]();
+      }
+      ++scenario.completed;
+    } catch (const StoreError& e) {
+      if (e.code == StoreErrorCode::kRejected) {  // The correction took effect although it returned an error.
+        ++scenario.completed;
+        continue;
+      }
+      REQUIRE(++errors <= 1);
+      scenario.store.reset();
+      if (scenario.completed > 0) scenario.store.emplace(MakeSetup(scenario.folder, scenario.disk.Vfs()));
+      if (scenario.completed > 1 && scenario.completed + 1 < steps.size()) {
+        REQUIRE(scenario.store->ResumeRun(run));
+      }
+      if (scenario.completed + 1 == steps.size()) scenario.store->ResumeRun(run);
     }
   }
 }
 
 TEST_CASE("an error at any call is reported, and a retried posting is applied once") {
   const Folder folder;
-  int calls = 0;
-  std::int64_t expected = 0;
-  {
-    InMemoryDisk disk("errors");
-    Scenario scenario{folder, disk, {}};
-    scenario.Run();
-    calls = disk.Changes();
-    expected = scenario.applied_us;
-  }
-  for (int n = 1; n <= calls; ++n) {
+  const Baseline baseline = MeasureBaseline(folder, "errors");
+  for (int n = 1; n <= baseline.calls; ++n) {
     for (const int code : {SQLITE_FULL, SQLITE_IOERR_WRITE, SQLITE_IOERR_FSYNC}) {
       INFO("call " << n << " code " << code);
       InMemoryDisk disk(fmt::format("error-{}-{}", n, code));
       Scenario scenario{folder, disk, {}};
       disk.FailOnceAt(n, code);
-      std::int64_t run = 0;
-      int faults = 0;
-      const auto steps = scenario.Steps();
-      while (scenario.completed < steps.size()) {
-        try {
-          if (scenario.completed == 1) {
-            run = scenario.store->BeginRun(kHour * 1'000'000, kHour);
-          } else {
-            steps[scenario.completed]();
-          }
-          ++scenario.completed;
-        } catch (const StoreError& e) {
-          if (e.code == StoreErrorCode::kRejected) {  // The correction held although its answer was an error.
-            ++scenario.completed;
-            continue;
-          }
-          REQUIRE(++faults <= 1);
-          scenario.store.reset();
-          if (scenario.completed > 0) scenario.store.emplace(MakeSetup(folder, disk.Vfs()));
-          if (scenario.completed > 1 && scenario.completed + 1 < steps.size())
-            REQUIRE(scenario.store->ResumeRun(run));
-          if (scenario.completed + 1 == steps.size()) scenario.store->ResumeRun(run);
-        }
-      }
-      REQUIRE(StoredUse(*scenario.store) == expected);
+      RunWithOneError(scenario);
+      REQUIRE(StoredUse(*scenario.store) == baseline.applied_us);
     }
   }
 }
