--- a/src/ledger/io/export_file.cpp
+++ b/src/ledger/io/export_file.cpp
@@ -16,6 +16,8 @@
 #include <tuple>
 #include <utility>
 
+#include "base/unique_fd.h"
+
 namespace stoatrun::ledger {
 namespace {
 
@@ -26,24 +28,21 @@
 
 // Throws the error of the system call that just failed.
 [[noreturn]] void ThrowErrno(const std::string& path) {
-  throw std::runtime_error(path + ": " +
-                           std::strerror(errno));  // NOLINT(concurrency-mt-unsafe): glibc's is safe.
+  throw ExportError(ExportErrorCode::kSystem,
+                    path + ": " + std::strerror(errno));  // NOLINT(concurrency-mt-unsafe): glibc's is safe.
 }
 
-// An open file or folder; every function throws std::runtime_error.
+// An open file or folder; every function throws ExportError kSystem.
 class File {
  public:
   File(const std::string& path, int flags)
       : path_(path), fd_(open(path.c_str(), flags | O_CLOEXEC, kFileMode)) {
-    if (fd_ < 0) ThrowErrno(path);
+    if (!fd_) ThrowErrno(path);
   }
-  ~File() { close(fd_); }
-  File(const File&) = delete;
-  File& operator=(const File&) = delete;
 
   void Write(std::string_view text) {
     while (!text.empty()) {
-      const ssize_t written = write(fd_, text.data(), text.size());
+      const ssize_t written = write(fd_.Get(), text.data(), text.size());
       if (written < 0 && errno == EINTR) continue;
       if (written < 0) ThrowErrno(path_);
       text.remove_prefix(static_cast<std::size_t>(written));
@@ -51,18 +50,18 @@
   }
   std::size_t Read(char* data, std::size_t size) {
     for (;;) {
-      const ssize_t bytes = read(fd_, data, size);
+      const ssize_t bytes = read(fd_.Get(), data, size);
       if (bytes >= 0) return static_cast<std::size_t>(bytes);
       if (errno != EINTR) ThrowErrno(path_);
     }
   }
   void Sync() {
-    if (fsync(fd_) != 0) ThrowErrno(path_);
+    if (fsync(fd_.Get()) != 0) ThrowErrno(path_);
   }
 
  private:
   const std::string path_;
-  const int fd_;
+  UniqueFd fd_;
 };
 
 // One relay's ledger.
@@ -171,7 +170,8 @@
   std::string buffer;
   store.EachRecord(trailer.from, [&](const StoredRecord& record) {
     if (record.seq != trailer.to + 1) {
-      throw std::runtime_error(fmt::format("record {} is missing in the ledger", trailer.to + 1));
+      throw ExportError(ExportErrorCode::kMissingRecord,
+                        fmt::format("record {} is missing in the ledger", trailer.to + 1));
     }
     buffer += record.line;
     trailer.to = record.seq;
@@ -210,7 +210,8 @@
   std::size_t size = 0;
   for (;;) {
     if (size + simdjson::SIMDJSON_PADDING == buffer.size()) {
-      if (size >= kMaxLineSize) throw std::runtime_error(path + ": a line of over 1 MiB");
+      if (size >= kMaxLineSize)
+        throw ExportError(ExportErrorCode::kLineTooLong, path + ": a line of over 1 MiB");
       buffer.resize(2 * buffer.size());
     }
     const std::size_t bytes =
--- a/src/ledger/io/export_file.h
+++ b/src/ledger/io/export_file.h
@@ -17,12 +17,12 @@
 
 // Writes the records from number `from_seq` on to `path` and returns the file's trailer. A temporary file in
 // the same folder is written, synced and renamed over `path`, so that a reader finds the old file or the
-// complete new one, also after a crash. Throws std::runtime_error or StoreError; the old file is then
+// complete new one, also after a crash. Throws ExportError or StoreError; the old file is then
 // untouched.
 ExportTrailer WriteExport(Store& store, std::uint64_t from_seq, const std::string& path);
 
 // Calls `each` with every line of a file, its newline included; SIMDJSON_PADDING bytes after it may be read.
-// Throws std::runtime_error where the file can't be read or a line is over 1 MiB.
+// Throws ExportError kSystem where the file can't be read, kLineTooLong for a line over 1 MiB.
 void EachLine(const std::string& path, const std::function<void(std::string_view)>& each);
 
 // Reconciles files, and all *.jsonl files of folders, on `threads` threads. Files that are no exports are
--- a/src/ledger/io/folder_lock.cpp
+++ b/src/ledger/io/folder_lock.cpp
@@ -2,7 +2,6 @@
 
 #include <fcntl.h>
 #include <sys/file.h>
-#include <unistd.h>
 
 #include <cerrno>
 #include <cstring>
@@ -19,10 +18,10 @@
   return error == EIO ? StoreErrorCode::kIo : StoreErrorCode::kReadOnly;
 }
 
-int OpenLockFile(const std::string& folder) {
+UniqueFd OpenLockFile(const std::string& folder) {
   const std::string path = folder + "/relay.lock";
-  const int fd = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kLockFileMode);
-  if (fd >= 0) return fd;
+  UniqueFd file(open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kLockFileMode));
+  if (file) return file;
   const int error = errno;
   throw StoreError(CodeOfErrno(error),
                    path + ": " + std::strerror(error));  // NOLINT(concurrency-mt-unsafe): glibc's is safe.
@@ -30,12 +29,9 @@
 
 }  // namespace
 
-FolderLock::FolderLock(const std::string& folder) : fd_(OpenLockFile(folder)) {
-  if (flock(fd_, LOCK_EX | LOCK_NB) == 0) return;
-  close(fd_);  // The destructor does not run for an object whose constructor throws.
+FolderLock::FolderLock(const std::string& folder) : file_(OpenLockFile(folder)) {
+  if (flock(file_.Get(), LOCK_EX | LOCK_NB) == 0) return;
   throw StoreError(StoreErrorCode::kLocked, folder + ": another relay uses this folder");
 }
 
-FolderLock::~FolderLock() { close(fd_); }
-
 }  // namespace stoatrun::ledger
--- a/src/ledger/io/folder_lock.h
+++ b/src/ledger/io/folder_lock.h
@@ -4,6 +4,8 @@
 
 #include <string>
 
+#include "base/unique_fd.h"
+
 namespace stoatrun::ledger {
 
 // Owns an advisory lock (flock) on the file `relay.lock` in a folder. The kernel releases it when the process
@@ -13,13 +15,9 @@
   // Locks `folder` without waiting. Throws StoreError: kLocked if another process holds the lock, else what
   // kept the file from being opened.
   explicit FolderLock(const std::string& folder);
-  // Releases the lock.
-  ~FolderLock();
-  FolderLock(const FolderLock&) = delete;
-  FolderLock& operator=(const FolderLock&) = delete;
 
  private:
-  const int fd_;
+  UniqueFd file_;  // Closing it releases the lock.
 };
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/reconcile.cpp
+++ b/src/ledger/reconcile.cpp
@@ -22,7 +22,7 @@
 constexpr const char* kBrokenChain = "broken chain: it does not follow the record before it";
 
 // An integer field, 0 if it is absent: protobuf's JSON form omits zeros and writes 64-bit integers as text.
-// Throws std::runtime_error (simdjson_error is one) if it is no integer.
+// Throws ExportError kBadField or simdjson_error, both a std::runtime_error, if it is no integer.
 std::int64_t IntegerField(const object& json, std::string_view key) {
   element value;
   if (json.at_key(key).get(value) != simdjson::SUCCESS) return 0;
@@ -31,7 +31,7 @@
   std::int64_t number = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   if (error != std::errc() || end != text.data() + text.size()) {
-    throw std::runtime_error("not a whole number");
+    throw ExportError(ExportErrorCode::kBadField, "not a whole number");
   }
   return number;
 }
@@ -133,7 +133,8 @@
   simdjson::dom::parser parser;
   const simdjson::padded_string text(first_line);
   element root;
-  if (parser.parse(text).get(root) != simdjson::SUCCESS) throw std::runtime_error(kNoRecord);
+  if (parser.parse(text).get(root) != simdjson::SUCCESS)
+    throw ExportError(ExportErrorCode::kNotAnExport, kNoRecord);
   const auto head = [](const object& json, std::string_view number_key) -> FileHead {
     return {std::string(TextField(json, "relay")), std::string(TextField(json, "book")),
             UnsignedField(json, number_key)};
@@ -141,7 +142,7 @@
   object json;
   if (root["record"].get(json) == simdjson::SUCCESS) return head(json, "seq");
   if (root["end"].get(json) == simdjson::SUCCESS) return head(json, "from");
-  throw std::runtime_error(kNoRecord);
+  throw ExportError(ExportErrorCode::kNotAnExport, kNoRecord);
 }
 
 ExportReader::ExportReader(std::string relay, std::string ledger_id, ReconcileReport& report)
--- a/src/ledger/reconcile.h
+++ b/src/ledger/reconcile.h
@@ -14,6 +14,7 @@
 #include <cstdint>
 #include <map>
 #include <set>
+#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <tuple>
@@ -96,12 +97,31 @@
   void Complete();
 };
 
+// Why an export can't be read or written.
+enum class ExportErrorCode {
+  kSystem,        // A system call on the file failed.
+  kNotAnExport,   // The file does not begin with a record or a trailer.
+  kBadField,      // A field is not of the schema.
+  kLineTooLong,   // A line is longer than any record's.
+  kMissingRecord  // The ledger lacks a record that the export must hold.
+};
+
+// Thrown by functions on export files; what() explains it to the operator.
+class ExportError : public std::runtime_error {
+ public:
+  // An error with its explanation.
+  ExportError(ExportErrorCode error_code, const std::string& what)
+      : std::runtime_error(what), code(error_code) {}
+
+  ExportErrorCode code;
+};
+
 // What the first line of a file says, to sort files by.
 struct FileHead {
   std::string relay, ledger_id;
   std::uint64_t first_seq = 0;
 };
-// Parses the first line of a file, a record or a trailer. Throws std::runtime_error if it is neither.
+// Parses the first line of a file, a record or a trailer. Throws ExportError if it is neither.
 FileHead ReadHead(std::string_view first_line);
 
 // Reads the export of one ledger into a report.
--- a/tests/ledger/accounts_test.cpp
+++ b/tests/ledger/accounts_test.cpp
@@ -203,8 +203,9 @@
 TEST_CASE("a clock that drifts shifts the boundaries and is not a step") {
   Accounts accounts(MakeSetup(), kStart, kWall);
   UsageHandle handle = accounts.Begin(kStart, "garden", 0);
-  for (int k = 1; k <= 600; ++k)
+  for (int k = 1; k <= 600; ++k) {
     accounts.OnClockReading(kStart + milliseconds(100 * k), kWall + milliseconds(99 * k));
+  }
   accounts.End(kStart + seconds(60), handle);
   Totals totals;
   totals.Add(accounts.TakePostings(kStart + seconds(60), Accounts::CurrentPeriod::kContinues));
