--- a/src/ledger/io/export_file.cpp
+++ b/src/ledger/io/export_file.cpp
@@ -210,8 +210,9 @@
   std::size_t size = 0;
   for (;;) {
     if (size + simdjson::SIMDJSON_PADDING == buffer.size()) {
-      if (size >= kMaxLineSize)
+      if (size >= kMaxLineSize) {
         throw ExportError(ExportErrorCode::kLineTooLong, path + ": a line of over 1 MiB");
+      }
       buffer.resize(2 * buffer.size());
     }
     const std::size_t bytes =
--- a/src/ledger/io/store.h
+++ b/src/ledger/io/store.h
@@ -53,7 +53,7 @@
   std::int64_t wall_us = 0;         // When it is entered, Unix time.
 };
 
-// Where the ledger stands.
+// The state of the ledger.
 struct StoreState {
   std::string relay, ledger_id;
   std::uint64_t head_seq = 0;       // Number of the last record; 0: none yet.
--- a/src/ledger/io/store_schema.cpp
+++ b/src/ledger/io/store_schema.cpp
@@ -10,7 +10,7 @@
 namespace stoatrun::ledger {
 namespace {
 
-// Step k lifts the schema from version k to k + 1. A new file goes through all of them, so that migration is
+// Step k migrates the schema from version k to k + 1. A new file goes through all of them, so that migration is
 // exercised with every new ledger.
 constexpr std::array<const char*, kSchema> kMigrations = {
     R"(CREATE TABLE meta(key TEXT PRIMARY KEY, value TEXT NOT NULL) WITHOUT ROWID;
--- a/src/ledger/io/store_schema.h
+++ b/src/ledger/io/store_schema.h
@@ -17,7 +17,7 @@
 // The version of the schema that this release writes, kept in SQLite's `user_version`.
 inline constexpr int kSchema = 2;
 
-// Lifts the database to kSchema, all steps in one transaction. `path` is for error texts. Throws StoreError
+// Migrates the database to kSchema, all steps in one transaction. `path` is for error texts. Throws StoreError
 // kNewerSchema if a newer release wrote the file, else SqlError.
 void MigrateSchema(Database& database, const std::string& path);
 
