--- a/src/fleet/outlier_consensus.cpp
+++ b/src/fleet/outlier_consensus.cpp
@@ -2,81 +2,78 @@
 
 #include <algorithm>
 #include <cmath>
+#include <utility>
 
 #include "fleet/injected_fault.h"
 
 namespace stoatrun::fleet {
 namespace {
 
-using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Micros kOwnMemory = seconds(5);  // What was seen here counts so long.
-constexpr std::size_t kMostSeen = 32;      // Of one endpoint.
-constexpr std::size_t kBadSeen = 3;        // So many bad observations, half of all at least, make a verdict.
-constexpr Micros kValid = seconds(6);      // Of evidence: the longest a judgement outlives its making.
-constexpr Micros kTellAgain = seconds(3);  // While it holds.
-constexpr std::size_t kWitnesses = 2;
-constexpr Micros kRemoteOnlyLimit = seconds(2);  // On hearsay alone no endpoint is ejected longer.
-constexpr Micros kRemoteOnlyPause = seconds(6);  // Nor again so soon after that.
-constexpr std::size_t kBadLinkLeast = 3;  // Outliers judged bad before a witness's own link is in question.
-constexpr unsigned kMaxMisreports = 3;
-constexpr Micros kDistrust = seconds(60);
-constexpr unsigned kTellFactor = 2;  // Times log2 of the fleet.
-constexpr std::size_t kMostServers = 8192;
-constexpr std::size_t kMostCounted = 256;
+constexpr Micros kObservationValid = seconds(5);
+constexpr std::size_t kMaxObservations = 32;    // Of one endpoint.
+constexpr std::size_t kMinBadObservations = 3;  // So many, and half of all at least, make a bad verdict.
+constexpr Micros kEvidenceValid = seconds(6);   // The longest that evidence outlives its making.
+constexpr Micros kRepeatInterval = seconds(3);  // Of own evidence, while it holds.
+constexpr std::size_t kMinWitnesses = 2;
+constexpr Micros kRemoteOnlyLimit = seconds(2);  // On remote evidence alone no endpoint is ejected longer,
+constexpr Micros kRemoteOnlyPause = seconds(6);  // nor again so soon after that.
+constexpr std::size_t kMinBadLinkVerdicts = 3;   // Before a witness's own link is in question.
+constexpr unsigned kGossipFactor = 2;            // Times log2 of the fleet: how often evidence is sent.
+constexpr std::size_t kMaxEndpoints = 8192;
+
+bool IsBad(HealthVerdict verdict) { return verdict != HealthVerdict::kHealthy; }
+
+unsigned SendsOf(std::size_t fleet_size) {
+  const auto members = static_cast<double>(std::max<std::size_t>(fleet_size, 1));
+  return kGossipFactor * static_cast<unsigned>(std::ceil(std::log2(members + 1)));
+}
 
 }  // namespace
 
 void OutlierConsensus::SetEndpoints(const std::vector<FleetClient::ListedEndpoint>& endpoints) {
   std::map<std::string, std::int64_t> listed;
-  for (const auto& [id, start] : endpoints) {
-    listed[id] = start;
-    // A process that started anew owes nothing to what was seen of the former.
-    if (const auto before = listed_.find(id); before != listed_.end() && before->second != start)
-      endpoints_.erase(id);
+  for (const FleetClient::ListedEndpoint& endpoint : endpoints) {
+    listed[endpoint.id] = endpoint.started_unix_ms;
+    // What was observed of the former process does not concern the new one.
+    const auto before = listed_.find(endpoint.id);
+    if (before != listed_.end() && before->second != endpoint.started_unix_ms) endpoints_.erase(endpoint.id);
   }
   listed_ = std::move(listed);
-  std::erase_if(endpoints_, [&](const auto& s) { return !listed_.contains(s.first); });
+  std::erase_if(endpoints_, [&](const auto& known) { return !listed_.contains(known.first); });
 }
 
-bool OutlierConsensus::IsListed(const std::string& endpoint, std::int64_t start) const {
-  const auto at = listed_.find(endpoint);
-  return at != listed_.end() && at->second == start;
+bool OutlierConsensus::IsValid(const RemoteEvidence& remote, Micros now) const {
+  if (IsInjected(Fault::kEvidenceNeverExpires)) return true;
+  return now < remote.made + std::min(AtMost(remote.evidence.valid), kEvidenceValid);
 }
 
-void OutlierConsensus::Forget(Server& s, Micros now) const {
-  while (!s.seen.empty() && (s.seen.front().at + kOwnMemory <= now || s.seen.size() > kMostSeen))
-    s.seen.pop_front();
-  if (!IsInjected(Fault::kEvidenceNeverExpires)) {
-    std::erase_if(s.heard, [&](const auto& h) { return !InForce(h.second, now); });
-  }
+void OutlierConsensus::Expire(Endpoint& endpoint, Micros now) const {
+  auto& observations = endpoint.observations;
+  while (!observations.empty() &&
+         (observations.front().at + kObservationValid <= now || observations.size() > kMaxObservations))
+    observations.pop_front();
+  std::erase_if(endpoint.remote, [&](const auto& remote) { return !IsValid(remote.second, now); });
 }
 
-bool OutlierConsensus::InForce(const Heard& h, Micros now) const {
-  if (IsInjected(Fault::kEvidenceNeverExpires)) return true;
-  return now < h.made + std::min(AtMost(h.evidence.valid), kValid);
-}
+// ---- own observations ----
 
 void OutlierConsensus::Observe(Micros now, const std::string& endpoint, HealthVerdict verdict) {
   if (!listed_.contains(endpoint)) return;
-  Server& s = endpoints_[endpoint];
-  s.seen.push_back({now, verdict});
-  Forget(s, now);
-  if (verdict != HealthVerdict::kHealthy) return;
-  // Who says the contrary is found wrong, if what it says is older than what is seen now.
-  const auto own = OwnVerdict(now, endpoint);
-  if (own != HealthVerdict::kHealthy) return;
-  for (const auto& [author, h] : s.heard) {
-    if (!Bad(h.evidence.verdict) || !InForce(h, now) || now - h.made < kRemoteOnlyLimit / 2) continue;
-    Reputation& c = reputation_[author];
-    if (c.counted.size() >= kMostCounted) c.counted.clear();
-    if (!c.counted.emplace(endpoint, h.evidence.version).second) continue;
-    ++counts_.contradicted;
-    if (++c.misreports >= kMaxMisreports) {
-      c.until = now + kDistrust;
-      c.misreports = 0;
-    }
+  Endpoint& observed = endpoints_[endpoint];
+  observed.observations.push_back({now, verdict});
+  Expire(observed, now);
+  if (verdict == HealthVerdict::kHealthy && OwnVerdict(now, endpoint) == HealthVerdict::kHealthy)
+    CountMisreports(now, endpoint, observed);
+}
+
+// The endpoint is healthy: evidence to the contrary is disproved, if it is older than what was observed now.
+void OutlierConsensus::CountMisreports(Micros now, const std::string& id, const Endpoint& endpoint) {
+  for (const auto& [author, remote] : endpoint.remote) {
+    if (!IsBad(remote.evidence.verdict) || !IsValid(remote, now) || now - remote.made < kRemoteOnlyLimit / 2)
+      continue;
+    if (reputation_.OnMisreport(now, author, id, remote.evidence.version)) ++counts_.contradicted;
   }
 }
 
@@ -84,208 +81,239 @@
   const auto at = endpoints_.find(endpoint);
   if (at == endpoints_.end()) return std::nullopt;
   std::size_t bad = 0, all = 0;
-  std::map<HealthVerdict, std::size_t> of;
-  for (const Seen& seen : at->second.seen) {
-    if (seen.at + kOwnMemory <= now) continue;
+  std::map<HealthVerdict, std::size_t> by_verdict;
+  for (const Observation& observation : at->second.observations) {
+    if (observation.at + kObservationValid <= now) continue;
     ++all;
-    ++of[seen.verdict];
-    bad += Bad(seen.verdict) ? 1 : 0;
+    ++by_verdict[observation.verdict];
+    bad += IsBad(observation.verdict) ? 1 : 0;
   }
   if (all == 0) return std::nullopt;
-  if (!Bad(at->second.seen.back().verdict))
+  if (!IsBad(at->second.observations.back().verdict))
     return 2 * bad > all ? std::nullopt : std::optional(HealthVerdict::kHealthy);
-  if (bad < kBadSeen || 2 * bad < all) return std::nullopt;
-  HealthVerdict most = HealthVerdict::kFailing;
-  for (const auto& [verdict, n] : of) {
-    if (Bad(verdict) && n > of[most]) most = verdict;
+  if (bad < kMinBadObservations || 2 * bad < all) return std::nullopt;
+  HealthVerdict most_frequent = HealthVerdict::kFailing;
+  for (const auto& [verdict, count] : by_verdict) {
+    if (IsBad(verdict) && count > by_verdict[most_frequent]) most_frequent = verdict;
   }
-  return most;
+  return most_frequent;
 }
 
+// ---- remote evidence ----
+
 void OutlierConsensus::OnEvidence(Micros now, const Evidence& evidence, std::optional<Micros> transit) {
   if (evidence.author == settings_.self) return;
-  // What has no bound on its age may be of any time.
+  // Evidence without a bound on its age may be of any time.
   if (!evidence.age || !transit) {
-    ++counts_.stale_after;
+    ++counts_.stale;
     return;
   }
-  const Micros made = now - *evidence.age - *transit;
-  Heard fresh{evidence, made, 0};
-  if (!InForce(fresh, now)) {
-    ++counts_.stale_after;
+  const RemoteEvidence fresh{evidence, now - *evidence.age - *transit, true, 0};
+  if (!IsValid(fresh, now)) {
+    ++counts_.stale;
     return;
   }
-  if (!endpoints_.contains(evidence.endpoint) && endpoints_.size() >= kMostServers) return;
-  if (!listed_.contains(evidence.endpoint)) return;  // Not ours to use; who lists it passes it on.
-  Server& s = endpoints_[evidence.endpoint];
-  const auto at = s.heard.find(evidence.author);
-  if (at != s.heard.end() && at->second.evidence.incarnation.id == evidence.incarnation.id &&
-      at->second.evidence.version >= evidence.version) {
-    // The same again: perhaps with a better bound on its age, which can only make it older than it seemed at
-    // first.
-    return;
+  if (!endpoints_.contains(evidence.endpoint) && endpoints_.size() >= kMaxEndpoints) return;
+  if (!listed_.contains(evidence.endpoint)) return;  // Relays that list it pass it on.
+  Endpoint& endpoint = endpoints_[evidence.endpoint];
+  const auto known = endpoint.remote.find(evidence.author);
+  if (known != endpoint.remote.end()) {
+    const Evidence& former = known->second.evidence;
+    const bool same_run = former.incarnation.id == evidence.incarnation.id;
+    if (same_run && former.version >= evidence.version) return;
+    if (former.incarnation > evidence.incarnation) return;
   }
-  if (at != s.heard.end() && at->second.evidence.incarnation > evidence.incarnation) return;
   ++counts_.heard;
-  fresh.tell = 1;
-  s.heard[evidence.author] = fresh;
+  endpoint.remote[evidence.author] = fresh;
 }
 
 void OutlierConsensus::OnIncarnationEnded(MemberId author, const Incarnation& incarnation) {
-  for (auto& [id, s] : endpoints_) {
-    std::erase_if(s.heard, [&](const auto& h) {
-      return h.first == author && h.second.evidence.incarnation.id == incarnation.id;
-    });
+  for (auto& [id, endpoint] : endpoints_) {
+    const auto known = endpoint.remote.find(author);
+    if (known != endpoint.remote.end() && known->second.evidence.incarnation.id == incarnation.id)
+      endpoint.remote.erase(known);
   }
-  reputation_.erase(author);
+  reputation_.Erase(author);
 }
 
-bool OutlierConsensus::BadLink(MemberId author, Micros now) const {
+bool OutlierConsensus::HasBadLink(MemberId author, Micros now) const {
   std::size_t bad = 0;
-  for (const auto& [id, s] : endpoints_) {
-    const auto at = s.heard.find(author);
-    if (at != s.heard.end() && InForce(at->second, now) && Bad(at->second.evidence.verdict)) ++bad;
+  for (const auto& [id, endpoint] : endpoints_) {
+    const auto at = endpoint.remote.find(author);
+    if (at != endpoint.remote.end() && IsValid(at->second, now) && IsBad(at->second.evidence.verdict)) ++bad;
   }
-  return bad >= kBadLinkLeast && 2 * bad > listed_.size();
+  return bad >= kMinBadLinkVerdicts && 2 * bad > listed_.size();
 }
 
-std::vector<std::pair<MemberId, std::string>> OutlierConsensus::Distrusted(Micros now) const {
-  std::vector<std::pair<MemberId, std::string>> out;
+std::vector<OutlierConsensus::DistrustedWitness> OutlierConsensus::Distrusted(Micros now) const {
+  std::vector<DistrustedWitness> out;
   std::set<MemberId> authors;
-  for (const auto& [id, s] : endpoints_) {
-    for (const auto& [author, h] : s.heard) authors.insert(author);
+  for (const auto& [id, endpoint] : endpoints_) {
+    for (const auto& [author, remote] : endpoint.remote) authors.insert(author);
   }
-  for (const MemberId a : authors) {
-    if (BadLink(a, now)) out.emplace_back(a, "judges more than half of the servers bad");
-  }
-  for (const auto& [a, c] : reputation_) {
-    if (now < c.until) out.emplace_back(a, "was found wrong here");
+  for (const MemberId author : authors) {
+    if (HasBadLink(author, now)) out.push_back({author, "judges more than half of the servers bad"});
   }
+  for (const MemberId author : reputation_.Distrusted(now)) out.push_back({author, "was found wrong here"});
   return out;
 }
 
+// ---- ejection on remote evidence ----
+
 std::set<std::string> OutlierConsensus::EndpointsToEject(Micros now) {
-  struct Case {
-    std::size_t bad;
-    std::string endpoint;
-  };
-  std::vector<Case> cases;
   std::set<MemberId> distrusted;
-  for (const auto& [a, why] : Distrusted(now)) distrusted.insert(a);
-  for (auto& [id, s] : endpoints_) {
-    Forget(s, now);
+  for (const DistrustedWitness& witness : Distrusted(now)) distrusted.insert(witness.author);
+  std::vector<EjectionCandidate> candidates;
+  for (auto& [id, endpoint] : endpoints_) {
+    Expire(endpoint, now);
     const auto listed = listed_.find(id);
     if (listed == listed_.end()) continue;
-    std::size_t bad = 0, fine = 0;
-    for (const auto& [author, h] : s.heard) {
-      if (!InForce(h, now) || h.evidence.endpoint_start != listed->second) continue;
-      if (distrusted.contains(author)) {
-        counts_.ignored_witness += Bad(h.evidence.verdict) ? 1 : 0;
-        continue;
-      }
-      ++(Bad(h.evidence.verdict) ? bad : fine);
-    }
-    const std::size_t needed = IsInjected(Fault::kOneWitnessSuffices) ? 1 : kWitnesses;
-    // A verdict of our own, or the last thing seen here went well though others before it did not.
-    const bool sound = !s.seen.empty() && !Bad(s.seen.back().verdict);
-    const bool seen = (sound || OwnVerdict(now, id).has_value()) && !IsInjected(Fault::kRemoteEvidenceFirst);
-    if (seen || bad < needed || bad <= fine) {
-      if (s.remote_only_since && (seen || now >= *s.remote_only_since + kRemoteOnlyLimit + kRemoteOnlyPause))
-        s.remote_only_since.reset();
+    const Votes votes = CountVotes(endpoint, listed->second, distrusted, now);
+    if (MayEjectRemotely(endpoint, votes, IsDecidedLocally(id, endpoint, now), now))
+      candidates.push_back({votes.bad, id});
+  }
+  return MostWitnessed(std::move(candidates));
+}
+
+OutlierConsensus::Votes OutlierConsensus::CountVotes(const Endpoint& endpoint, std::int64_t started,
+                                                     const std::set<MemberId>& distrusted, Micros now) {
+  Votes votes;
+  for (const auto& [author, remote] : endpoint.remote) {
+    if (!IsValid(remote, now) || remote.evidence.endpoint_start != started) continue;
+    const bool bad = IsBad(remote.evidence.verdict);
+    if (distrusted.contains(author)) {
+      counts_.ignored_witness += bad ? 1 : 0;
       continue;
     }
-    if (!s.remote_only_since || now >= *s.remote_only_since + kRemoteOnlyLimit + kRemoteOnlyPause)
-      s.remote_only_since = now;
-    if (now >= *s.remote_only_since + kRemoteOnlyLimit && !IsInjected(Fault::kEvidenceNeverExpires)) continue;
-    cases.push_back({bad, id});
+    ++(bad ? votes.bad : votes.healthy);
   }
-  std::sort(cases.begin(), cases.end(), [](const Case& a, const Case& b) {
-    return a.bad != b.bad ? a.bad > b.bad : a.endpoint < b.endpoint;
+  return votes;
+}
+
+// An own verdict, or the last observation was good though others before it were not.
+bool OutlierConsensus::IsDecidedLocally(const std::string& id, const Endpoint& endpoint, Micros now) const {
+  if (IsInjected(Fault::kRemoteEvidenceFirst)) return false;
+  const bool last_was_good = !endpoint.observations.empty() && !IsBad(endpoint.observations.back().verdict);
+  return last_was_good || OwnVerdict(now, id).has_value();
+}
+
+// Starts and ends the period of an ejection on remote evidence alone, and the pause after it.
+bool OutlierConsensus::MayEjectRemotely(Endpoint& endpoint, const Votes& votes, bool decided_locally,
+                                        Micros now) {
+  std::optional<Micros>& since = endpoint.remote_only_since;
+  const bool pause_is_over = !since || now >= *since + kRemoteOnlyLimit + kRemoteOnlyPause;
+  const std::size_t needed = IsInjected(Fault::kOneWitnessSuffices) ? 1 : kMinWitnesses;
+  if (decided_locally || votes.bad < needed || votes.bad <= votes.healthy) {
+    if (decided_locally || pause_is_over) since.reset();
+    return false;
+  }
+  if (pause_is_over) since = now;
+  return now < *since + kRemoteOnlyLimit || IsInjected(Fault::kEvidenceNeverExpires);
+}
+
+// Caps the ejections at the configured fraction of the listed endpoints.
+std::set<std::string> OutlierConsensus::MostWitnessed(std::vector<EjectionCandidate> candidates) {
+  std::sort(candidates.begin(), candidates.end(), [](const EjectionCandidate& a, const EjectionCandidate& b) {
+    return a.witnesses != b.witnesses ? a.witnesses > b.witnesses : a.endpoint < b.endpoint;
   });
   const auto most = static_cast<std::size_t>(
       std::floor(settings_.max_ejected_fraction * static_cast<double>(listed_.size())));
-  if (cases.size() > most && !IsInjected(Fault::kNoEjectionCap)) {
-    counts_.capped += cases.size() - most;
-    cases.resize(most);
+  if (candidates.size() > most && !IsInjected(Fault::kNoEjectionCap)) {
+    counts_.capped += candidates.size() - most;
+    candidates.resize(most);
   }
   std::set<std::string> out;
-  for (const Case& c : cases) out.insert(c.endpoint);
+  for (const EjectionCandidate& candidate : candidates) out.insert(candidate.endpoint);
   return out;
 }
 
+// ---- gossip ----
+
+void OutlierConsensus::RefreshOwnEvidence(Micros now, const Incarnation& self, const std::string& id,
+                                          Endpoint& endpoint, unsigned sends) {
+  Evidence& own = endpoint.own;
+  const auto verdict = OwnVerdict(now, id);
+  if (!verdict) return;
+  const bool in_force =
+      own.version != 0 && IsBad(own.verdict) && now < endpoint.last_observed + kEvidenceValid;
+  const bool changed_or_due =
+      !in_force || own.verdict != *verdict || now >= endpoint.own_made + kRepeatInterval;
+  // A healthy verdict is sent only to take back a bad one.
+  if (IsBad(*verdict) ? !changed_or_due : !in_force) return;
+  own.author = settings_.self;
+  own.incarnation = self;
+  own.endpoint = id;
+  own.endpoint_start = listed_[id];
+  own.verdict = *verdict;
+  own.observations = static_cast<std::uint32_t>(endpoint.observations.size());
+  own.version = ++version_;
+  own.valid = kEvidenceValid;
+  endpoint.own_made = now;
+  for (const Observation& observation : endpoint.observations) {
+    if (IsBad(observation.verdict) == IsBad(*verdict)) endpoint.last_observed = observation.at;
+  }
+  endpoint.own_sends_left = sends;
+}
+
 std::vector<Evidence> OutlierConsensus::EvidenceToGossip(Micros now, const Incarnation& self,
-                                                         std::size_t room, std::size_t fleet) {
-  const auto often =
-      kTellFactor *
-      static_cast<unsigned>(std::ceil(std::log2(static_cast<double>(std::max<std::size_t>(fleet, 1)) + 1)));
+                                                         std::size_t max_bytes, std::size_t fleet_size) {
+  const unsigned sends = SendsOf(fleet_size);
   std::vector<Evidence> out;
-  const auto add = [&](const Evidence& e) {
-    const std::size_t size = SizeOf(e);
-    if (size > room) return false;
-    room -= size;
-    out.push_back(e);
+  const auto add = [&](const Evidence& evidence) {
+    const std::size_t size = SizeOf(evidence);
+    if (size > max_bytes) return false;
+    max_bytes -= size;
+    out.push_back(evidence);
     return true;
   };
-  for (auto& [id, s] : endpoints_) {
-    Forget(s, now);
-    const auto own = OwnVerdict(now, id);
-    // Sound is told only to take back what was told before.
-    const bool bad = own && Bad(*own);
-    const bool told = s.told.version != 0 && Bad(s.told.verdict) && now < s.seen_at + kValid;
-    if ((bad && (!told || s.told.verdict != *own || now >= s.told_at + kTellAgain)) ||
-        (!bad && told && own)) {
-      Evidence& e = s.told;
-      e.author = settings_.self;
-      e.incarnation = self;
-      e.endpoint = id;
-      e.endpoint_start = listed_[id];
-      e.verdict = *own;
-      e.observations = static_cast<std::uint32_t>(s.seen.size());
-      e.version = ++version_;
-      e.valid = kValid;
-      s.told_at = now;
-      for (const Seen& seen : s.seen) s.seen_at = Bad(seen.verdict) == Bad(*own) ? seen.at : s.seen_at;
-      s.tell = often;
-    }
-    if (s.tell > 0 && now < s.seen_at + kValid) {
-      s.told.age = AtLeast(now - s.seen_at);
-      s.told.incarnation = self;
-      if (add(s.told)) --s.tell;
-    }
+  for (auto& [id, endpoint] : endpoints_) {
+    Expire(endpoint, now);
+    RefreshOwnEvidence(now, self, id, endpoint, sends);
+    if (endpoint.own_sends_left == 0 || now >= endpoint.last_observed + kEvidenceValid) continue;
+    endpoint.own.age = AtLeast(now - endpoint.last_observed);
+    endpoint.own.incarnation = self;
+    if (add(endpoint.own)) --endpoint.own_sends_left;
   }
-  for (auto& [id, s] : endpoints_) {
-    for (auto& [author, h] : s.heard) {
-      if (h.tell == 0 || !InForce(h, now)) continue;
-      if (h.tell == 1) h.tell = often + 1;  // It has just come.
-      Evidence e = h.evidence;
-      e.age = AtLeast(now - h.made);
-      if (!add(e)) return out;
-      if (--h.tell == 1) h.tell = 0;
+  for (auto& [id, endpoint] : endpoints_) {
+    for (auto& [author, remote] : endpoint.remote) {
+      if (!IsValid(remote, now)) continue;
+      if (std::exchange(remote.is_fresh, false)) remote.sends_left = sends;
+      if (remote.sends_left == 0) continue;
+      Evidence evidence = remote.evidence;
+      evidence.age = AtLeast(now - remote.made);
+      if (!add(evidence)) return out;
+      --remote.sends_left;
     }
   }
   return out;
 }
 
+// ---- status ----
+
+std::string OutlierConsensus::ReasonIgnored(const View& view, const Endpoint& endpoint, std::size_t bad,
+                                            Micros now) {
+  if (bad == 0 || view.ejected) return {};
+  if (view.own) return "seen here";
+  if (bad < kMinWitnesses) return "too few witnesses";
+  if (endpoint.remote_only_since && now >= *endpoint.remote_only_since + kRemoteOnlyLimit)
+    return "held long enough";
+  return "witnesses not trusted, or too many servers";
+}
+
 std::vector<OutlierConsensus::View> OutlierConsensus::Views(Micros now) {
   const std::set<std::string> ejected = EndpointsToEject(now);
   std::vector<View> out;
-  for (auto& [id, s] : endpoints_) {
-    View v{id, OwnVerdict(now, id), {}, ejected.contains(id), {}};
+  for (const auto& [id, endpoint] : endpoints_) {
+    View view{id, OwnVerdict(now, id), {}, ejected.contains(id), {}};
     std::size_t bad = 0;
-    for (const auto& [author, h] : s.heard) {
-      if (!InForce(h, now)) continue;
-      v.others.push_back(h.evidence);
-      v.others.back().age = now - h.made;
-      bad += Bad(h.evidence.verdict) ? 1 : 0;
-    }
-    if (bad > 0 && !v.ejected) {
-      v.ignored = v.own              ? "seen here"
-                  : bad < kWitnesses ? "too few witnesses"
-                  : s.remote_only_since && now >= *s.remote_only_since + kRemoteOnlyLimit
-                      ? "held long enough"
-                      : "witnesses not trusted, or too many servers";
+    for (const auto& [author, remote] : endpoint.remote) {
+      if (!IsValid(remote, now)) continue;
+      view.others.push_back(remote.evidence);
+      view.others.back().age = now - remote.made;
+      bad += IsBad(remote.evidence.verdict) ? 1 : 0;
     }
-    if (v.own || !v.others.empty()) out.push_back(std::move(v));
+    view.ignored = ReasonIgnored(view, endpoint, bad, now);
+    if (view.own || !view.others.empty()) out.push_back(std::move(view));
   }
   return out;
 }
--- a/src/fleet/outlier_consensus.h
+++ b/src/fleet/outlier_consensus.h
@@ -1,14 +1,19 @@
-// What the fleet makes of its endpoints. Each relay judges by what it saw itself, and tells it as evidence:
-// who, how many observations, how old, how long it holds. Five rules keep others' evidence from doing harm:
-//  - what was seen here goes before what others say, whichever way it points;
-//  - hearsay needs two witnesses at least, and more of them than of those who find the endpoint sound;
-//  - a endpoint is ejected on hearsay only for so long as a ping of our own takes; at most a stated part of
-//  the listed
-//    endpoints is, whatever is claimed;
-//  - evidence ends with its time, with its author's run, and with the run of the endpoint that it is about;
-//  - a witness that finds more than half of the endpoints bad speaks of its own link, and one that was often
-//  found wrong
-//    here is not heard for a while.
+// Outlier detection over the whole fleet. Each relay judges endpoints by what it observed itself and gossips
+// its verdicts as evidence: who, how many observations, how old, how long valid. Five rules keep remote
+// evidence from doing harm:
+//  - own observations take precedence over remote evidence, whichever way they point;
+//  - an ejection on remote evidence needs at least two witnesses, and more of them than witnesses that find
+//  the
+//    endpoint healthy;
+//  - an endpoint is ejected on remote evidence alone only for as long as an own health check takes, and at
+//  most a
+//    configured fraction of the listed endpoints is, whatever is claimed;
+//  - evidence ends with its validity, with its author's incarnation, and with the process of its endpoint;
+//  - a witness that finds more than half of the endpoints bad shows that its own link is, and one whose
+//  evidence was
+//    often disproved here is distrusted for a while.
+//
+// Deterministic and not thread-safe; see node.h. Bounded: at most 8,192 endpoints, 32 observations of each.
 #ifndef STOATRUN_FLEET_OUTLIER_CONSENSUS_H_
 #define STOATRUN_FLEET_OUTLIER_CONSENSUS_H_
 
@@ -19,88 +24,113 @@
 #include <optional>
 #include <set>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "base/fleet_client.h"
 #include "fleet/message.h"
 #include "fleet/types.h"
+#include "fleet/witness_reputation.h"
 
 namespace stoatrun::fleet {
 
+// The verdicts of this relay and of its peers on the listed endpoints.
 class OutlierConsensus {
  public:
+  // Counters since the start.
   struct Counts {
-    std::uint64_t heard = 0, stale_after = 0, contradicted = 0, ignored_witness = 0, capped = 0;
+    std::uint64_t heard = 0, stale = 0, contradicted = 0, ignored_witness = 0, capped = 0;
   };
-  struct View {  // For the operators.
+  // An endpoint, for the status call.
+  struct View {
     std::string endpoint;
     std::optional<HealthVerdict> own;
-    std::vector<Evidence> others;  // In force; with their age.
-    bool ejected = false;          // On hearsay.
-    std::string ignored;           // Why hearsay is not followed.
+    std::vector<Evidence> others;  // Valid ones, with their present age.
+    bool ejected = false;          // On remote evidence.
+    std::string ignored;           // Why remote evidence is not followed; empty: it is, or there is none.
+  };
+  // A peer whose evidence is ignored.
+  struct DistrustedWitness {
+    MemberId author = 0;
+    std::string reason;  // For the status call.
+    bool operator==(const DistrustedWitness&) const = default;
   };
 
   explicit OutlierConsensus(const Settings& settings) : settings_(settings) {}
 
-  // The endpoints that the present list holds, and when their processes started. Evidence on others is kept,
-  // not used.
+  // Sets the endpoints that the present endpoint list holds. Evidence on others is dropped, as is what
+  // concerns a former process of an endpoint.
   void SetEndpoints(const std::vector<FleetClient::ListedEndpoint>& endpoints);
-  // Something this relay saw of a endpoint: an attempt or a probe that went well, or what it met instead.
+  // This relay observed an endpoint: the outcome of an attempt or of a health check.
   void Observe(Micros now, const std::string& endpoint, HealthVerdict verdict);
+  // Evidence arrived. `transit`: upper bound on its datagram's time under way; nothing: unknown.
   void OnEvidence(Micros now, const Evidence& evidence, std::optional<Micros> transit);
-  // A run of `author` is ended: it can't stand for what it said.
+  // An incarnation of `author` has ended, and its evidence with it.
   void OnIncarnationEnded(MemberId author, const Incarnation& incarnation);
 
-  // Own evidence that is to be told, or told again, and others' that is to be passed on.
-  std::vector<Evidence> EvidenceToGossip(Micros now, const Incarnation& self, std::size_t room,
-                                         std::size_t fleet);
+  // Own evidence to send, or to send again, and remote evidence to pass on, within `max_bytes`. `self`: this
+  // relay's incarnation.
+  std::vector<Evidence> EvidenceToGossip(Micros now, const Incarnation& self, std::size_t max_bytes,
+                                         std::size_t fleet_size);
 
-  // What this relay saw itself lately, if that is enough to judge by.
+  // This relay's own verdict; nothing: it observed too little recently.
   std::optional<HealthVerdict> OwnVerdict(Micros now, const std::string& endpoint) const;
-  // Outliers to avoid because others say so. Ping at quota_templates of them: what is seen then goes before.
+  // Endpoints to eject on remote evidence. The caller checks the health of each: that result takes
+  // precedence.
   std::set<std::string> EndpointsToEject(Micros now);
+  // All endpoints of which there is a verdict or evidence.
   std::vector<View> Views(Micros now);
-  // Authors that are not heard now, and why.
-  std::vector<std::pair<MemberId, std::string>> Distrusted(Micros now) const;
+  // The peers whose evidence is ignored now.
+  std::vector<DistrustedWitness> Distrusted(Micros now) const;
+  // Counters since the start.
   const Counts& GetCounts() const { return counts_; }
 
  private:
-  struct Seen {
+  struct Observation {
     Micros at{0};
     HealthVerdict verdict = HealthVerdict::kHealthy;
   };
-  struct Heard {
+  // How often a piece of evidence is still to be sent.
+  struct RemoteEvidence {
     Evidence evidence;
-    Micros made{0};  // By our clock, at the earliest.
-    unsigned tell = 0;
+    Micros made{0};         // By this relay's clock, at the earliest.
+    bool is_fresh = false;  // Not passed on yet; `sends_left` is set when it first is.
+    unsigned sends_left = 0;
+  };
+  struct Endpoint {
+    std::deque<Observation> observations;
+    std::map<MemberId, RemoteEvidence> remote;  // By author.
+    Evidence own;                               // As it was gossiped last; version 0: never.
+    Micros own_made{0};
+    Micros last_observed{0};  // The observation that `own` rests on: its age counts from there.
+    unsigned own_sends_left = 0;
+    std::optional<Micros> remote_only_since;  // The start of the last ejection on remote evidence alone.
   };
-  struct Server {
-    std::deque<Seen> seen;
-    std::map<MemberId, Heard> heard;  // By author.
-    Evidence told;                    // Our own, as it was told last.
-    Micros told_at{0};
-    Micros seen_at{0};  // The observation that it rests on: its age counts from there.
-    unsigned tell = 0;
-    std::optional<Micros> remote_only_since;
+  // Trusted witnesses of an endpoint.
+  struct Votes {
+    std::size_t bad = 0, healthy = 0;
   };
-  struct Reputation {
-    unsigned misreports = 0;
-    Micros until{0};
-    std::set<std::pair<std::string, std::uint64_t>>
-        counted;  // Evidence that was found wrong, once quota_templates.
+  struct EjectionCandidate {
+    std::size_t witnesses = 0;
+    std::string endpoint;
   };
 
-  bool InForce(const Heard& h, Micros now) const;
-  bool IsListed(const std::string& endpoint, std::int64_t start) const;
-  bool BadLink(MemberId author, Micros now) const;
-  static bool Bad(HealthVerdict v) { return v != HealthVerdict::kHealthy; }
-  void Forget(Server& s, Micros now) const;
+  bool IsValid(const RemoteEvidence& remote, Micros now) const;
+  bool HasBadLink(MemberId author, Micros now) const;
+  void Expire(Endpoint& endpoint, Micros now) const;
+  void CountMisreports(Micros now, const std::string& id, const Endpoint& endpoint);
+  Votes CountVotes(const Endpoint& endpoint, std::int64_t started, const std::set<MemberId>& distrusted,
+                   Micros now);
+  bool IsDecidedLocally(const std::string& id, const Endpoint& endpoint, Micros now) const;
+  static bool MayEjectRemotely(Endpoint& endpoint, const Votes& votes, bool decided_locally, Micros now);
+  std::set<std::string> MostWitnessed(std::vector<EjectionCandidate> candidates);
+  void RefreshOwnEvidence(Micros now, const Incarnation& self, const std::string& id, Endpoint& endpoint,
+                          unsigned sends);
+  static std::string ReasonIgnored(const View& view, const Endpoint& endpoint, std::size_t bad, Micros now);
 
   Settings settings_;
-  std::map<std::string, std::int64_t> listed_;
-  std::map<std::string, Server> endpoints_;
-  std::map<MemberId, Reputation> reputation_;
+  std::map<std::string, std::int64_t> listed_;  // The start of each endpoint's process, by id.
+  std::map<std::string, Endpoint> endpoints_;
+  WitnessReputation reputation_;
   std::uint64_t version_ = 0;
   Counts counts_;
 };
--- a/tests/fleet/modules_test.cpp
+++ b/tests/fleet/modules_test.cpp
@@ -426,7 +426,7 @@
     j.OnEvidence(kStart, Bad(a, "s3", 1), seconds(7));
   }
   CHECK(j.EndpointsToEject(kStart) == std::set<std::string>{"s1"});
-  CHECK(j.GetCounts().stale_after == 6);
+  CHECK(j.GetCounts().stale == 6);
 }
 
 TEST_CASE("no more than the stated part is avoided on hearsay, whatever is claimed") {
@@ -462,7 +462,7 @@
   j.OnEvidence(now, Bad(4, "s9", 9), Micros(0));
   j.OnEvidence(now, Bad(5, "s9", 1), Micros(0));
   CHECK(j.EndpointsToEject(now).empty());
-  CHECK(j.Distrusted(now) == std::vector<std::pair<MemberId, std::string>>{{4, "was found wrong here"}});
+  CHECK(j.Distrusted(now) == std::vector<OutlierConsensus::DistrustedWitness>{{4, "was found wrong here"}});
 }
 
 // ---- the wire ----
