--- a/src/base/background_worker.cpp
+++ b/src/base/background_worker.cpp
@@ -9,21 +9,25 @@
 
 namespace stoatrun {
 
-struct BackgroundWorker::Shared {
-  std::mutex guard;
-  std::condition_variable work, rest;
+// Everything but `thread` is guarded by `mutex`; `thread` belongs to the loop's thread.
+struct BackgroundWorker::State {
+  std::mutex mutex;
+  std::condition_variable job_posted, job_ended;
   std::deque<Job> jobs;
   std::vector<Reply> replies;
-  bool running = false, stop = false, given_up = false;
-  // Sending to a loop that is gone would be a use after its end: taken back under the guard.
+  bool running = false, stop = false, abandoned = false;
+  // Where to signal replies; null once the worker is being destroyed, as its loop may then be gone.
   struct ev_loop* loop = nullptr;
   ev_async* async = nullptr;
   std::thread thread;
 
+  bool HasNoJobs() const { return jobs.empty() && !running; }
+
+  // The thread's function.
   void Run() {
-    std::unique_lock lock(guard);
+    std::unique_lock lock(mutex);
     for (;;) {
-      work.wait(lock, [this] { return stop || !jobs.empty(); });
+      job_posted.wait(lock, [this] { return stop || !jobs.empty(); });
       if (stop) return;
       const Job job = std::move(jobs.front());
       jobs.pop_front();
@@ -34,35 +38,35 @@
       running = false;
       if (reply) replies.push_back(std::move(reply));
       if (async != nullptr) ev_async_send(loop, async);
-      rest.notify_all();
+      job_ended.notify_all();
     }
   }
 };
 
 BackgroundWorker::BackgroundWorker(struct ev_loop* loop, std::size_t capacity)
-    : loop_(loop), capacity_(capacity), shared_(std::make_shared<Shared>()) {
+    : loop_(loop), capacity_(capacity), state_(std::make_shared<State>()) {
   ev_async_init(&async_, OnAsync);
   async_.data = this;
   ev_async_start(loop_, &async_);
-  shared_->loop = loop_;
-  shared_->async = &async_;
+  state_->loop = loop_;
+  state_->async = &async_;
 }
 
 BackgroundWorker::~BackgroundWorker() {
-  bool given_up = false;
+  bool abandoned = false;
   {
-    const std::scoped_lock lock(shared_->guard);
-    shared_->stop = true;
-    shared_->jobs.clear();
-    shared_->async = nullptr;
-    given_up = shared_->given_up;
+    const std::scoped_lock lock(state_->mutex);
+    state_->stop = true;
+    state_->jobs.clear();
+    state_->async = nullptr;
+    abandoned = state_->abandoned;
   }
-  shared_->work.notify_all();
-  if (shared_->thread.joinable()) {
-    if (given_up) {
-      shared_->thread.detach();
+  state_->job_posted.notify_all();
+  if (state_->thread.joinable()) {
+    if (abandoned) {
+      state_->thread.detach();
     } else {
-      shared_->thread.join();
+      state_->thread.join();
     }
   }
   ev_async_stop(loop_, &async_);
@@ -70,52 +74,51 @@
 
 bool BackgroundWorker::Post(Job job) {
   {
-    const std::scoped_lock lock(shared_->guard);
-    if (shared_->jobs.size() >= capacity_ || shared_->stop) return false;
-    shared_->jobs.push_back(std::move(job));
-    if (!shared_->thread.joinable()) shared_->thread = std::thread([s = shared_] { s->Run(); });
+    const std::scoped_lock lock(state_->mutex);
+    if (state_->jobs.size() >= capacity_ || state_->stop) return false;
+    state_->jobs.push_back(std::move(job));
+    if (!state_->thread.joinable()) state_->thread = std::thread([state = state_] { state->Run(); });
   }
-  shared_->work.notify_one();
+  state_->job_posted.notify_one();
   return true;
 }
 
 bool BackgroundWorker::IsIdle() const {
-  const std::scoped_lock lock(shared_->guard);
-  return shared_->jobs.empty() && !shared_->running && shared_->replies.empty();
+  const std::scoped_lock lock(state_->mutex);
+  return state_->HasNoJobs() && state_->replies.empty();
 }
 
 bool BackgroundWorker::HasNoJobs() const {
-  const std::scoped_lock lock(shared_->guard);
-  return shared_->jobs.empty() && !shared_->running;
+  const std::scoped_lock lock(state_->mutex);
+  return state_->HasNoJobs();
 }
 
-bool BackgroundWorker::Finish(std::chrono::milliseconds bound) {
-  const auto end = std::chrono::steady_clock::now() + bound;
+bool BackgroundWorker::Finish(std::chrono::milliseconds timeout) {
+  const auto end = std::chrono::steady_clock::now() + timeout;
   while (!IsIdle()) {
     {
-      std::unique_lock lock(shared_->guard);
-      const bool rested = shared_->rest.wait_until(lock, end, [this] {
-        return (shared_->jobs.empty() && !shared_->running) || !shared_->replies.empty();
-      });
-      if (!rested) {
-        shared_->given_up = true;
+      std::unique_lock lock(state_->mutex);
+      const bool progress = state_->job_ended.wait_until(
+          lock, end, [this] { return state_->HasNoJobs() || !state_->replies.empty(); });
+      if (!progress) {
+        state_->abandoned = true;
         return false;
       }
     }
-    RunReplies();  // Which may post more.
+    RunReplies();  // Which may post more jobs.
   }
   return true;
 }
 
-void BackgroundWorker::OnAsync(struct ev_loop* /*loop*/, ev_async* w, int /*events*/) {
-  static_cast<BackgroundWorker*>(w->data)->RunReplies();
+void BackgroundWorker::OnAsync(struct ev_loop* /*loop*/, ev_async* watcher, int /*events*/) {
+  static_cast<BackgroundWorker*>(watcher->data)->RunReplies();
 }
 
 void BackgroundWorker::RunReplies() {
   std::vector<Reply> replies;
   {
-    const std::scoped_lock lock(shared_->guard);
-    replies.swap(shared_->replies);
+    const std::scoped_lock lock(state_->mutex);
+    replies.swap(state_->replies);
   }
   for (const Reply& reply : replies) reply();
 }
--- a/src/base/fleet_client.h
+++ b/src/base/fleet_client.h
@@ -51,18 +51,25 @@
 
   // Counts an incoming connection. Each handle is ended exactly once.
   virtual ConnectionHandle BeginConnection(std::size_t class_index, std::string_view group) = 0;
+  // Ends the count and releases what the handle reserves.
   virtual void EndConnection(ConnectionHandle& handle, ConnectionOutcome outcome) = 0;
   // Reserves a unit of the group's connection quota until EndConnection. False: the quota is exhausted.
   virtual bool TryReserveQuota(ConnectionHandle& handle, std::string_view group) = 0;
+  // The quotas over which this proxy holds more than is allowed now.
   virtual std::vector<ExcessReservation> ExcessReservations() = 0;
 
-  // Each acquires one unit of a rate quota of the whole fleet; true where no such quota is configured.
+  // Acquires one unit of the fleet's rate quota for retries; true where no such quota is configured.
   virtual bool TryAcquireRetry() = 0;
+  // The same for health checks.
   virtual bool TryAcquireProbe() = 0;
+  // The same for requests to an endpoint that is warming up; each such endpoint has a quota of its own.
   virtual bool TryAcquireSlowStartSend(std::string_view endpoint) = 0;
 
+  // A request was sent to the endpoint.
   virtual void OnRequestSent(std::string_view endpoint) = 0;
+  // An attempt or a health check showed the endpoint's condition.
   virtual void OnEndpointObserved(std::string_view endpoint, EndpointCondition condition) = 0;
+  // All endpoints that may be used now, after each update of the list.
   virtual void OnEndpointsListed(const std::vector<ListedEndpoint>& endpoints) = 0;
 
   // The hints that changed since the last call. `warming_up`: endpoints that started recently.
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -14,53 +14,56 @@
 namespace stoatrun {
 namespace {
 
-constexpr std::array<std::string_view, 4> kNames{"debug", "info", "warn", "error"};
-std::atomic<Level> lowest = Level::kInfo;
-std::atomic<LogFormat> form = LogFormat::kText;
+constexpr std::array<std::string_view, 4> kLevelNames{"debug", "info", "warn", "error"};
+std::atomic<Level> lowest_level = Level::kInfo;
+std::atomic<LogFormat> log_format = LogFormat::kText;
 
-// Milliseconds of Unix time lead each record: seconds and milliseconds of the pattern, written together.
+// Each record begins with Unix time in milliseconds: the pattern's seconds and milliseconds, written
+// together.
 constexpr const char* kTextPattern = "%E%e %v";
 constexpr const char* kJsonPattern = R"({"time_ms":%E%e,%v})";
 
+const char* PatternOf(LogFormat format) { return format == LogFormat::kJson ? kJsonPattern : kTextPattern; }
+
 spdlog::logger& Logger() {
   static const std::shared_ptr<spdlog::logger> logger = [] {
     auto made =
         std::make_shared<spdlog::logger>("stoatrun", std::make_shared<spdlog::sinks::stderr_sink_mt>());
     made->set_level(spdlog::level::trace);
     made->flush_on(spdlog::level::trace);
-    made->set_pattern(form.load() == LogFormat::kJson ? kJsonPattern : kTextPattern);
+    made->set_pattern(PatternOf(log_format.load()));
     return made;
   }();
   return *logger;
 }
 
-// The length of the UTF-8 sequence that `text` begins with; 0: it begins with none.
+// The length in bytes of the UTF-8 sequence that `text` begins with; 0 if it begins with none (RFC 3629).
 std::size_t SequenceLength(std::string_view text) {
-  const auto byte = [&](std::size_t k) { return static_cast<unsigned char>(text[k]); };
+  const auto byte = [&](std::size_t index) { return static_cast<unsigned char>(text[index]); };
   const unsigned char first = byte(0);
   const std::size_t size = first < 0x80 ? 1 : first >= 0xf0 ? 4 : first >= 0xe0 ? 3 : 2;
   if (size == 1) return 1;
   if (first < 0xc2 || first > 0xf4 || text.size() < size) return 0;
-  for (std::size_t k = 1; k < size; ++k) {
-    if ((byte(k) & 0xc0) != 0x80) return 0;
+  for (std::size_t index = 1; index < size; ++index) {
+    if ((byte(index) & 0xc0) != 0x80) return 0;
   }
   const bool overlong = (first == 0xe0 && byte(1) < 0xa0) || (first == 0xf0 && byte(1) < 0x90);
-  const bool beyond = (first == 0xed && byte(1) > 0x9f) || (first == 0xf4 && byte(1) > 0x8f);
-  return overlong || beyond ? 0 : size;
+  const bool out_of_range = (first == 0xed && byte(1) > 0x9f) || (first == 0xf4 && byte(1) > 0x8f);
+  return overlong || out_of_range ? 0 : size;
 }
 
 }  // namespace
 
-void SetLogLevel(Level level) { lowest = level; }
-bool IsLogged(Level level) { return level >= lowest.load(std::memory_order_relaxed); }
+void SetLogLevel(Level level) { lowest_level = level; }
+bool IsLogged(Level level) { return level >= lowest_level.load(std::memory_order_relaxed); }
 
-void SetLogFormat(LogFormat to) {
-  if (form.exchange(to) != to) Logger().set_pattern(to == LogFormat::kJson ? kJsonPattern : kTextPattern);
+void SetLogFormat(LogFormat format) {
+  if (log_format.exchange(format) != format) Logger().set_pattern(PatternOf(format));
 }
 
 std::optional<Level> ParseLogLevel(std::string_view name) {
-  for (std::size_t k = 0; k < kNames.size(); ++k) {
-    if (kNames[k] == name) return static_cast<Level>(k);
+  for (std::size_t index = 0; index < kLevelNames.size(); ++index) {
+    if (kLevelNames[index] == name) return static_cast<Level>(index);
   }
   return std::nullopt;
 }
@@ -83,26 +86,28 @@
   }
 }
 
-LogLine::LogLine(Level level, std::string_view words)
-    : level_(level), on_(IsLogged(level)), json_(form.load(std::memory_order_relaxed) == LogFormat::kJson) {
-  if (!on_) return;
-  const std::string_view name = kNames[static_cast<std::size_t>(level_)];
+LogLine::LogLine(Level level, std::string_view event)
+    : level_(level),
+      enabled_(IsLogged(level)),
+      json_(log_format.load(std::memory_order_relaxed) == LogFormat::kJson) {
+  if (!enabled_) return;
+  const std::string_view name = kLevelNames[static_cast<std::size_t>(level_)];
   if (json_) {
     fmt::format_to(std::back_inserter(text_), R"("level":"{}","event":")", name);
-    AppendJsonEscaped(text_, words);
+    AppendJsonEscaped(text_, event);
     text_.push_back('"');
   } else {
-    fmt::format_to(std::back_inserter(text_), "{} {}", name, words);
+    fmt::format_to(std::back_inserter(text_), "{} {}", name, event);
   }
 }
 
 LogLine::~LogLine() {
-  if (!on_) return;
+  if (!enabled_) return;
   Logger().log(spdlog::level::info, spdlog::string_view_t(text_.data(), text_.size()));
 }
 
 LogLine& LogLine::Field(std::string_view name, std::string_view value) {
-  if (!on_) return *this;
+  if (!enabled_) return *this;
   if (json_) {
     fmt::format_to(std::back_inserter(text_), R"(,"{}":")", name);
     AppendJsonEscaped(text_, value);
@@ -113,36 +118,36 @@
   return *this;
 }
 
-LogLine& LogLine::Flag(std::string_view word, bool there) {
-  if (!on_) return *this;
+LogLine& LogLine::Flag(std::string_view name, bool set) {
+  if (!enabled_) return *this;
   if (json_) {
-    fmt::format_to(std::back_inserter(text_), R"(,"{}":{})", word, there);
-  } else if (there) {
-    fmt::format_to(std::back_inserter(text_), " {}", word);
+    fmt::format_to(std::back_inserter(text_), R"(,"{}":{})", name, set);
+  } else if (set) {
+    fmt::format_to(std::back_inserter(text_), " {}", name);
   }
   return *this;
 }
 
 LogLine& LogLine::Reason(std::string_view reason) {
-  if (!on_) return *this;
+  if (!enabled_) return *this;
   if (json_) return Field("why", reason);
   fmt::format_to(std::back_inserter(text_), ": {}", reason);
   return *this;
 }
 
 bool LogRateLimiter::Allows(Micros now) {
-  if (now >= from_ + std::chrono::seconds(1)) {
-    from_ = now;
+  if (now >= window_start_ + std::chrono::seconds(1)) {
+    window_start_ = now;
     written_ = 0;
   }
-  if (written_ < kASecond) {
+  if (written_ < kMaxPerSecond) {
     ++written_;
     return true;
   }
-  ++left_out_;
+  ++suppressed_;
   return false;
 }
 
-std::uint64_t LogRateLimiter::TakeSuppressed() { return std::exchange(left_out_, 0); }
+std::uint64_t LogRateLimiter::TakeSuppressed() { return std::exchange(suppressed_, 0); }
 
 }  // namespace stoatrun
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,8 +1,8 @@
-// The log: one record an entry on standard error, filtered by level, as text or as one JSON object a line.
+// The log: one record a line on standard error, filtered by level, as text or as one JSON object a line.
 //
-// A record has words that on-call staff search for, and named fields. In text the fields follow the words as
-// ` name=value`; in JSON the words are `event` and each field has its name. Writing never throws. Records may
-// come from several threads; a LogLine itself belongs to one.
+// A record has an event, fixed words that on-call staff search for, and named fields. In text the fields
+// follow the event as ` name=value`; in JSON the event is the field `event` and each field has its own name.
+// All functions are thread-safe and don't throw; a LogLine itself belongs to one thread.
 #ifndef STOATRUN_BASE_LOG_H_
 #define STOATRUN_BASE_LOG_H_
 
@@ -18,29 +18,38 @@
 
 namespace stoatrun {
 
+// The severity of a record, in rising order.
 enum class Level { kDebug, kInfo, kWarn, kError };
+// The form in which records are written.
 enum class LogFormat { kText, kJson };
 
+// Sets the lowest level that is written; kInfo at first.
 void SetLogLevel(Level level);
-void SetLogFormat(LogFormat form);
+// Sets the form of all records from here on; kText at first.
+void SetLogFormat(LogFormat format);
+// Are records of this level written?
 bool IsLogged(Level level);
+// The level that configuration calls `name` (debug, info, warn, error); nothing for another name.
 std::optional<Level> ParseLogLevel(std::string_view name);
 
-// Appends `text` as the inside of a JSON string. Bytes that are not UTF-8 become U+FFFD, so that a record
-// stays readable whatever a caller sent.
+// Appends `text` escaped as the inside of a JSON string. A byte that is not part of valid UTF-8 becomes
+// U+FFFD, so that a record stays readable whatever a client sent.
 void AppendJsonEscaped(fmt::memory_buffer& out, std::string_view text);
 
-// Collects one record and writes it when it goes. Nothing is formatted for a level that is not written.
+// Collects one record and writes it when it is destroyed. Nothing is formatted for a level that is not
+// written.
 class LogLine {
  public:
-  LogLine(Level level, std::string_view words);
+  // `event`: fixed words; what varies belongs into fields.
+  LogLine(Level level, std::string_view event);
   ~LogLine();
   LogLine(const LogLine&) = delete;
   LogLine& operator=(const LogLine&) = delete;
 
+  // Adds an integer.
   template <std::integral T>
   LogLine& Field(std::string_view name, T value) {
-    if (!on_) return *this;
+    if (!enabled_) return *this;
     if (json_) {
       fmt::format_to(std::back_inserter(text_), R"(,"{}":{})", name, value);
     } else {
@@ -48,31 +57,36 @@
     }
     return *this;
   }
+  // Adds a text, which should hold no blanks.
   LogLine& Field(std::string_view name, std::string_view value);
+  // The same, and not the overload for integers.
   LogLine& Field(std::string_view name, const char* value) { return Field(name, std::string_view(value)); }
-  // A word that is there or not: ` word` in text, `"word":true` or `false` in JSON.
-  LogLine& Flag(std::string_view word, bool there);
-  // The reason, which may hold blanks: `: reason` in text, `"why"` in JSON.
+  // Adds a flag: ` name` in text if it is set, `"name":true` or `false` in JSON.
+  LogLine& Flag(std::string_view name, bool set);
+  // Adds the reason, which may hold blanks: `: reason` in text, the field `why` in JSON.
   LogLine& Reason(std::string_view reason);
 
  private:
   const Level level_;
-  const bool on_, json_;
+  const bool enabled_, json_;
   fmt::memory_buffer text_;
 };
 
-// Callers at full speed must not buy CPU by what is logged of them: of entries of one kind only a few a
-// second are written, and the next one tells how many were left out. Counters count them all.
+// Limits records of one kind to a few a second, so that clients can't consume CPU by what is logged about
+// them. The next record that is written reports how many were suppressed; counters count the events
+// themselves. Not thread-safe.
 class LogRateLimiter {
  public:
+  // May a record be written now? If not, it counts as suppressed.
   bool Allows(Micros now);
+  // The number suppressed since the last call.
   std::uint64_t TakeSuppressed();
 
  private:
-  static constexpr int kASecond = 5;
-  Micros from_{0};
-  int written_ = 0;
-  std::uint64_t left_out_ = 0;
+  static constexpr int kMaxPerSecond = 5;
+  Micros window_start_{0};
+  int written_ = 0;  // In the present window of a second.
+  std::uint64_t suppressed_ = 0;
 };
 
 }  // namespace stoatrun
--- a/src/base/name.h
+++ b/src/base/name.h
@@ -1,4 +1,4 @@
-// The form of names on the wire: ids, groups, and what the operator file names.
+// The syntax of names on the wire: ids, groups, and what the operator file names. Pure.
 #ifndef STOATRUN_BASE_NAME_H_
 #define STOATRUN_BASE_NAME_H_
 
@@ -8,15 +8,19 @@
 
 namespace stoatrun {
 
+// The longest name, in bytes.
 inline constexpr std::size_t kMaxName = 128;
 
-// Letters, digits and -_.:/, at least one and at most `most`.
-inline bool IsName(std::string_view text, std::size_t most = kMaxName) {
-  const auto of_name = [](char c) {
-    return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' ||
-           c == '_' || c == '.' || c == ':' || c == '/';
-  };
-  return !text.empty() && text.size() <= most && std::all_of(text.begin(), text.end(), of_name);
+// Is `character` allowed in a name? The check doesn't depend on the locale.
+inline bool IsNameCharacter(char character) {
+  constexpr std::string_view kPunctuation = "-_.:/";
+  return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'z') ||
+         (character >= 'A' && character <= 'Z') || kPunctuation.find(character) != std::string_view::npos;
+}
+
+// Does `text` consist of 1 to `max_size` letters, digits and -_.:/ ?
+inline bool IsName(std::string_view text, std::size_t max_size = kMaxName) {
+  return !text.empty() && text.size() <= max_size && std::all_of(text.begin(), text.end(), IsNameCharacter);
 }
 
 }  // namespace stoatrun
--- a/src/base/tcp_connection.cpp
+++ b/src/base/tcp_connection.cpp
@@ -17,16 +17,17 @@
 namespace stoatrun {
 namespace {
 
-constexpr std::size_t kDropSize = std::size_t{128} * 1024;
-// More than a socket's buffer holds comes from a peer that never stops.
-constexpr int kMostDrops = 64;
-// A request must not be sent on 0.3 s after its client has left.
-constexpr Micros kLookEvery = std::chrono::milliseconds(100);
-
-// What is dropped goes here; the kernel copies nothing into it.
-ssize_t DropSome(int fd) {
-  static std::array<char, kDropSize> dropped;
-  return recv(fd, dropped.data(), dropped.size(), MSG_TRUNC);
+constexpr std::size_t kDiscardSize = std::size_t{128} * 1024;
+// Together more than a socket's buffer holds: what exceeds it comes from a peer that never stops.
+constexpr int kMaxDiscards = 64;
+constexpr std::size_t kMaxGather = 8;  // Pieces of one writev; further ones are queued.
+// A request must not be forwarded 0.3 s after its client has disconnected.
+constexpr Micros kPeerResetInterval = std::chrono::milliseconds(100);
+
+// Discards some of what the socket holds: MSG_TRUNC makes the kernel drop the bytes without copying them.
+ssize_t DiscardSome(int fd) {
+  static std::array<char, kDiscardSize> unused;
+  return recv(fd, unused.data(), unused.size(), MSG_TRUNC);
 }
 
 }  // namespace
@@ -47,22 +48,22 @@
 }
 
 void DiscardUnreadInput(int fd) {
-  for (int k = 0; k < kMostDrops && DropSome(fd) > 0;) ++k;
+  for (int count = 0; count < kMaxDiscards && DiscardSome(fd) > 0;) ++count;
 }
 
 TcpConnection::TcpConnection(EventLoop& loop, TcpConnectionHandler& handler, SlotId id)
     : loop_(loop), handler_(handler), id_(id), peer_reset_check_(loop.timers, [this] { CheckPeerReset(); }) {
-  ev_init(&io_, OnIo);
-  io_.data = this;
+  ev_init(&watcher_, OnIo);
+  watcher_.data = this;
 }
 
 TcpConnection::~TcpConnection() { Close(); }
 
 void TcpConnection::Adopt(int fd) {
   fd_ = fd;
-  const int on = 1;
-  setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  Watch();
+  const int enabled = 1;
+  setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+  UpdateWatcher();
 }
 
 bool TcpConnection::Connect(const Address& address) {
@@ -78,198 +79,205 @@
   return true;
 }
 
-void TcpConnection::Consume(std::size_t n) {
-  n = std::min(n, size_);
-  if (n == 0) return;
-  std::memmove(in_.get(), in_.get() + n, size_ - n);
-  size_ -= n;
-  Watch();
+void TcpConnection::Consume(std::size_t size) {
+  size = std::min(size, input_size_);
+  if (size == 0) return;
+  std::memmove(input_.get(), input_.get() + size, input_size_ - size);
+  input_size_ -= size;
+  UpdateWatcher();
 }
 
 void TcpConnection::DiscardInput() {
-  dropping_ = true;
-  in_.reset();
-  size_ = 0;
+  discarding_ = true;
+  input_.reset();
+  input_size_ = 0;
   SetReading(true);
 }
 
 void TcpConnection::ReadNow() {
-  if (!IsUp() || broken_ || in_ended_) return;
-  if (reading_ && size_ < kInSize) return ReadSome();
+  if (!IsUp() || broken_ || peer_finished_) return;
+  if (reading_ && input_size_ < kInputCapacity) return ReadSome();
   CheckPeerReset();
 }
 
-void TcpConnection::SetReading(bool on) {
-  reading_ = on;
-  Watch();
+void TcpConnection::SetReading(bool enabled) {
+  reading_ = enabled;
+  UpdateWatcher();
 }
 
 void TcpConnection::Write(std::initializer_list<std::string_view> pieces) {
-  if (!IsOpen() || finish_ || broken_) return;
+  if (!IsOpen() || finish_requested_ || broken_) return;
   std::size_t written = 0;
   if (QueuedBytes() == 0 && !connecting_) {
-    std::array<iovec, 8> parts{};
+    std::array<iovec, kMaxGather> parts{};
     std::size_t count = 0;
     for (const std::string_view piece : pieces) {
       if (count < parts.size()) parts[count++] = {const_cast<char*>(piece.data()), piece.size()};
     }
-    const ssize_t n = writev(fd_, parts.data(), static_cast<int>(count));
-    if (n >= 0) {
-      written = static_cast<std::size_t>(n);
+    const ssize_t result = writev(fd_, parts.data(), static_cast<int>(count));
+    if (result >= 0) {
+      written = static_cast<std::size_t>(result);
     } else if (errno != EAGAIN && errno != EINTR) {
-      Break();
+      ReportResetLater();
       return;
     }
   }
   for (std::string_view piece : pieces) {
     const std::size_t done = std::min(written, piece.size());
     written -= done;
-    out_ += piece.substr(done);
+    output_ += piece.substr(done);
   }
-  Watch();
+  UpdateWatcher();
 }
 
 void TcpConnection::Finish() {
-  finish_ = true;
+  finish_requested_ = true;
   if (IsUp() && QueuedBytes() == 0) Flush();
 }
 
 void TcpConnection::Close() {
   if (fd_ < 0) return;
-  ev_io_stop(loop_.native_handle(), &io_);
-  ev_clear_pending(loop_.native_handle(), &io_);
+  ev_io_stop(loop_.native_handle(), &watcher_);
+  ev_clear_pending(loop_.native_handle(), &watcher_);
   peer_reset_check_.Cancel();
-  if (dropping_ && !broken_) DiscardUnreadInput(fd_);
+  if (discarding_ && !broken_) DiscardUnreadInput(fd_);
   close(fd_);
   fd_ = -1;
 }
 
 void TcpConnection::Reset() {
   if (fd_ < 0) return;
-  const linger hard{1, 0};
-  setsockopt(fd_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
-  dropping_ = false;  // Its bytes may go unread.
+  const linger reset_on_close{1, 0};
+  setsockopt(fd_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
+  discarding_ = false;  // A reset may follow unread bytes.
   Close();
 }
 
-// Writes fail in the middle of what the relay does; the break is told from the loop, where a turn begins.
-void TcpConnection::Break() {
+void TcpConnection::StopWatching() {
   broken_ = true;
   peer_reset_check_.Cancel();
-  ev_io_stop(loop_.native_handle(), &io_);
-  ev_feed_event(loop_.native_handle(), &io_, EV_CUSTOM);
+  ev_io_stop(loop_.native_handle(), &watcher_);
+}
+
+void TcpConnection::ReportReset() {
+  StopWatching();
+  handler_.OnEnd(id_, ConnectionEnd::kReset);
+}
+
+// A write fails in the middle of what its caller does, so the reset is reported by a callback of the loop.
+void TcpConnection::ReportResetLater() {
+  StopWatching();
+  ev_feed_event(loop_.native_handle(), &watcher_, EV_CUSTOM);
+}
+
+int TcpConnection::WantedEvents() const {
+  if (connecting_) return EV_WRITE;
+  const bool read = reading_ && !peer_finished_ && input_size_ < kInputCapacity;
+  return (read ? EV_READ : 0) | (QueuedBytes() > 0 ? EV_WRITE : 0);
 }
 
-void TcpConnection::Watch() {
+void TcpConnection::UpdateWatcher() {
   if (broken_ || !IsOpen()) return;
-  const int wanted = connecting_ ? EV_WRITE
-                                 : (reading_ && !in_ended_ && size_ < kInSize ? EV_READ : 0) |
-                                       (QueuedBytes() > 0 ? EV_WRITE : 0);
-  if (wanted != 0 || in_ended_) {
+  const int wanted = WantedEvents();
+  if (wanted != 0 || peer_finished_) {
     peer_reset_check_.Cancel();
   } else if (!peer_reset_check_.IsSet()) {
-    peer_reset_check_.Set(loop_.Now() + kLookEvery);
+    peer_reset_check_.Set(loop_.Now() + kPeerResetInterval);
   }
-  if (ev_is_active(&io_) && (io_.events & (EV_READ | EV_WRITE)) == wanted) return;
-  ev_io_stop(loop_.native_handle(), &io_);
+  if (ev_is_active(&watcher_) && (watcher_.events & (EV_READ | EV_WRITE)) == wanted) return;
+  ev_io_stop(loop_.native_handle(), &watcher_);
   if (wanted == 0) return;
-  ev_io_set(&io_, fd_, wanted);
-  ev_io_start(loop_.native_handle(), &io_);
+  ev_io_set(&watcher_, fd_, wanted);
+  ev_io_start(loop_.native_handle(), &watcher_);
 }
 
-// The loop tells of a peer's end only to who reads or writes. A full buffer or a reading that is held back
-// does neither, and a client that sent much and left, or a peer that reset, would stand for as long as that
-// lasts.
+// The event loop reports a peer's end only while the socket is watched. With a full buffer or reading
+// disabled it is not, and a client that disconnected or a peer that reset would go unnoticed for as long as
+// that lasts.
 void TcpConnection::CheckPeerReset() {
-  pollfd now{fd_, POLLRDHUP, 0};
-  const bool known = poll(&now, 1, 0) > 0;
-  if (known && (now.revents & POLLERR) != 0) {
-    broken_ = true;
-    peer_reset_check_.Cancel();
-    ev_io_stop(loop_.native_handle(), &io_);
-    handler_.OnEnd(id_, ConnectionEnd::kReset);
-    return;
-  }
-  Watch();
-  if (known && (now.revents & (POLLRDHUP | POLLHUP)) != 0 && !std::exchange(leaving_, true)) {
+  pollfd state{fd_, POLLRDHUP, 0};
+  const bool has_events = poll(&state, 1, 0) > 0;
+  if (has_events && (state.revents & POLLERR) != 0) return ReportReset();
+  UpdateWatcher();
+  if (has_events && (state.revents & (POLLRDHUP | POLLHUP)) != 0 &&
+      !std::exchange(peer_closing_reported_, true)) {
     handler_.OnPeerClosing(id_);
   }
 }
 
-void TcpConnection::OnIo(struct ev_loop* /*loop*/, ev_io* w, int events) {
-  static_cast<TcpConnection*>(w->data)->Ready(events);
+void TcpConnection::OnIo(struct ev_loop* /*loop*/, ev_io* watcher, int events) {
+  static_cast<TcpConnection*>(watcher->data)->HandleIo(events);
 }
 
-void TcpConnection::Ready(int events) {
+void TcpConnection::HandleIo(int events) {
   if (broken_) {
     handler_.OnEnd(id_, ConnectionEnd::kReset);
     return;
   }
-  if (connecting_) {
-    int error = 0;
-    socklen_t size = sizeof error;
-    if (getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0) {
-      broken_ = true;
-      handler_.OnEnd(id_, ConnectionEnd::kReset);
-      return;
-    }
-    connecting_ = false;
-    Watch();
-    handler_.OnConnected(id_);
-    if (IsOpen() && QueuedBytes() > 0) Flush();
-    return;
-  }
+  if (connecting_) return FinishConnect();
   if ((events & EV_WRITE) != 0) {
     Flush();
     if (IsOpen() && !broken_ && QueuedBytes() == 0) handler_.OnWritable(id_);
   }
-  if ((events & EV_READ) != 0 && IsOpen() && !broken_ && reading_ && !in_ended_) ReadSome();
+  if ((events & EV_READ) != 0 && IsOpen() && !broken_ && reading_ && !peer_finished_) ReadSome();
+}
+
+void TcpConnection::FinishConnect() {
+  int error = 0;
+  socklen_t size = sizeof error;
+  if (getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0) {
+    broken_ = true;
+    handler_.OnEnd(id_, ConnectionEnd::kReset);
+    return;
+  }
+  connecting_ = false;
+  UpdateWatcher();
+  handler_.OnConnected(id_);
+  if (IsOpen() && QueuedBytes() > 0) Flush();
 }
 
 void TcpConnection::ReadSome() {
-  if (size_ == kInSize) return Watch();
-  if (!in_ && !dropping_) in_ = std::make_unique<char[]>(kInSize);
-  const ssize_t n = dropping_ ? DropSome(fd_) : read(fd_, in_.get() + size_, kInSize - size_);
-  if (n > 0 && dropping_) {
-    handler_.OnInputDiscarded(id_, static_cast<std::size_t>(n));
-  } else if (n > 0) {
-    size_ += static_cast<std::size_t>(n);
-    Watch();
+  if (input_size_ == kInputCapacity) return UpdateWatcher();
+  if (!input_ && !discarding_) input_ = std::make_unique<char[]>(kInputCapacity);
+  const ssize_t result =
+      discarding_ ? DiscardSome(fd_) : read(fd_, input_.get() + input_size_, kInputCapacity - input_size_);
+  if (result > 0 && discarding_) {
+    handler_.OnInputDiscarded(id_, static_cast<std::size_t>(result));
+  } else if (result > 0) {
+    input_size_ += static_cast<std::size_t>(result);
+    UpdateWatcher();
     handler_.OnData(id_);
-  } else if (n == 0) {
-    in_ended_ = true;
-    Watch();
+  } else if (result == 0) {
+    peer_finished_ = true;
+    UpdateWatcher();
     handler_.OnEnd(id_, ConnectionEnd::kFinished);
   } else if (errno != EAGAIN && errno != EINTR) {
-    broken_ = true;
-    peer_reset_check_.Cancel();
-    ev_io_stop(loop_.native_handle(), &io_);
-    handler_.OnEnd(id_, ConnectionEnd::kReset);
+    ReportReset();
   }
 }
 
 void TcpConnection::Flush() {
   while (QueuedBytes() > 0) {
-    const ssize_t n = write(fd_, out_.data() + out_begin_, QueuedBytes());
-    if (n < 0) {
+    const ssize_t written = write(fd_, output_.data() + output_begin_, QueuedBytes());
+    if (written < 0) {
       if (errno == EINTR) continue;
-      if (errno != EAGAIN) Break();
+      if (errno != EAGAIN) ReportResetLater();
       break;
     }
-    out_begin_ += static_cast<std::size_t>(n);
+    output_begin_ += static_cast<std::size_t>(written);
   }
   if (QueuedBytes() == 0) {
-    out_.clear();
-    out_begin_ = 0;
-    if (finish_ && !finished_ && !broken_) {
-      finished_ = true;
+    output_.clear();
+    output_begin_ = 0;
+    if (finish_requested_ && !finish_sent_ && !broken_) {
+      finish_sent_ = true;
       shutdown(fd_, SHUT_WR);
     }
-  } else if (out_begin_ > kHighWatermark) {
-    out_.erase(0, out_begin_);
-    out_begin_ = 0;
+  } else if (output_begin_ > kHighWatermark) {
+    output_.erase(0, output_begin_);
+    output_begin_ = 0;
   }
-  Watch();
+  UpdateWatcher();
 }
 
 }  // namespace stoatrun
--- a/src/base/tcp_connection.h
+++ b/src/base/tcp_connection.h
@@ -1,5 +1,9 @@
-// One non-blocking socket with bounded buffers; the downstream side, the attempts, probes and discovery share
-// it.
+// One non-blocking TCP connection (IPv4) with bounded buffers, driven by the event loop. Client connections,
+// attempts, health checks, discovery and the management server use it.
+//
+// Errors don't throw: they end the connection, and OnEnd reports them. All calls and callbacks are on the
+// event loop's thread. A handler may close or destroy the connection in any callback, provided that its
+// memory stays until the callback has returned (see SlotMap::Reclaim).
 #ifndef STOATRUN_BASE_TCP_CONNECTION_H_
 #define STOATRUN_BASE_TCP_CONNECTION_H_
 
@@ -19,87 +23,127 @@
 
 namespace stoatrun {
 
-// An address as `IP:PORT`; no names are looked up.
+// An IPv4 address with a port.
 struct Address {
   sockaddr_in raw{};
+
+  // Reads `IP:PORT`; nothing for any other text, as no names are resolved.
   static std::optional<Address> Parse(std::string_view text);
-  bool operator==(const Address& o) const {
-    return raw.sin_addr.s_addr == o.raw.sin_addr.s_addr && raw.sin_port == o.raw.sin_port;
+  bool operator==(const Address& other) const {
+    return raw.sin_addr.s_addr == other.raw.sin_addr.s_addr && raw.sin_port == other.raw.sin_port;
   }
 };
 
-enum class ConnectionEnd { kFinished, kReset };  // An orderly end of the peer's sending, or a break.
+// How a connection ended.
+enum class ConnectionEnd {
+  kFinished,  // The peer has finished sending, in good order (FIN).
+  kReset,     // The connection failed, or could not be made.
+};
 
+// Receives the events of connections, each named by the id that was passed to its constructor.
 class TcpConnectionHandler {
  public:
   virtual ~TcpConnectionHandler() = default;
+  // Connect has succeeded.
   virtual void OnConnected(SlotId /*id*/) {}
+  // More input is there, see TcpConnection::input.
   virtual void OnData(SlotId id) = 0;
+  // So many bytes came and were discarded, after DiscardInput.
   virtual void OnInputDiscarded(SlotId /*id*/, std::size_t /*size*/) {}
-  virtual void OnEnd(SlotId id, ConnectionEnd end) = 0;  // At most once a stream.
-  // The peer has ended its sending, though what it sent before is not all read; OnEnd follows once it is.
+  // The connection ended; at most once for each connection.
+  virtual void OnEnd(SlotId id, ConnectionEnd end) = 0;
+  // The peer has finished sending or closed, but what it sent has not all been read; OnEnd follows once it
+  // has.
   virtual void OnPeerClosing(SlotId /*id*/) {}
-  virtual void OnWritable(SlotId /*id*/) {}  // All that was queued is written.
+  // All queued output has been written.
+  virtual void OnWritable(SlotId /*id*/) {}
 };
 
-// Reads what a socket holds and throws it away: a close over unread bytes is a reset, which may overtake what
-// was written last.
+// Discards what the socket holds unread: a close with unread bytes sends a reset, which may overtake the last
+// bytes written.
 void DiscardUnreadInput(int fd);
 
 class TcpConnection {
  public:
-  static constexpr std::size_t kInSize = std::size_t{2} * 4096;  // Two lines of the longest form.
-  static constexpr std::size_t kHighWatermark =
-      std::size_t{64} * 1024;  // QueuedBytes output over this stops the other side's reading.
+  // Bytes of input that are held until they are consumed: two lines of the longest form.
+  static constexpr std::size_t kInputCapacity = std::size_t{2} * 4096;
+  // With more queued output than this the caller should stop reading from the source of the output.
+  static constexpr std::size_t kHighWatermark = std::size_t{64} * 1024;
 
+  // `handler` and `loop` must outlive the connection.
   TcpConnection(EventLoop& loop, TcpConnectionHandler& handler, SlotId id);
   ~TcpConnection();
   TcpConnection(const TcpConnection&) = delete;
   TcpConnection& operator=(const TcpConnection&) = delete;
 
-  void Adopt(int fd);                    // A socket that is up, already non-blocking.
-  bool Connect(const Address& address);  // False: refused at once or no descriptor to be had.
+  // Takes ownership of a connected, non-blocking socket.
+  void Adopt(int fd);
+  // Starts to connect; OnConnected or OnEnd follows. False: it failed at once, and no callback follows.
+  bool Connect(const Address& address);
 
+  // Is there a socket?
   bool IsOpen() const { return fd_ >= 0; }
-  bool PeerFinished() const { return in_ended_; }
+  // Has the peer finished sending, and has all it sent been read?
+  bool PeerFinished() const { return peer_finished_; }
+  // Is there a socket that has connected?
   bool IsUp() const { return IsOpen() && !connecting_; }
-  bool IsBroken() const { return broken_; }  // OnEnd tells of it, or is about to.
-  // What was read and not consumed. It stays where it is until Consume, also when more comes.
-  std::string_view input() const { return {in_.get(), size_}; }
-  void Consume(std::size_t n);
-  void SetReading(bool on);
-  // What was read and what comes is thrown away; OnInputDiscarded tells how much came.
+  // Has the connection failed? OnEnd has reported it or is about to.
+  bool IsBroken() const { return broken_; }
+
+  // What has been read and not consumed. It stays at its place until Consume, also when more is read.
+  std::string_view input() const { return {input_.get(), input_size_}; }
+  // Removes the first `size` bytes of the input.
+  void Consume(std::size_t size);
+  // Enables or disables reading from the socket; it is enabled at first.
+  void SetReading(bool enabled);
+  // Discards all input from here on, read or not; OnInputDiscarded reports how much comes.
   void DiscardInput();
-  // What the socket holds by now, before the loop tells of it: bytes and the peer's end.
+  // Reads what the socket holds by now, before the event loop reports it: bytes and the peer's end.
   void ReadNow();
-  // A gathered write; what the socket does not take is queued. A break is told by OnEnd, later.
+
+  // Writes the pieces in one call; what the socket doesn't take is queued. A failure is reported by OnEnd,
+  // later.
   void Write(std::initializer_list<std::string_view> pieces);
-  std::size_t QueuedBytes() const { return out_.size() - out_begin_; }
-  void Finish();  // Ends our sending once all queued is written.
-  void Close();   // At once. Nothing more is told.
-  void Reset();   // At once, and the peer sees a break.
+  // Bytes of output that the socket has not taken yet.
+  std::size_t QueuedBytes() const { return output_.size() - output_begin_; }
+  // Ends our sending (FIN) once all queued output has been written; later writes are ignored.
+  void Finish();
+  // Closes the socket at once. No callback follows.
+  void Close();
+  // The same, and the peer sees a reset.
+  void Reset();
 
  private:
-  static void OnIo(struct ev_loop* loop, ev_io* w, int events);
-  void Ready(int events);
+  static void OnIo(struct ev_loop* loop, ev_io* watcher, int events);
+  void HandleIo(int events);
+  void FinishConnect();
   void ReadSome();
   void Flush();
-  void Break();
-  void Watch();
+  void ReportReset();
+  void ReportResetLater();
+  void StopWatching();
+  int WantedEvents() const;
+  void UpdateWatcher();
   void CheckPeerReset();
 
   EventLoop& loop_;
   TcpConnectionHandler& handler_;
   SlotId id_;
-  ev_io io_{};
+  ev_io watcher_{};
   int fd_ = -1;
-  bool connecting_ = false, reading_ = true, in_ended_ = false, finish_ = false, finished_ = false,
-       broken_ = false, dropping_ = false, leaving_ = false;
-  Timer peer_reset_check_;      // For the peer's end, while nothing is read or written that would tell of it.
-  std::unique_ptr<char[]> in_;  // Taken at the first byte: those who say nothing cost none.
-  std::size_t size_ = 0;
-  std::string out_;
-  std::size_t out_begin_ = 0;
+  bool connecting_ = false;
+  bool reading_ = true;
+  bool peer_finished_ = false;
+  bool finish_requested_ = false;
+  bool finish_sent_ = false;
+  bool broken_ = false;
+  bool discarding_ = false;
+  bool peer_closing_reported_ = false;
+  Timer peer_reset_check_;         // Set while the socket is not watched, see CheckPeerReset.
+  std::unique_ptr<char[]> input_;  // Allocated at the first byte: idle connections need none.
+  std::size_t input_size_ = 0;
+  std::string output_;
+  std::size_t output_begin_ = 0;  // What comes before has been written.
 };
 
 }  // namespace stoatrun
