--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -86,13 +86,15 @@
     ev_signal_start(loop_.native_handle(), &w);
   }
   static Service& Of(ev_signal* w) { return *static_cast<Service*>(w->data); }
-  static void OnEnd(struct ev_loop* /*loop*/, ev_signal* w, int /*events*/) { Of(w).relay_->Drain(); }
+  static void OnEnd(struct ev_loop* /*loop*/, ev_signal* w, int /*events*/) {
+    Of(w).relay_->BeginGracefulShutdown();
+  }
   static void OnPrint(struct ev_loop* /*loop*/, ev_signal* w, int /*events*/) { Of(w).Print(); }
   static void OnReload(struct ev_loop* /*loop*/, ev_signal* w, int /*events*/) {
     try {
       Of(w).Reload();
     } catch (const std::exception& e) {  // None may pass through the loop's C frames.
-      Of(w).relay_->ReloadFailed(e.what());
+      Of(w).relay_->OnReloadFailed(e.what());
     }
   }
 
@@ -125,12 +127,12 @@
       case ManagementCall::kReady:
         return relay_->Ready() ? ManagementAnswer{200, "ready"} : ManagementAnswer{503, "not ready"};
       case ManagementCall::kMetrics: {
-        const Figures figures{relay_->ClassNames(), relay_->Counts().classes, relay_->Outstanding(),
-                              relay_->Discovered(), relay_->Ejected()};
+        const Figures figures{relay_->ClassNames(), relay_->Counts().classes, relay_->SessionCount(),
+                              relay_->EndpointCount(), relay_->EjectedCount()};
         return {200, FormatFigures(figures)};
       }
       case ManagementCall::kDrain:
-        relay_->DrainByCall();
+        relay_->StartDrain();
         return {200, "draining"};
       case ManagementCall::kActivate:
         relay_->Activate();
--- a/src/proxy/balancer_mapping.cpp
+++ b/src/proxy/balancer_mapping.cpp
@@ -2,17 +2,16 @@
 
 #include <algorithm>
 
+#include "config/site_settings.h"
 #include "proxy/line_protocol.h"
 
 namespace stoatrun {
 namespace {
 
-balancer::RequestId RequestOf(SlotId request) { return balancer::RequestId(request.Packed()); }
-SlotId SlotOf(balancer::RequestId id) { return SlotId::Unpack(static_cast<std::uint64_t>(id)); }
-balancer::EndpointId ServerOf(EndpointIndex host) { return balancer::EndpointId(host); }
-EndpointIndex HostOf(balancer::EndpointId id) { return static_cast<EndpointIndex>(id); }
+balancer::RequestId ToRequestId(SlotId session) { return balancer::RequestId(session.Packed()); }
+balancer::EndpointId ToEndpointId(EndpointIndex endpoint) { return balancer::EndpointId(endpoint); }
 
-balancer::Outcome OutcomeOf(AttemptEnd end) {
+balancer::Outcome ToOutcome(AttemptEnd end) {
   switch (end) {
     case AttemptEnd::kServed:
       return balancer::Outcome::kServed;
@@ -26,120 +25,125 @@
       return balancer::Outcome::kConnectionLost;
     case AttemptEnd::kTimedOut:
       return balancer::Outcome::kTimedOut;
-    case AttemptEnd::kSentAway:
+    case AttemptEnd::kMigrated:
     case AttemptEnd::kAbandoned:
       return balancer::Outcome::kCancelled;
-    case AttemptEnd::kHeldBack:
+    case AttemptEnd::kQuotaExhausted:
       return balancer::Outcome::kNotSent;
   }
   return balancer::Outcome::kUnknown;
 }
 
-std::optional<balancer::LoadReport> ReportOf(std::string_view text) {
+// nullopt: `text` has no metrics.
+std::optional<balancer::LoadReport> ToLoadReport(std::string_view text) {
   std::optional<balancer::LoadReport> report;
-  EachFigure(text, [&](std::string_view name, double value) {
+  ForEachMetric(text, [&](std::string_view name, double value) {
     if (!report) report.emplace();
     balancer::settings::SetField(*report, balancer::settings::ReportFieldOf(name), value);
   });
   return report;
 }
 
-balancer::RequestArrived RequestArrivedOf(SlotId request, const ConnectRequest& opening) {
-  balancer::RequestArrived e;
-  e.id = RequestOf(request);
-  e.class_id = balancer::ClassId(static_cast<std::uint32_t>(opening.class_index));
-  e.deadline = opening.deadline;
-  e.load_hint = opening.load;
-  e.is_reconnect = opening.again;
-  e.affinity_group = opening.group;
-  return e;
+balancer::RequestArrived ToArrival(SlotId session, const ConnectRequest& request) {
+  balancer::RequestArrived event;
+  event.id = ToRequestId(session);
+  event.class_id = balancer::ClassId(static_cast<std::uint32_t>(request.class_index));
+  event.deadline = request.deadline;
+  event.load_hint = request.load;
+  event.is_reconnect = request.is_reconnect;
+  event.affinity_group = request.affinity_group;
+  return event;
 }
 
-balancer::ZoneId ZoneOf(const std::string& locality, std::vector<std::string>& zones) {
+balancer::ZoneId FindOrAddZone(const std::string& locality, std::vector<std::string>& zones) {
   auto it = std::find(zones.begin(), zones.end(), locality);
   if (it == zones.end()) it = zones.insert(zones.end(), locality);
   return balancer::ZoneId(static_cast<std::uint32_t>(it - zones.begin()));
 }
 
-struct Visitor {
-  ActionHandler& handler;
-  void operator()(const balancer::SendAttempt& a) const {
-    handler.OpenAttempt(SlotOf(a.id), HostOf(a.endpoint), a.timeout);
+balancer::EndpointState ToEndpointState(EndpointState state) {
+  switch (state) {
+    case EndpointState::kReady:
+      return balancer::EndpointState::kReady;
+    case EndpointState::kDraining:
+      return balancer::EndpointState::kDraining;
+    case EndpointState::kGone:
+      break;
   }
-  void operator()(const balancer::CancelAttempt& a) const { handler.AbandonAttempt(SlotOf(a.id), a.attempt); }
-  void operator()(const balancer::RejectRequest& a) const { handler.Reject(SlotOf(a.id), a.retry_after); }
-  void operator()(const balancer::FailRequest& a) const { handler.Fail(SlotOf(a.id)); }
-  void operator()(const balancer::MigrateConnection& a) const { handler.Move(SlotOf(a.id)); }
-  void operator()(const balancer::ProbeEndpoint& a) const { handler.Probe(HostOf(a.endpoint)); }
-  void operator()(const balancer::StartTimer& a) const { handler.WakeIn(a.delay); }
-  void operator()(const balancer::WatchEndpoints& /*a*/) const { handler.Watch(); }
-};
+  return balancer::EndpointState::kGone;
+}
+
+balancer::EndpointUpdate::Kind ToUpdateKind(const EndpointUpdate& update, EndpointSource source) {
+  if (source == EndpointSource::kCached) return balancer::EndpointUpdate::Kind::kCached;
+  return update.complete ? balancer::EndpointUpdate::Kind::kFull : balancer::EndpointUpdate::Kind::kChanges;
+}
 
 }  // namespace
 
-void Dispatch(const balancer::Action& action, ActionHandler& handler) {
-  std::visit(Visitor{handler}, action);
-}
+SlotId ToSessionId(balancer::RequestId id) { return SlotId::Unpack(static_cast<std::uint64_t>(id)); }
 
-balancer::Event Arrived(SlotId request, const ConnectRequest& opening) {
-  return RequestArrivedOf(request, opening);
+EndpointIndex ToEndpointIndex(balancer::EndpointId id) { return static_cast<EndpointIndex>(id); }
+
+balancer::Event ToRequestArrived(SlotId session, const ConnectRequest& request) {
+  return ToArrival(session, request);
 }
 
-balancer::Event Resumed(SlotId request, const ConnectRequest& opening, EndpointIndex host) {
-  return balancer::ConnectionResumed{RequestArrivedOf(request, opening), ServerOf(host)};
+balancer::Event ToConnectionResumed(SlotId session, const ConnectRequest& request, EndpointIndex endpoint) {
+  return balancer::ConnectionResumed{ToArrival(session, request), ToEndpointId(endpoint)};
 }
 
-balancer::Event AttemptIsUp(SlotId request, EndpointIndex host) {
-  return balancer::AttemptEstablished{RequestOf(request), ServerOf(host)};
+balancer::Event ToAttemptEstablished(SlotId session, EndpointIndex endpoint) {
+  return balancer::AttemptEstablished{ToRequestId(session), ToEndpointId(endpoint)};
 }
 
-balancer::Event AttemptEnded(SlotId request, EndpointIndex host, AttemptEnd end, bool finished,
-                             std::string_view report) {
-  return balancer::AttemptEnded{RequestOf(request), ServerOf(host), OutcomeOf(end), finished,
-                                ReportOf(report)};
+balancer::Event ToAttemptEnded(SlotId session, EndpointIndex endpoint, AttemptEnd end, RequestState state,
+                               std::string_view report) {
+  return balancer::AttemptEnded{ToRequestId(session), ToEndpointId(endpoint), ToOutcome(end),
+                                state == RequestState::kFinished, ToLoadReport(report)};
 }
 
-balancer::Event LoadIs(SlotId request, double load) {
-  return balancer::LoadReported{RequestOf(request), load};
+balancer::Event ToLoadReported(SlotId session, double load) {
+  return balancer::LoadReported{ToRequestId(session), load};
 }
 
-balancer::Event MessageTook(EndpointIndex host, Micros delay) {
-  return balancer::MessageLatencyReported{ServerOf(host), delay};
+balancer::Event ToMessageLatencyReported(EndpointIndex endpoint, Micros latency) {
+  return balancer::MessageLatencyReported{ToEndpointId(endpoint), latency};
 }
 
-balancer::Event Probed(EndpointIndex host, bool ok, std::string_view report) {
-  return balancer::ProbeCompleted{ServerOf(host), ok, ReportOf(report)};
+balancer::Event ToProbeCompleted(EndpointIndex endpoint, bool succeeded, std::string_view report) {
+  return balancer::ProbeCompleted{ToEndpointId(endpoint), succeeded, ToLoadReport(report)};
 }
 
-balancer::Event Left(SlotId request) { return balancer::ClientDisconnected{RequestOf(request)}; }
+balancer::Event ToClientDisconnected(SlotId session) {
+  return balancer::ClientDisconnected{ToRequestId(session)};
+}
 
-balancer::Event PeersSay(EndpointIndex host, double unseen, double cold, bool avoid) {
-  return balancer::FleetHint{ServerOf(host), unseen, cold, avoid};
+balancer::Event ToFleetHint(EndpointIndex endpoint, double unreported_in_flight, double slow_start_tokens,
+                            bool eject) {
+  return balancer::FleetHint{ToEndpointId(endpoint), unreported_in_flight, slow_start_tokens, eject};
 }
 
-balancer::Event ListFailed() { return balancer::EndpointUpdate{balancer::EndpointUpdate::Kind::kFailed, {}}; }
+balancer::Event ToEndpointUpdateFailed() {
+  return balancer::EndpointUpdate{balancer::EndpointUpdate::Kind::kFailed, {}};
+}
 
-balancer::Event ListOf(const EndpointUpdate& list, ListSource source,
-                       const std::function<EndpointIndex(const std::string&)>& number_of, const Clock& clock,
-                       std::vector<std::string>& zones) {
-  balancer::EndpointUpdate out;
-  out.kind = source == ListSource::kKnown ? balancer::EndpointUpdate::Kind::kCached
-             : list.complete              ? balancer::EndpointUpdate::Kind::kFull
-                                          : balancer::EndpointUpdate::Kind::kChanges;
-  for (const Endpoint& e : list.entries) {
-    balancer::Endpoint s;
-    s.id = ServerOf(number_of(e.id));
-    s.zone = ZoneOf(e.locality, zones);
-    s.cell = balancer::CellId(e.cell);
-    s.state = e.phase == EndpointState::kReady      ? balancer::EndpointState::kReady
-              : e.phase == EndpointState::kDraining ? balancer::EndpointState::kDraining
-                                                    : balancer::EndpointState::kGone;
-    s.size = e.size;
-    s.started_at = clock.FromUnixMs(e.up_since_ms);
-    s.name_hash = balancer::settings::NumberOf(e.id);
-    out.entries.push_back(s);
+balancer::Event ToEndpointUpdate(const EndpointUpdate& update, EndpointSource source,
+                                 const EndpointTable& table, const Clock& clock,
+                                 std::vector<std::string>& zones) {
+  balancer::EndpointUpdate event;
+  event.kind = ToUpdateKind(update, source);
+  for (const Endpoint& endpoint : update.entries) {
+    balancer::Endpoint entry;
+    entry.id = ToEndpointId(*table.Find(endpoint.id));
+    entry.zone = FindOrAddZone(endpoint.locality, zones);
+    entry.cell = balancer::CellId(endpoint.cell);
+    entry.state = ToEndpointState(endpoint.phase);
+    entry.size = endpoint.size;
+    entry.started_at = clock.FromUnixMs(endpoint.up_since_ms);
+    entry.name_hash = balancer::settings::NumberOf(endpoint.id);
+    event.entries.push_back(entry);
   }
-  return out;
+  return event;
 }
 
 }  // namespace stoatrun
--- a/src/proxy/balancer_mapping.h
+++ b/src/proxy/balancer_mapping.h
@@ -1,10 +1,12 @@
-// The one place where the module's names meet the sockets': ids by slots, servers by numbers,
-// outcomes by how an attempt ended, actions as handler.
+// Conversions between the proxy's types and those of the balancer's interface (include/balancer): a session's
+// slot is the balancer's request id, an endpoint's index its endpoint id. Functions named To... return the
+// balancer's event of that name. Pure functions, except that ToEndpointUpdate adds zones that it sees for the
+// first time.
 #ifndef STOATRUN_PROXY_BALANCER_MAPPING_H_
 #define STOATRUN_PROXY_BALANCER_MAPPING_H_
 
+#include <cstddef>
 #include <cstdint>
-#include <functional>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -13,55 +15,49 @@
 #include "balancer/balancer.h"
 #include "base/clock.h"
 #include "base/slot_map.h"
-#include "config/site_settings.h"
 #include "endpoint/endpoint_update.h"
+#include "proxy/endpoint_table.h"
 #include "proxy/upstream.h"
 
 namespace stoatrun {
 
-// What the module handler, in the shop's terms.
-class ActionHandler {
- public:
-  virtual ~ActionHandler() = default;
-  virtual void OpenAttempt(SlotId request, EndpointIndex host, Micros wait) = 0;
-  virtual void AbandonAttempt(SlotId request, std::uint32_t attempt_number) = 0;
-  virtual void Reject(SlotId request, Micros retry_after) = 0;
-  virtual void Fail(SlotId request) = 0;
-  virtual void Move(SlotId request) = 0;
-  virtual void Probe(EndpointIndex host) = 0;
-  virtual void WakeIn(Micros delay) = 0;
-  virtual void Watch() = 0;
+// What the balancer needs to know of a client's request for a connection.
+struct ConnectRequest {
+  std::size_t class_index = 0;  // In the order of the settings' classes.
+  Micros deadline{0};           // Of the connection's set-up, on the event loop's clock.
+  std::optional<double> load;
+  bool is_reconnect = false;
+  std::uint64_t affinity_group = 0;  // Requests of one group share work at an endpoint; 0: none.
 };
 
-void Dispatch(const balancer::Action& action, ActionHandler& handler);
+// Whether the client has had its final answer.
+enum class RequestState : std::uint8_t { kOpen, kFinished };
 
-struct ConnectRequest {  // What the module hears of a new request.
-  std::size_t class_index = 0;
-  Micros deadline{0};
-  std::optional<double> load;
-  bool again = false;
-  std::uint64_t group = 0;  // Of those that share work at a host; 0: none.
-};
+// Where an endpoint list comes from: the configuration, or a watch at discovery.
+enum class EndpointSource : std::uint8_t { kCached, kWatch };
 
-balancer::Event Arrived(SlotId request, const ConnectRequest& opening);
-balancer::Event Resumed(SlotId request, const ConnectRequest& opening, EndpointIndex host);
-balancer::Event AttemptIsUp(SlotId request, EndpointIndex host);
-// `report` is what followed the host's word, where reports come with answers.
-balancer::Event AttemptEnded(SlotId request, EndpointIndex host, AttemptEnd end, bool finished,
-                             std::string_view report);
-balancer::Event LoadIs(SlotId request, double load);
-balancer::Event MessageTook(EndpointIndex host, Micros delay);
-balancer::Event Probed(EndpointIndex host, bool ok, std::string_view report);
-balancer::Event Left(SlotId request);
-// What the rest of the fleet says of a host: connections that no report shows yet, how many it may still be
-// sent while it is cold (under 0: not known), and whether to avoid it for a while.
-balancer::Event PeersSay(EndpointIndex host, double unseen, double cold, bool avoid);
-balancer::Event ListFailed();
+// The ids in the balancer's actions.
+SlotId ToSessionId(balancer::RequestId id);
+EndpointIndex ToEndpointIndex(balancer::EndpointId id);
 
-enum class ListSource { kKnown, kWatch };
-balancer::Event ListOf(const EndpointUpdate& list, ListSource source,
-                       const std::function<EndpointIndex(const std::string&)>& number_of, const Clock& clock,
-                       std::vector<std::string>& zones);
+balancer::Event ToRequestArrived(SlotId session, const ConnectRequest& request);
+balancer::Event ToConnectionResumed(SlotId session, const ConnectRequest& request, EndpointIndex endpoint);
+balancer::Event ToAttemptEstablished(SlotId session, EndpointIndex endpoint);
+// `report`: the metrics that followed the endpoint's answer, where it reports its load so.
+balancer::Event ToAttemptEnded(SlotId session, EndpointIndex endpoint, AttemptEnd end, RequestState state,
+                               std::string_view report);
+balancer::Event ToLoadReported(SlotId session, double load);
+balancer::Event ToMessageLatencyReported(EndpointIndex endpoint, Micros latency);
+balancer::Event ToProbeCompleted(EndpointIndex endpoint, bool succeeded, std::string_view report);
+balancer::Event ToClientDisconnected(SlotId session);
+// What the rest of the fleet knows of an endpoint: see FleetClient::EndpointHint.
+balancer::Event ToFleetHint(EndpointIndex endpoint, double unreported_in_flight, double slow_start_tokens,
+                            bool eject);
+balancer::Event ToEndpointUpdateFailed();
+// All endpoints of `update` must be in `table`. `zones`: the names of the balancer's zones, by number.
+balancer::Event ToEndpointUpdate(const EndpointUpdate& update, EndpointSource source,
+                                 const EndpointTable& table, const Clock& clock,
+                                 std::vector<std::string>& zones);
 
 }  // namespace stoatrun
 
--- a/src/proxy/downstream.h
+++ b/src/proxy/downstream.h
@@ -1,11 +1,14 @@
-// The downstream side: takes client connections, reads their first line, answers them and ends them.
+// The downstream side: client connections. Reads a client's request line, passes it on as a session, answers
+// health checks, and ends connections so that the last answer reaches the client.
+//
+// Used by the event loop's thread only.
 #ifndef STOATRUN_PROXY_DOWNSTREAM_H_
 #define STOATRUN_PROXY_DOWNSTREAM_H_
 
-#include <ev.h>
-
 #include <cstddef>
+#include <cstdint>
 #include <list>
+#include <optional>
 #include <string_view>
 
 #include "base/counters.h"
@@ -13,58 +16,66 @@
 #include "base/log.h"
 #include "base/slot_map.h"
 #include "base/tcp_connection.h"
+#include "base/unique_fd.h"
 #include "proxy/line_protocol.h"
+#include "proxy/listener.h"
 
 namespace stoatrun {
 
+// Why a well-formed request is not valid here.
+enum class OpenRequestError : std::uint8_t { kUnknownClass, kDuplicateId };
+
+// Receives what clients request and send. `owner` is the id that OnOpen returned for the client.
 class DownstreamEvents {
  public:
   virtual ~DownstreamEvents() = default;
-  // Why a first line of the right form is no request here; empty: it is one.
-  virtual std::string_view Validate(const OpenHead& head) = 0;
-  // Gives the number by which the client's further events name it. The head's views are good until Up or End.
-  virtual SlotId OnOpen(SlotId client, const OpenHead& head) = 0;
-  // Of a client that was opened: bytes or the end of its sending, and room for more.
+  // Checks a well-formed request; nullopt: it is valid.
+  virtual std::optional<OpenRequestError> Validate(const OpenRequest& request) = 0;
+  // Takes over a valid request and returns the id for the client's further events. The views in `request`
+  // stay valid until Establish or End is called for the client.
+  virtual SlotId OnOpen(SlotId client, const OpenRequest& request) = 0;
+  // The client sent bytes.
   virtual void OnClientBytes(SlotId owner) = 0;
+  // The client ended its sending, or its connection broke.
   virtual void OnClientEnd(SlotId owner, ConnectionEnd end) = 0;
+  // All output to the client is written.
   virtual void OnClientWritable(SlotId owner) = 0;
-  // A first line of the right form that is turned away for want of descriptors.
-  virtual void OnNoRoom(const OpenHead& /*head*/) {}
+  // A valid request was rejected because too few descriptors are left.
+  virtual void OnRejectedForCapacity(const OpenRequest& /*request*/) {}
 };
 
-class Downstream : public TcpConnectionHandler {
+// Owns the listener and all client connections.
+class Downstream : public TcpConnectionHandler, private ListenerEvents {
  public:
-  // `descriptors`: what the whole relay may hold.
-  Downstream(EventLoop& loop, DownstreamEvents& events, Counters& counters, std::size_t descriptors);
-  ~Downstream() override;
-  Downstream(const Downstream&) = delete;
-  Downstream& operator=(const Downstream&) = delete;
-
-  void Listen(const Address& address);  // Throws std::system_error.
-  // Takes a listening socket that the platform holds and hands to each process in turn. Throws ConfigError if
-  // `fd` is no listening TCP socket over IPv4.
-  void AdoptListener(int fd);
-  bool Inherited() const { return inherited_; }
-  // What PING is answered: PONG while the front may send clients here, ERR while not.
-  void SetHealthy(bool yes) { says_yes_ = yes; }
-  // Ends the taking of clients. Of a socket of its own the queue is emptied first, for closing it would reset
-  // those who wait there; an inherited one keeps them for the process that comes next.
-  void StopListening();
-  int Port() const;
+  // All references must outlive the object. `descriptor_limit`: descriptors that the whole process may use.
+  Downstream(EventLoop& loop, DownstreamEvents& events, Counters& counters, std::size_t descriptor_limit);
+
+  // As those of Listener.
+  void Listen(const Address& address) { listener_.Listen(address); }
+  void AdoptListener(int fd) { listener_.Adopt(fd); }
+  void StopListening() { listener_.Stop(); }
+  bool IsInherited() const { return listener_.IsInherited(); }
+  int Port() const { return listener_.Port(); }
 
+  // What health checks (PING) are answered from now on: PONG or ERR.
+  void SetHealthy(bool healthy) { healthy_ = healthy; }
+
+  // The connection of a client with a session; null if it has ended.
   TcpConnection* Find(SlotId client);
-  // The first line is answered: what the client sends from here on is its own.
-  void Up(SlotId client, std::string_view line);
-  // Sends a last line (or none) and ends the connection in order.
+  // Answers the request line. What the client sends from here on belongs to the session.
+  void Establish(SlotId client, std::string_view line);
+  // Sends a last line (may be empty) and ends the connection in order.
   void End(SlotId client, std::string_view last_line);
+  // Ends the connection with a TCP reset.
   void Reset(SlotId client);
-  // Is anyone there that may yet ask, or is owed an answer or the rest of one? Callers that have said nothing
-  // of use for a while and those that do not end are not waited for.
-  bool Asking();
-  // A planned end: who has rested for a while without a first line is told to come again and ended in order,
-  // so that a request in that moment finds an answer. Who has sent a part of one only where nobody
-  // `else_asks`.
-  void EndResting(bool else_asks);
+
+  // Whether a client may yet send a request, or has not received all of its answer. Clients that have sent no
+  // request line for a while, and those that do not close after their answer, do not count.
+  bool HasPendingClients();
+  // For a graceful shutdown: tells clients that have been connected for a while without a request line to
+  // retry, and ends their connections in order. One that has sent a part of its line is spared while
+  // `others_pending`.
+  void EndIdle(bool others_pending);
 
   void OnBytes(SlotId id) override;
   void OnInputDiscarded(SlotId id, std::size_t size) override;
@@ -73,43 +84,48 @@
   void OnWritable(SlotId id) override;
 
  private:
+  // kRequestLine -> kOpened -> kEnding, or kRequestLine -> kEnding. The connection may break in any state.
+  enum class State : std::uint8_t { kRequestLine, kOpened, kEnding };
   struct Client {
-    Client(SlotId slot, Downstream& all)
+    Client(SlotId slot, Downstream& downstream)
         : id(slot),
-          stream(all.loop_, all, slot),
-          deadline(all.loop_.timers, [&all, slot] { all.Due(slot); }) {}
-    enum class State { kHead, kOpened, kEnding };
+          tcp(downstream.loop_, downstream, slot),
+          timer(downstream.loop_.timers, [&downstream, slot] { downstream.OnTimeout(slot); }) {}
     SlotId id, owner;
-    TcpConnection stream;
-    Timer deadline;
-    State state = State::kHead;
-    std::list<SlotId>::iterator place{};  // Among the callers or the ending.
-    Micros since{0};                      // Accepted, or ended by us.
-    std::size_t head_size = 0, dropped = 0;
+    TcpConnection tcp;
+    Timer timer;
+    State state = State::kRequestLine;
+    std::list<SlotId>::iterator position{};  // In unopened_ or ending_.
+    Micros since{0};                         // Accepted, or ended by this side.
+    std::size_t request_line_size = 0;  // While it is in the input buffer: until the request is answered.
+    std::size_t discarded = 0;          // Bytes.
   };
 
-  static void OnAccept(struct ev_loop* loop, ev_io* w, int events);
-  bool Accept();             // False: nobody waits any more, or none can be taken now.
-  bool RejectForCapacity();  // False: nobody waited.
-  void Due(SlotId id);
-  void ReadHead(Client& c);
-  void Malformed(Client& c, std::string_view why);
-  bool CanAccept() const;  // Are there descriptors for one more client and its attempt?
+  void OnAccepted(UniqueFd socket) override;
+  void OnTimeout(SlotId id);
+  void ReadRequestLines(Client& client);
+  // Handles one complete line. False: no further line may be read.
+  bool HandleLine(Client& client, std::size_t size);
+  bool AnswerPing(Client& client, std::size_t size);
+  void HandleOpen(Client& client, const OpenRequest& request, std::size_t size);
+  void RejectForCapacity(Client& client, const OpenRequest& request);
+  void RejectMalformed(Client& client, std::string_view reason);
+  std::size_t OpenedCount() const;
+  // Whether there are descriptors for one more client and its attempt.
+  bool CanAccept() const;
   void EvictOldest();
-  void Erase(Client& c);
+  void EndEvicted(Client& client);
+  void Erase(Client& client);
 
   EventLoop& loop_;
   DownstreamEvents& events_;
   Counters& counters_;
-  ev_io accept_{};
-  int fd_ = -1;
-  bool inherited_ = false;
-  bool says_yes_ = true;
-  int spare_fd_ = -1;
-  const std::size_t descriptors_;
+  bool healthy_ = true;
+  const std::size_t descriptor_limit_;
   SlotMap<Client> clients_;
-  std::list<SlotId> callers_, ending_;  // Without a first line, and answered; oldest first.
-  LogRateLimiter bad_lines_, wants_;
+  std::list<SlotId> unopened_, ending_;  // Clients in kRequestLine and in kEnding, oldest first.
+  LogRateLimiter malformed_log_, capacity_log_;
+  Listener listener_;
 };
 
 }  // namespace stoatrun
--- a/src/proxy/drain_schedule.cpp
+++ b/src/proxy/drain_schedule.cpp
@@ -4,48 +4,49 @@
 
 namespace stoatrun::drain {
 
-void Plan::Drain(Micros now) {
+void Schedule::Drain(Micros now) {
   if (draining_) return;
   draining_ = true;
-  since_ = now;
+  draining_since_ = now;
   carry_ = 0;
 }
 
-void Plan::Activate() { draining_ = false; }
+void Schedule::Activate() { draining_ = false; }
 
-Step Plan::At(Micros now, std::size_t standing) {
+Step Schedule::Advance(Micros now, std::size_t established) {
   if (!draining_) return {};
-  const Micros begin = since_ + pace_.hold;
+  const Micros begin = draining_since_ + timing_.hold;
   if (now < begin) return {0, begin};
-  const Micros end = begin + pace_.spread;
-  if (now >= end) return {standing, now + pace_.step};
-  return {EvenShare(standing, end - now, pace_.step, carry_), now + pace_.step};
+  const Micros end = begin + timing_.spread;
+  if (now >= end) return {established, now + timing_.step};
+  return {EvenShare(established, end - now, timing_.step, carry_), now + timing_.step};
 }
 
-std::size_t EvenShare(std::size_t count, Micros left, Micros step, double& carry) {
-  if (left <= step) {
+std::size_t EvenShare(std::size_t count, Micros remaining, Micros step, double& carry) {
+  if (remaining <= step) {
     carry = 0;
     return count;
   }
-  const double steps = static_cast<double>(left.count()) / static_cast<double>(step.count());
+  const double steps = static_cast<double>(remaining.count()) / static_cast<double>(step.count());
   carry += static_cast<double>(count) / steps;
-  const auto now = std::min(count, static_cast<std::size_t>(carry));
-  carry -= static_cast<double>(now);
-  return now;
+  const auto share = std::min(count, static_cast<std::size_t>(carry));
+  carry -= static_cast<double>(share);
+  return share;
 }
 
-std::vector<std::uint64_t> Quietest(std::vector<Standing> all, std::size_t n) {
-  n = std::min(n, all.size());
-  std::partial_sort(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(n), all.end(),
-                    [](const Standing& a, const Standing& b) {
-                      if (a.asking != b.asking) return b.asking;
-                      if (a.answered_at != b.answered_at) return a.answered_at > b.answered_at;
-                      return a.id < b.id;
+std::vector<std::uint64_t> SelectForMigration(std::vector<Candidate> candidates, std::size_t count) {
+  count = std::min(count, candidates.size());
+  const auto last = candidates.begin() + static_cast<std::ptrdiff_t>(count);
+  std::partial_sort(candidates.begin(), last, candidates.end(),
+                    [](const Candidate& left, const Candidate& right) {
+                      if (left.request_in_flight != right.request_in_flight) return right.request_in_flight;
+                      if (left.answered_at != right.answered_at) return left.answered_at > right.answered_at;
+                      return left.id < right.id;
                     });
-  std::vector<std::uint64_t> chosen;
-  chosen.reserve(n);
-  for (std::size_t k = 0; k < n; ++k) chosen.push_back(all[k].id);
-  return chosen;
+  std::vector<std::uint64_t> selected;
+  selected.reserve(count);
+  for (std::size_t k = 0; k < count; ++k) selected.push_back(candidates[k].id);
+  return selected;
 }
 
 }  // namespace stoatrun::drain
--- /dev/null
+++ b/src/proxy/endpoint_updater.cpp
@@ -0,0 +1,36 @@
+#include "proxy/endpoint_updater.h"
+
+#include "base/log.h"
+
+namespace stoatrun {
+
+EndpointUpdater::EndpointUpdater(EventLoop& loop, const balancer::settings::SiteSettings& site,
+                                 Upstream& upstream, FleetQuotaGuard& fleet, BalancerDriver& balancer)
+    : loop_(loop),
+      upstream_(upstream),
+      fleet_(fleet),
+      balancer_(balancer),
+      pushed_(site.module.list_mode == balancer::ListMode::kPushed),
+      zones_(site.zone_names) {}
+
+void EndpointUpdater::Apply(const EndpointUpdate& update, EndpointSource source) {
+  upstream_.ApplyUpdate(update);
+  fleet_.OnEndpointUpdate(update);
+  LogLine(Level::kInfo, "list")
+      .Field("revision", update.revision)
+      .Word("complete", update.complete)
+      .Word("changes", !update.complete)
+      .Field("entries", update.entries.size());
+  balancer_.HandleEvent(ToEndpointUpdate(update, source, upstream_.endpoints(), loop_.clock, zones_));
+}
+
+void EndpointUpdater::OnEndpointUpdate(const EndpointUpdate& update) {
+  Apply(update, EndpointSource::kWatch);
+}
+
+void EndpointUpdater::OnWatchFailed() {
+  // A balancer that did not ask for the list is not told; discovery renews the watch in any case.
+  if (!pushed_) balancer_.HandleEvent(ToEndpointUpdateFailed());
+}
+
+}  // namespace stoatrun
--- /dev/null
+++ b/src/proxy/forwarder.cpp
@@ -0,0 +1,128 @@
+#include "proxy/forwarder.h"
+
+#include <chrono>
+#include <cstddef>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "proxy/balancer_mapping.h"
+#include "proxy/line_protocol.h"
+
+namespace stoatrun {
+namespace {
+
+// Clients send every 2 s and are answered at once. A session whose endpoint is silent must be given up within
+// 7 s of its last answer.
+constexpr Micros kAnswerTimeout = std::chrono::milliseconds(4300);
+
+// How many bytes of `input` to forward. Input that is longer than any line may be is forwarded as it is.
+std::size_t ForwardableSize(std::string_view input, Forwarder::Extent extent) {
+  const std::size_t last_line_end = input.rfind('\n');
+  const std::size_t complete = last_line_end == std::string_view::npos ? 0 : last_line_end + 1;
+  if (extent == Forwarder::Extent::kEverything) return input.size();
+  if (complete == 0 && input.size() >= kMaxLine) return input.size();
+  return complete;
+}
+
+std::vector<std::string> SplitLines(std::string_view text) {
+  std::vector<std::string> lines;
+  while (!text.empty()) {
+    const std::size_t size = LineLength(text).value_or(text.size());
+    lines.emplace_back(StripLineEnd(text.substr(0, size)));
+    text.remove_prefix(size);
+  }
+  return lines;
+}
+
+// The end that an endpoint announces with a line that begins with `word`; kBroken: none.
+AttemptEnd AnnouncedEnd(std::string_view word) {
+  if (word == "BYE") return AttemptEnd::kServed;
+  if (word == "MOVE") return AttemptEnd::kMigrated;
+  if (word == "ERR") return AttemptEnd::kError;
+  return AttemptEnd::kBroken;
+}
+
+}  // namespace
+
+Forwarder::Forwarder(EventLoop& loop, SessionTable& sessions, Downstream& downstream, Upstream& upstream,
+                     BalancerDriver& balancer, MessageLatencyReporter& latency_reporter)
+    : loop_(loop),
+      sessions_(sessions),
+      downstream_(downstream),
+      upstream_(upstream),
+      balancer_(balancer),
+      latency_reporter_(latency_reporter) {}
+
+void Forwarder::ForwardToEndpoint(Session& session) {
+  TcpConnection* client = downstream_.Find(session.client);
+  TcpConnection* attempt = upstream_.Find(session.attempt);
+  if (client == nullptr || attempt == nullptr || client->input().empty()) return;
+  if (attempt->Queued() > TcpConnection::kHighWater) {
+    client->SetReading(false);
+    return;
+  }
+  const std::string_view input = client->input();
+  attempt->Write({input});
+  if (session.unanswered_since.count() == 0 && input.find('\n') != std::string_view::npos) {
+    session.unanswered_since = loop_.Now();
+    if (session.IsEstablished()) session.timer.Set(loop_.Now() + kAnswerTimeout);
+  }
+  client->Consume(input.size());
+}
+
+void Forwarder::ForwardToClient(SlotId session_id, Extent extent) {
+  Session* session = sessions_.Find(session_id);
+  if (session == nullptr) return;
+  TcpConnection* client = downstream_.Find(session->client);
+  TcpConnection* attempt = upstream_.Find(session->attempt);
+  if (client == nullptr || attempt == nullptr || attempt->input().empty()) return;
+  if (client->Queued() > TcpConnection::kHighWater && extent == Extent::kCompleteLines) {
+    attempt->SetReading(false);
+    return;
+  }
+  const std::string_view input = attempt->input();
+  const std::string_view forwarded = input.substr(0, ForwardableSize(input, extent));
+  if (forwarded.empty()) return;
+  client->Write({forwarded});
+  // Handled once the buffers are done with: the balancer may migrate this client.
+  const std::vector<std::string> lines = SplitLines(forwarded);
+  attempt->Consume(forwarded.size());
+  if (session->timer.IsSet() && session->IsEstablished()) session->timer.Set(loop_.Now() + kAnswerTimeout);
+  for (const std::string& line : lines) {
+    session = sessions_.Find(session_id);
+    if (session == nullptr) return;
+    OnEndpointLine(*session, line);
+  }
+}
+
+void Forwarder::OnEndpointLine(Session& session, std::string_view line) {
+  const auto [word, rest] = SplitFirstWord(line);
+  if (word == "LOAD") {
+    if (const auto load = ParseDecimal(rest)) balancer_.HandleEvent(ToLoadReported(session.id, *load));
+    return;
+  }
+  session.announced_end = AnnouncedEnd(word);
+  const bool is_answer = session.announced_end == AttemptEnd::kBroken;
+  if (session.unanswered_since.count() == 0 || !is_answer) return;
+  const Micros latency = loop_.Now() - std::exchange(session.unanswered_since, Micros(0));
+  session.answered_at = loop_.Now();
+  if (session.IsEstablished()) session.timer.Cancel();
+  latency_reporter_.OnAnswer(session.endpoint, latency);
+}
+
+void Forwarder::OnClientWritable(SlotId session_id) {
+  const Session* session = sessions_.Find(session_id);
+  if (session == nullptr) return;
+  if (TcpConnection* attempt = upstream_.Find(session->attempt)) attempt->SetReading(true);
+  ForwardToClient(session_id, Extent::kCompleteLines);
+}
+
+void Forwarder::OnEndpointWritable(SlotId session_id) {
+  Session* session = sessions_.Find(session_id);
+  if (session == nullptr) return;
+  if (TcpConnection* client = downstream_.Find(session->client)) client->SetReading(true);
+  ForwardToEndpoint(*session);
+}
+
+}  // namespace stoatrun
--- a/src/proxy/line_protocol.cpp
+++ b/src/proxy/line_protocol.cpp
@@ -4,124 +4,141 @@
 #include <array>
 #include <charconv>
 #include <cmath>
+#include <system_error>
+#include <utility>
 
 #include "base/name.h"
 
 namespace stoatrun {
 namespace {
 
-constexpr double kMaxWaitMs =
-    8.64e7;  // A day. Nobody waits longer; connections from before ask for 71 minutes.
-constexpr std::array<std::string_view, 8> kFields{"c", "t", "d", "g", "r", "again", "at", "h"};
+// A day. No client waits longer; resumed connections ask for 71 minutes.
+constexpr double kMaxTimeoutMs = 8.64e7;
 
-// Visible ASCII alone: what else comes is not of this protocol and must not reach an upstream host.
-bool Plain(std::string_view line) {
-  for (const char c : line) {
-    if (c < ' ' || c > '~') return false;
-  }
+// The known fields of a request line.
+enum class Field : std::uint8_t { kClass, kTenant, kTimeout, kGroup, kRetry, kReconnect, kResume, kLoad };
+// Their names, in the order of the enumeration.
+constexpr std::array<std::string_view, 8> kFieldNames{"c", "t", "d", "g", "r", "again", "at", "h"};
+
+// Only visible ASCII belongs to this protocol; anything else must not reach an endpoint.
+bool IsPrintableAscii(std::string_view line) {
+  return std::all_of(line.begin(), line.end(), [](char c) { return c >= ' ' && c <= '~'; });
+}
+
+bool SetTimeout(std::string_view line, std::string_view value, OpenRequest& request) {
+  const auto timeout = ParseAmount(value);
+  if (!timeout || *timeout > kMaxTimeoutMs) return false;
+  request.timeout_ms = static_cast<std::int64_t>(*timeout);
+  const auto at = static_cast<std::size_t>(value.data() - line.data());
+  request.before_timeout = line.substr(0, at);
+  request.after_timeout = line.substr(at + value.size());
   return true;
 }
 
-template <typename T>
-std::optional<T> Number(std::string_view text) {
-  T value{};
-  const char* end = text.data() + text.size();
-  const auto [at, error] = std::from_chars(text.data(), end, value);
-  if (error != std::errc() || at != end) return std::nullopt;
-  return value;
+// Returns whether `value` is well-formed for `field`.
+bool SetField(std::string_view line, Field field, std::string_view value, OpenRequest& request) {
+  switch (field) {
+    case Field::kClass:
+      request.class_name = value;
+      return true;
+    case Field::kTenant:
+      request.tenant = value;
+      return true;
+    case Field::kTimeout:
+      return SetTimeout(line, value, request);
+    case Field::kGroup:
+      request.affinity_group = value;
+      return true;
+    case Field::kRetry:
+      return true;  // For endpoints only.
+    case Field::kReconnect:
+      request.is_reconnect = value == "1";
+      return true;
+    case Field::kResume:
+      request.resume_endpoint = value;
+      return true;
+    case Field::kLoad:
+      request.load = ParseAmount(value);
+      return request.load.has_value();
+  }
+  return false;
+}
+
+// Parses NAME=VALUE,... within `line`. Returns whether all fields are well-formed.
+bool ParseFields(std::string_view line, std::string_view fields, OpenRequest& request) {
+  std::array<bool, kFieldNames.size()> seen{};
+  for (std::size_t begin = 0; begin <= fields.size();) {
+    const std::size_t end = std::min(fields.find(',', begin), fields.size());
+    const std::string_view field = fields.substr(begin, end - begin);
+    begin = end + 1;
+    const std::size_t equals = field.find('=');
+    if (equals == 0 || equals == std::string_view::npos || field.find(' ') != std::string_view::npos) {
+      return false;
+    }
+    const std::string_view value = field.substr(equals + 1);
+    const auto* const name = std::find(kFieldNames.begin(), kFieldNames.end(), field.substr(0, equals));
+    if (name == kFieldNames.end()) continue;
+    const auto index = static_cast<std::size_t>(name - kFieldNames.begin());
+    // Which of two values an endpoint would use is not known here, and an empty one says nothing.
+    if (value.empty() || std::exchange(seen[index], true)) return false;
+    if (!SetField(line, static_cast<Field>(index), value, request)) return false;
+  }
+  return true;
 }
 
 }  // namespace
 
-std::optional<std::size_t> LineLength(std::string_view in) {
-  const std::size_t end = in.find('\n');
+std::optional<std::size_t> LineLength(std::string_view input) {
+  const std::size_t end = input.find('\n');
   if (end == std::string_view::npos) return std::nullopt;
   return end + 1;
 }
 
-std::string_view Stripped(std::string_view line) {
+std::string_view StripLineEnd(std::string_view line) {
   if (!line.empty() && line.back() == '\n') line.remove_suffix(1);
   if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
   return line;
 }
 
-std::pair<std::string_view, std::string_view> SplitWord(std::string_view line) {
+SplitLine SplitFirstWord(std::string_view line) {
   const std::size_t space = line.find(' ');
   if (space == std::string_view::npos) return {line, {}};
   return {line.substr(0, space), line.substr(space + 1)};
 }
 
-std::optional<double> Decimal(std::string_view text) {
-  const auto value = Number<double>(text);
-  return value && std::isfinite(*value) ? value : std::nullopt;
+std::optional<double> ParseDecimal(std::string_view text) {
+  double value = 0;
+  const char* end = text.data() + text.size();
+  const auto [at, error] = std::from_chars(text.data(), end, value);
+  if (error != std::errc() || at != end || !std::isfinite(value)) return std::nullopt;
+  return value;
 }
 
-std::optional<double> Amount(std::string_view text) {
+std::optional<double> ParseAmount(std::string_view text) {
   if (text.empty() || text.front() == '.' || text.back() == '.' ||
       text.find_first_not_of("0123456789.") != std::string_view::npos) {
     return std::nullopt;
   }
-  return Decimal(text);
+  return ParseDecimal(text);
 }
 
-std::optional<std::uint64_t> Whole(std::string_view text) { return Number<std::uint64_t>(text); }
-
-std::optional<OpenHead> ParseOpen(std::string_view line) {
-  if (!Plain(line)) return std::nullopt;
-  const auto [verb, rest] = SplitWord(line);
-  const auto [id, after_id] = SplitWord(rest);
-  const auto [key, fields] = SplitWord(after_id);
+std::optional<OpenRequest> ParseOpenRequest(std::string_view line) {
+  if (!IsPrintableAscii(line)) return std::nullopt;
+  const auto [verb, after_verb] = SplitFirstWord(line);
+  const auto [id, after_id] = SplitFirstWord(after_verb);
+  const auto [key, fields] = SplitFirstWord(after_id);
   if (verb != "OPEN" || !IsName(id) || key.empty() || key.find_first_of("=,") != std::string_view::npos) {
     return std::nullopt;
   }
-  OpenHead head;
-  head.id = id;
-  head.key = key;
-  std::array<bool, kFields.size()> seen{};
-  bool waits = false;
-  for (std::size_t begin = 0; begin <= fields.size();) {
-    const std::size_t end = std::min(fields.find(',', begin), fields.size());
-    const std::string_view field = fields.substr(begin, end - begin);
-    begin = end + 1;
-    const std::size_t equals = field.find('=');
-    if (equals == 0 || equals == std::string_view::npos || field.find(' ') != std::string_view::npos) {
-      return std::nullopt;
-    }
-    const std::string_view name = field.substr(0, equals), value = field.substr(equals + 1);
-    const auto known =
-        static_cast<std::size_t>(std::find(kFields.begin(), kFields.end(), name) - kFields.begin());
-    if (known == kFields.size()) continue;
-    // Which of two values a host would heed is not known here, and an empty one says nothing.
-    if (value.empty() || std::exchange(seen[known], true)) return std::nullopt;
-    if (name == "c") {
-      head.class_name = value;
-    } else if (name == "t") {
-      head.tenant = value;
-    } else if (name == "d") {
-      const auto wait = Amount(value);
-      if (!wait || *wait > kMaxWaitMs) return std::nullopt;
-      waits = true;
-      head.wait_ms = static_cast<std::int64_t>(*wait);
-      const auto at = static_cast<std::size_t>(value.data() - line.data());
-      head.before_wait = line.substr(0, at);
-      head.after_wait = line.substr(at + value.size());
-    } else if (name == "g") {
-      head.group = value;
-    } else if (name == "at") {
-      head.at = value;
-    } else if (name == "h") {
-      head.load = Amount(value);
-      if (!head.load) return std::nullopt;
-    } else if (name == "again") {
-      head.again = value == "1";
-    }
-  }
-  if (head.class_name.empty()) return std::nullopt;
-  if (!waits) {  // Only a resumed connection waits without bounds.
-    if (head.at.empty()) return std::nullopt;
-    head.before_wait = line;
+  OpenRequest request;
+  request.id = id;
+  request.key = key;
+  if (!ParseFields(line, fields, request) || request.class_name.empty()) return std::nullopt;
+  if (request.before_timeout.empty()) {  // Only a resumed connection may wait without a timeout.
+    if (request.resume_endpoint.empty()) return std::nullopt;
+    request.before_timeout = line;
   }
-  return head;
+  return request;
 }
 
 }  // namespace stoatrun
--- /dev/null
+++ b/src/proxy/listener.cpp
@@ -0,0 +1,156 @@
+#include "proxy/listener.h"
+
+#include <arpa/inet.h>
+#include <fcntl.h>
+#include <sys/socket.h>
+#include <sys/stat.h>
+#include <unistd.h>
+
+#include <array>
+#include <cerrno>
+#include <string>
+#include <string_view>
+#include <system_error>
+#include <utility>
+
+#include "config/config.h"
+#include "proxy/line_protocol.h"
+
+namespace stoatrun {
+namespace {
+
+// Each takes some 20 us: a flood of clients must not delay established sessions by more than a millisecond or
+// two a turn.
+constexpr int kAcceptsPerTurn = 64;
+constexpr std::string_view kBusyLine = "BUSY\r\n";
+
+UniqueFd OpenSpare() { return UniqueFd(open("/dev/null", O_RDONLY | O_CLOEXEC)); }
+
+[[noreturn]] void ThrowSystemError(const char* operation) {
+  throw std::system_error(errno, std::generic_category(), operation);
+}
+
+[[noreturn]] void RefuseDescriptor(int fd, std::string_view reason) {
+  throw ConfigError("PROXY_ACCEPT_FD: descriptor " + std::to_string(fd) + " " + std::string(reason));
+}
+
+// The value of an integer option of a socket; -1 if it can't be read.
+int SocketOption(int fd, int name) {
+  int value = -1;
+  socklen_t size = sizeof value;
+  return getsockopt(fd, SOL_SOCKET, name, &value, &size) == 0 ? value : -1;
+}
+
+}  // namespace
+
+Listener::Listener(EventLoop& loop, ListenerEvents& events, Counters& counters, LogRateLimiter& capacity_log)
+    : loop_(loop), events_(events), counters_(counters), capacity_log_(capacity_log), spare_(OpenSpare()) {
+  ev_init(&watcher_, OnReadable);
+  watcher_.data = this;
+}
+
+Listener::~Listener() { Stop(); }
+
+void Listener::Listen(const Address& address) {
+  UniqueFd socket_fd(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  if (!socket_fd) ThrowSystemError("socket");
+  const int on = 1;  // A restarted proxy gets its address again although old connections linger there.
+  setsockopt(socket_fd.Get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+  const auto* raw = reinterpret_cast<const sockaddr*>(&address.raw);
+  if (bind(socket_fd.Get(), raw, sizeof address.raw) != 0) ThrowSystemError("bind");
+  if (listen(socket_fd.Get(), SOMAXCONN) != 0) ThrowSystemError("listen");
+  socket_ = std::move(socket_fd);
+  StartAccepting();
+}
+
+void Listener::Adopt(int fd) {
+  struct stat status {};
+  if (fstat(fd, &status) != 0) RefuseDescriptor(fd, "is not open");
+  if (!S_ISSOCK(status.st_mode)) RefuseDescriptor(fd, "is not a socket");
+  if (SocketOption(fd, SO_DOMAIN) != AF_INET) RefuseDescriptor(fd, "is not an IPv4 socket");
+  if (SocketOption(fd, SO_TYPE) != SOCK_STREAM) RefuseDescriptor(fd, "is not a TCP socket");
+  if (SocketOption(fd, SO_ACCEPTCONN) != 1) RefuseDescriptor(fd, "does not listen");
+  // Programs that this process might start must not keep the socket open.
+  if (fcntl(fd, F_SETFD, FD_CLOEXEC) != 0 || fcntl(fd, F_SETFL, fcntl(fd, F_GETFL) | O_NONBLOCK) != 0) {
+    RefuseDescriptor(fd, "can't be made non-blocking");
+  }
+  socket_.Reset(fd);
+  inherited_ = true;
+  StartAccepting();
+}
+
+void Listener::StartAccepting() {
+  ev_io_set(&watcher_, socket_.Get(), EV_READ);
+  ev_io_start(loop_.native_handle(), &watcher_);
+}
+
+void Listener::Stop() {
+  if (!socket_) return;
+  // The queue holds at most SOMAXCONN connections.
+  for (int remaining = inherited_ ? 0 : SOMAXCONN; remaining > 0 && AcceptPending();) {
+    remaining -= kAcceptsPerTurn;
+  }
+  ev_io_stop(loop_.native_handle(), &watcher_);
+  socket_.Reset();
+}
+
+int Listener::Port() const {
+  sockaddr_in bound{};
+  socklen_t size = sizeof bound;
+  return getsockname(socket_.Get(), reinterpret_cast<sockaddr*>(&bound), &size) == 0 ? ntohs(bound.sin_port)
+                                                                                     : 0;
+}
+
+void Listener::OnReadable(struct ev_loop* /*loop*/, ev_io* watcher, int /*events*/) {
+  static_cast<Listener*>(watcher->data)->AcceptPending();
+}
+
+bool Listener::AcceptPending() {
+  for (int k = 0; k < kAcceptsPerTurn; ++k) {
+    if (!AcceptOne()) return false;
+  }
+  return true;
+}
+
+bool Listener::AcceptOne() {
+  UniqueFd client(accept4(socket_.Get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+  if (client) {
+    ++counters_.accepted;
+    events_.OnAccepted(std::move(client));
+    return true;
+  }
+  if (errno == EINTR || errno == ECONNABORTED) return true;
+  if (errno == EAGAIN) return false;
+  // accept() reports a lack of descriptors before it looks at the queue: perhaps no client waits.
+  if ((errno == EMFILE || errno == ENFILE) && spare_) return RejectForCapacity();
+  ++counters_.accept_failed;
+  LogLine(Level::kWarn, "accept failed").Field("errno", errno);
+  return false;
+}
+
+// Without a descriptor the queue would stay readable and keep the loop busy, and its clients would get no
+// answer. The spare descriptor accepts one client at a time, to tell it to retry later.
+bool Listener::RejectForCapacity() {
+  spare_.Reset();
+  UniqueFd client(accept4(socket_.Get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+  const bool rejected = static_cast<bool>(client);
+  if (rejected) {
+    ++counters_.accept_failed;
+    std::array<char, kMaxLine> input{};
+    const bool answered = write(client.Get(), kBusyLine.data(), kBusyLine.size()) > 0;
+    shutdown(client.Get(), SHUT_WR);
+    const bool requested = read(client.Get(), input.data(), input.size()) > 0;
+    if (capacity_log_.Allows(loop_.Now())) {
+      LogLine(Level::kWarn, "turned away without a descriptor,")
+          .Field("asked", requested)
+          .Field("told", answered)
+          .Field("left_out", capacity_log_.TakeLeftOut());
+    }
+    DiscardUnreadInput(client.Get());
+    client.Reset();  // Before the spare is opened again, which needs the descriptor.
+  }
+  spare_ = OpenSpare();
+  return rejected;
+}
+
+}  // namespace stoatrun
--- /dev/null
+++ b/src/proxy/proxy_settings.cpp
@@ -0,0 +1,51 @@
+#include "proxy/proxy_settings.h"
+
+#include <sys/resource.h>
+
+#include <algorithm>
+#include <chrono>
+
+#include "proxy/time_fraction.h"
+
+namespace stoatrun {
+namespace {
+
+using std::chrono::milliseconds;
+
+// What discovery announced stays in force for 6 s unless settings say otherwise; the rest of what they say is
+// for the caller's turn and the answer.
+constexpr Micros kMaxPollInterval = std::chrono::seconds(6);
+constexpr double kSharedServiceFraction = 0.6;  // Of the time until contents count as announced.
+constexpr double kLocalAgentFraction = 0.3;     // Of the grace time of a drain.
+constexpr Micros kMinPollInterval = milliseconds(10);
+constexpr Micros kDefaultGrace = milliseconds(250);
+// Where neither the configuration nor the system has a limit.
+constexpr std::size_t kDefaultDescriptorLimit = 1024;
+
+}  // namespace
+
+Upstream::Timeouts UpstreamTimeouts(const balancer::settings::SiteSettings& site) {
+  Upstream::Timeouts timeouts;
+  if (site.connect_timeout.count() > 0) timeouts.connect = site.connect_timeout;
+  if (site.idle_close.count() > 0) timeouts.idle_close = site.idle_close;
+  if (site.stop_sending_within.count() > 0) timeouts.stop_sending = site.stop_sending_within;
+  return timeouts;
+}
+
+Micros MaxDiscoveryPollInterval(const balancer::settings::SiteSettings& site) {
+  if (site.module.list_mode == balancer::ListMode::kPushed) {
+    const Micros grace = site.stop_sending_within.count() > 0 ? site.stop_sending_within : kDefaultGrace;
+    return std::max(kMinPollInterval, TimeFraction(grace, kLocalAgentFraction));
+  }
+  if (site.ask_within.count() <= 0) return kMaxPollInterval;
+  return std::min(kMaxPollInterval, TimeFraction(site.ask_within, kSharedServiceFraction));
+}
+
+std::size_t DescriptorLimit(const Config& config) {
+  rlimit files{};
+  std::size_t limit = getrlimit(RLIMIT_NOFILE, &files) == 0 ? files.rlim_cur : kDefaultDescriptorLimit;
+  if (config.sockets > 0) limit = std::min(limit, config.sockets);
+  return limit;
+}
+
+}  // namespace stoatrun
--- /dev/null
+++ b/src/proxy/proxy_settings.h
@@ -0,0 +1,28 @@
+// Limits of the proxy's parts, derived from its configuration and from the system's limits.
+#ifndef STOATRUN_PROXY_PROXY_SETTINGS_H_
+#define STOATRUN_PROXY_PROXY_SETTINGS_H_
+
+#include <cstddef>
+
+#include "base/event_loop.h"
+#include "config/config.h"
+#include "config/site_settings.h"
+#include "proxy/upstream.h"
+
+namespace stoatrun {
+
+// The time limits of connections to endpoints.
+Upstream::Timeouts UpstreamTimeouts(const balancer::settings::SiteSettings& site);
+
+// The longest time between two calls to discovery. An agent of this machine's own costs nothing, and what it
+// has counts as announced whether or not it is polled: the time is a part of the grace time of a drain. A
+// service that all proxies share is polled seldom, but an answer comes before the settings count its contents
+// as announced.
+Micros MaxDiscoveryPollInterval(const balancer::settings::SiteSettings& site);
+
+// The number of descriptors that this process may use.
+std::size_t DescriptorLimit(const Config& config);
+
+}  // namespace stoatrun
+
+#endif  // STOATRUN_PROXY_PROXY_SETTINGS_H_
--- /dev/null
+++ b/src/proxy/session_controller.h
@@ -0,0 +1,104 @@
+// The life of sessions: turns what clients and endpoints do into events for the balancer and executes its
+// actions. It never chooses an endpoint, retries or sheds load by itself.
+#ifndef STOATRUN_PROXY_SESSION_CONTROLLER_H_
+#define STOATRUN_PROXY_SESSION_CONTROLLER_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <string_view>
+
+#include "base/counters.h"
+#include "base/event_loop.h"
+#include "base/fleet_client.h"
+#include "config/site_settings.h"
+#include "endpoint/discovery_client.h"
+#include "proxy/balancer_driver.h"
+#include "proxy/downstream.h"
+#include "proxy/fleet_quota_guard.h"
+#include "proxy/forwarder.h"
+#include "proxy/session_resumption.h"
+#include "proxy/session_table.h"
+#include "proxy/upstream.h"
+
+namespace stoatrun {
+
+// Adds and erases all sessions (see session_table.h for what follows from that), makes their attempts and
+// ends their connections. Used by the event loop's thread only.
+class SessionController : public DownstreamEvents,
+                          public UpstreamEvents,
+                          public ActionHandler,
+                          private SessionTimeoutHandler {
+ public:
+  // The parts of the proxy that the controller works with. All must outlive it, but none is used in its
+  // constructor: they may be constructed after it.
+  struct Parts {
+    EventLoop& loop;
+    const balancer::settings::SiteSettings& site;
+    Counters& counters;
+    SessionTable& sessions;
+    Downstream& downstream;
+    Upstream& upstream;
+    Discovery& discovery;
+    BalancerDriver& balancer;
+    FleetQuotaGuard& fleet;
+    SessionResumption& resumption;
+    Forwarder& forwarder;
+  };
+
+  explicit SessionController(const Parts& parts) : parts_(parts) {}
+
+  // Migrates `count` of the established sessions: those that were answered most recently, whose clients will
+  // not send for a while.
+  void MigrateIdle(std::size_t count);
+
+  // ActionHandler
+  void OpenAttempt(SlotId session_id, EndpointIndex endpoint, Micros timeout) override;
+  void CancelAttempt(SlotId session_id, std::uint32_t attempt_number) override;
+  void Reject(SlotId session_id, Micros retry_after) override;
+  void Fail(SlotId session_id) override;
+  void Migrate(SlotId session_id) override;
+  void Probe(EndpointIndex endpoint) override;
+  void WatchEndpoints() override;
+
+ private:
+  // DownstreamEvents
+  std::optional<OpenRequestError> Validate(const OpenRequest& request) override;
+  SlotId OnOpen(SlotId client, const OpenRequest& request) override;
+  void OnClientBytes(SlotId session_id) override;
+  void OnClientEnd(SlotId session_id, ConnectionEnd end) override;
+  void OnClientWritable(SlotId session_id) override;
+  void OnRejectedForCapacity(const OpenRequest& request) override;
+  // UpstreamEvents
+  void OnAttemptConnected(SlotId session_id) override;
+  void OnAttemptSent(SlotId session_id) override;
+  void OnAttemptEstablished(SlotId session_id, std::string_view line) override;
+  void OnAttemptEnded(SlotId session_id, AttemptEnd end, std::string_view line) override;
+  void OnAttemptBytes(SlotId session_id) override;
+  void OnAttemptFinished(SlotId session_id, ConnectionEnd end) override;
+  void OnAttemptWritable(SlotId session_id) override;
+  void OnProbeCompleted(EndpointIndex endpoint, bool succeeded, std::string_view report) override;
+  // SessionTimeoutHandler
+  void OnSessionTimeout(SlotId session_id) override;
+
+  Session& AddSession(SlotId client, const OpenRequest& request);
+  // Sends a pending session's client its final answer and erases the session.
+  void Answer(SlotId session_id, std::string_view line, FleetClient::ConnectionOutcome outcome);
+  // The client of a pending session has left.
+  void EndPending(Session& session, ConnectionEnd end);
+  // The client of an established session has broken its connection.
+  void ResetEstablished(Session& session);
+  // Ends a session past kPending: closes both connections, erases it and reports the end to the balancer.
+  void EndEstablished(Session& session, AttemptEnd end, std::string_view last_line);
+  // The index of a class; ClassNames().size() if there is none of this name.
+  std::size_t ClassIndex(std::string_view name) const;
+  // The counters of a class; null if the index is not valid.
+  ClassCounters* CountersOfClass(std::size_t class_index);
+  Micros Now() const { return parts_.loop.Now(); }
+
+  const Parts parts_;
+};
+
+}  // namespace stoatrun
+
+#endif  // STOATRUN_PROXY_SESSION_CONTROLLER_H_
--- a/src/proxy/upstream.cpp
+++ b/src/proxy/upstream.cpp
@@ -3,300 +3,327 @@
 #include <algorithm>
 #include <array>
 #include <charconv>
+#include <chrono>
+#include <string>
 #include <utility>
 
-#include "base/log.h"
 #include "proxy/line_protocol.h"
+#include "proxy/time_fraction.h"
 
 namespace stoatrun {
 namespace {
 
-constexpr Micros kProbeWait = std::chrono::milliseconds(300);  // A figure later than this misleads a landing.
-constexpr double kIdlePart = 0.8;  // Of the host's idle time: we end an idle connection before the host does.
-constexpr double kDrainPart = 0.6;  // Of the grace after a drain was told; the rest is for a busy machine.
-// Idle connections kept for further probes: with the downstream's few they stay within what it leaves for
-// others, however many hosts are listed.
-constexpr std::size_t kMostIdle = 32;
-constexpr Micros kStepWait = Micros(1);  // The next step of the loop.
+constexpr Micros kProbeTimeout = std::chrono::milliseconds(300);  // A later load report misleads placement.
+// Of the endpoint's idle timeout: an idle connection is closed here before the endpoint closes it.
+constexpr double kIdleFraction = 0.8;
+// Of the grace time after a drain was announced; the rest is for a busy machine.
+constexpr double kDrainFraction = 0.6;
+// Idle connections kept for further probes: together with the few of the downstream side they stay within
+// what it reserves for others, however many endpoints are listed.
+constexpr std::size_t kMaxIdleProbes = 32;
+constexpr Micros kNextTurn = Micros(1);  // The loop's next turn.
+constexpr std::string_view kProbeLine = "STATS\r\n";
 
-// What the first word of a host's first line means.
-AttemptEnd MeaningOf(std::string_view word) {
+// The end of an attempt whose first answer begins with `word`.
+AttemptEnd AttemptEndFor(std::string_view word) {
   if (word == "BUSY") return AttemptEnd::kRejected;
   if (word == "BYE") return AttemptEnd::kServed;
-  if (word == "MOVE") return AttemptEnd::kSentAway;
+  if (word == "MOVE") return AttemptEnd::kMigrated;
   return AttemptEnd::kError;
 }
 
 }  // namespace
 
-Upstream::Upstream(EventLoop& loop, UpstreamEvents& events, Counters& counters, const Times& times)
-    : loop_(loop), events_(events), counters_(counters), times_(times) {
+Upstream::Upstream(EventLoop& loop, UpstreamEvents& events, Counters& counters, const Timeouts& timeouts)
+    : loop_(loop), events_(events), counters_(counters), timeouts_(timeouts) {
   loop_.AddTurnEndHook([this] {
-    links_.Reclaim();
-    drains_.Reclaim();
+    connections_.Reclaim();
+    drain_timers_.Reclaim();
   });
 }
 
-EndpointIndex Upstream::NumberOf(const std::string& id) {
-  const auto [it, fresh] = numbers_.try_emplace(id, static_cast<EndpointIndex>(hosts_.size()));
-  if (fresh) {
-    hosts_.emplace_back();
-    hosts_.back().id = id;
-  }
-  return it->second;
-}
+// ---- endpoints ----
 
-std::optional<EndpointIndex> Upstream::Known(const std::string& id) const {
-  const auto it = numbers_.find(id);
-  return it == numbers_.end() ? std::nullopt : std::optional(it->second);
-}
-
-void Upstream::TakeList(const EndpointUpdate& list) {
-  std::vector<bool> named(hosts_.size() + list.entries.size());
-  for (const Endpoint& e : list.entries) {
-    const EndpointIndex n = NumberOf(e.id);
-    named[n] = true;
-    Host& h = hosts_[n];
-    if (const auto address = Address::Parse(e.address)) h.address = address;
-    h.phase = e.phase;
-  }
-  for (EndpointIndex n = 0; n < hosts_.size(); ++n) {
-    Host& h = hosts_[n];
-    if (list.complete && !named[n]) h.phase = EndpointState::kGone;
-    if (h.phase == EndpointState::kReady) {
-      h.watched_drain = false;
-    } else if (!h.watched_drain) {
-      // Guards the rule of careful drains: an attempt that still connects would send its first byte too late.
-      h.watched_drain = true;
-      const auto grace =
-          Micros(static_cast<std::int64_t>(static_cast<double>(times_.stop_sending.count()) * kDrainPart));
-      drains_.Add(*this, n).deadline.Set(loop_.Now() + grace);
+void Upstream::ApplyUpdate(const EndpointUpdate& update) {
+  endpoints_.Apply(update);
+  per_endpoint_.resize(endpoints_.Size());
+  for (EndpointIndex endpoint = 0; endpoint < endpoints_.Size(); ++endpoint) {
+    bool& has_drain_timer = per_endpoint_[endpoint].has_drain_timer;
+    if (endpoints_.Get(endpoint).state == EndpointState::kReady) {
+      has_drain_timer = false;
+    } else if (!has_drain_timer) {
+      // Nothing may be sent after the grace time: an attempt that still connects would send its first byte
+      // late.
+      has_drain_timer = true;
+      const Micros grace = TimeFraction(timeouts_.stop_sending, kDrainFraction);
+      drain_timers_.Add(*this, endpoint).timer.Set(loop_.Now() + grace);
     }
   }
 }
 
-std::size_t Upstream::Listed() const {
-  return static_cast<std::size_t>(std::count_if(
-      hosts_.begin(), hosts_.end(), [](const Host& h) { return h.phase != EndpointState::kGone; }));
-}
-
-void Upstream::StopSending(EndpointIndex host) {
-  if (hosts_[host].phase == EndpointState::kReady) return;
-  std::vector<SlotId> late;
-  links_.ForEach([&](Link& l) {
-    if (l.host == host && (!l.sent || (l.probe && l.up))) late.push_back(l.id);
+void Upstream::StopSending(EndpointIndex endpoint) {
+  if (endpoints_.Get(endpoint).state == EndpointState::kReady) return;
+  std::vector<SlotId> unsent;
+  connections_.ForEach([&](const Connection& connection) {
+    if (connection.endpoint == endpoint && (!connection.sent || connection.state == State::kIdle)) {
+      unsent.push_back(connection.id);
+    }
   });
-  for (const SlotId id : late) {
-    Link* l = links_.Find(id);
-    if (l == nullptr) continue;
-    if (l->probe) {
-      EndProbe(*l, false, {}, false);
+  for (const SlotId id : unsent) {
+    Connection* connection = connections_.Find(id);
+    if (connection == nullptr) continue;
+    if (connection->IsProbe()) {
+      FailProbe(*connection, {});
     } else {
-      EndAttempt(*l, AttemptEnd::kNotConnected, {});
+      EndAttempt(*connection, AttemptEnd::kNotConnected, {});
     }
   }
 }
 
-SlotId Upstream::Open(SlotId owner, EndpointIndex host, const AttemptWork& work) {
+// ---- attempts ----
+
+SlotId Upstream::Open(SlotId owner, EndpointIndex endpoint, const AttemptRequest& request) {
   ++counters_.legs;
-  Link& attempt = links_.Add(*this, host, false);
+  Connection& attempt = connections_.Add(*this, endpoint, Kind::kAttempt);
   attempt.owner = owner;
-  attempt.work = work;
-  attempt.give_up = loop_.Now() + std::max(work.wait, Micros(0));
-  Start(attempt);
+  attempt.request = request;
+  attempt.give_up_at = loop_.Now() + std::max(request.timeout, Micros(0));
+  Connect(attempt);
   return attempt.id;
 }
 
-void Upstream::Start(Link& link) {
-  const Host& h = hosts_[link.host];
-  const bool begun = h.address && link.stream.Connect(*h.address);
-  link.deadline.Set(begun ? std::min(link.give_up, loop_.Now() + times_.connect) : loop_.Now() + kStepWait);
+void Upstream::Connect(Connection& connection) {
+  const auto& address = endpoints_.Get(connection.endpoint).address;
+  const bool connecting = address && connection.tcp.Connect(*address);
+  connection.timer.Set(connecting ? std::min(connection.give_up_at, loop_.Now() + timeouts_.connect)
+                                  : loop_.Now() + kNextTurn);
 }
 
-void Upstream::Probe(EndpointIndex host) {
-  ++counters_.probes;
-  Host& h = hosts_[host];
-  Link* link = links_.Find(h.idle_probe);
-  h.idle_probe = {};
-  if (link != nullptr) {
-    link->up = false;
-    link->reused = true;
-    link->give_up = loop_.Now() + kProbeWait;
-    link->deadline.Set(link->give_up);
-    link->stream.Write({"STATS\r\n"});
-    return;
-  }
-  Link& fresh = links_.Add(*this, host, true);
-  fresh.give_up = loop_.Now() + kProbeWait;
-  Start(fresh);
+void Upstream::Close(SlotId attempt) {
+  Connection* connection = connections_.Find(attempt);
+  if (connection == nullptr) return;
+  connection->tcp.Close();
+  connection->timer.Cancel();
+  connections_.Erase(attempt);
+}
+
+void Upstream::Reset(SlotId attempt) {
+  Connection* connection = connections_.Find(attempt);
+  if (connection == nullptr) return;
+  connection->tcp.Reset();
+  Close(attempt);
 }
 
 TcpConnection* Upstream::Find(SlotId attempt) {
-  Link* l = links_.Find(attempt);
-  return l == nullptr ? nullptr : &l->stream;
+  Connection* connection = connections_.Find(attempt);
+  return connection == nullptr ? nullptr : &connection->tcp;
 }
 
-void Upstream::Close(SlotId attempt) {
-  Link* l = links_.Find(attempt);
-  if (l == nullptr) return;
-  l->stream.Close();
-  l->deadline.Cancel();
-  links_.Erase(attempt);
+void Upstream::SendRequest(Connection& attempt) {
+  const AttemptRequest& request = attempt.request;
+  if (!request.sends_timeout) {
+    attempt.tcp.Write({request.before_timeout, "\r\n"});
+    return;
+  }
+  std::array<char, 24> text{};  // Holds any 64-bit number.
+  const auto timeout_ms = std::max<Micros::rep>(1, (attempt.give_up_at - loop_.Now()).count() / 1000);
+  const char* end = std::to_chars(text.data(), text.data() + text.size(), timeout_ms).ptr;
+  const std::string_view timeout(text.data(), static_cast<std::size_t>(end - text.data()));
+  attempt.tcp.Write({request.before_timeout, timeout, request.after_timeout, "\r\n"});
 }
 
-void Upstream::Reset(SlotId attempt) {
-  Link* l = links_.Find(attempt);
-  if (l == nullptr) return;
-  l->stream.Reset();
-  Close(attempt);
+void Upstream::OnSent(Connection& connection) {
+  if (std::exchange(connection.sent, true) || connection.IsProbe()) return;
+  events_.OnAttemptSent(connection.owner);
 }
 
-void Upstream::EndAttempt(Link& attempt, AttemptEnd end, std::string_view line) {
-  const SlotId owner = attempt.owner;
+void Upstream::CountAttemptEnd(AttemptEnd end) {
   if (end == AttemptEnd::kNotConnected) ++counters_.legs_not_connected;
   if (end == AttemptEnd::kBroken) ++counters_.legs_cut;
   if (end == AttemptEnd::kTimedOut) ++counters_.legs_timed_out;
   if (end == AttemptEnd::kRejected) ++counters_.legs_turned_away;
   if (end == AttemptEnd::kError) ++counters_.legs_error;
-  const std::string said(line);  // Its buffer goes with the attempt.
-  // Closed before it is told: what follows may open the next attempt, and two must never be out.
+}
+
+void Upstream::EndAttempt(Connection& attempt, AttemptEnd end, std::string_view line) {
+  CountAttemptEnd(end);
+  const SlotId owner = attempt.owner;
+  const std::string answer(line);  // The connection's buffer goes with it.
+  // Closed before it is reported: the owner may open the next attempt, and two must never be open.
   Close(attempt.id);
-  events_.OnAttemptEnd(owner, end, said);
+  events_.OnAttemptEnded(owner, end, answer);
 }
 
-std::size_t Upstream::Idle() const {
-  return static_cast<std::size_t>(std::count_if(
-      hosts_.begin(), hosts_.end(), [](const Host& h) { return static_cast<bool>(h.idle_probe); }));
+void Upstream::ReadAttempt(Connection& attempt) {
+  const std::string_view input = attempt.tcp.input();
+  const auto size = LineLength(input);
+  if (!size) {
+    if (input.size() >= kMaxLine) EndAttempt(attempt, AttemptEnd::kError, {});
+    return;
+  }
+  const std::string_view line = input.substr(0, *size);
+  const std::string_view word = SplitFirstWord(StripLineEnd(line)).first;
+  if (word != "UP") {
+    EndAttempt(attempt, AttemptEndFor(word), line);
+    return;
+  }
+  attempt.state = State::kEstablished;
+  attempt.timer.Cancel();
+  const std::string answer(line);
+  attempt.tcp.Consume(*size);
+  events_.OnAttemptEstablished(attempt.owner, answer);
 }
 
-void Upstream::EndProbe(Link& link, bool ok, std::string_view report, bool keep) {
-  const EndpointIndex host = link.host;
-  const bool told = !(link.probe && link.up);  // An idle connection owes no answer.
-  Host& h = hosts_[host];
-  const std::string said(report);
-  if (keep && h.phase == EndpointState::kReady && links_.Find(h.idle_probe) == nullptr &&
-      Idle() < kMostIdle) {
-    link.up = true;
-    h.idle_probe = link.id;
-    link.stream.Consume(link.stream.input().size());
-    link.deadline.Set(loop_.Now() + Micros(static_cast<std::int64_t>(
-                                        static_cast<double>(times_.idle_close.count()) * kIdlePart)));
-  } else {
-    if (h.idle_probe == link.id) h.idle_probe = {};
-    Close(link.id);
+// ---- probes ----
+
+void Upstream::Probe(EndpointIndex endpoint) {
+  ++counters_.probes;
+  const SlotId idle = std::exchange(per_endpoint_[endpoint].idle_probe, {});
+  if (Connection* probe = connections_.Find(idle)) {
+    probe->state = State::kPending;
+    probe->reused = true;
+    probe->give_up_at = loop_.Now() + kProbeTimeout;
+    probe->timer.Set(probe->give_up_at);
+    probe->tcp.Write({kProbeLine});
+    return;
   }
-  if (!told) return;
-  if (!ok) ++counters_.probes_failed;
-  events_.OnProbe(host, ok, said);
+  Connection& probe = connections_.Add(*this, endpoint, Kind::kProbe);
+  probe.give_up_at = loop_.Now() + kProbeTimeout;
+  Connect(probe);
+}
+
+std::size_t Upstream::IdleProbeCount() const {
+  return static_cast<std::size_t>(
+      std::count_if(per_endpoint_.begin(), per_endpoint_.end(),
+                    [](const EndpointConnections& e) { return static_cast<bool>(e.idle_probe); }));
 }
 
-void Upstream::Due(SlotId id) {
-  Link* l = links_.Find(id);
-  if (l == nullptr) return;
-  if (l->probe) {
-    EndProbe(*l, false, {}, false);
-  } else if (!l->up) {
-    // What was never written whole has never run, whatever the reason for which the wait ended.
-    EndAttempt(*l, l->sent ? AttemptEnd::kTimedOut : AttemptEnd::kNotConnected, {});
+// Keeps the connection for the endpoint's next probe, unless there are enough.
+void Upstream::KeepOrCloseProbe(Connection& probe) {
+  SlotId& idle_probe = per_endpoint_[probe.endpoint].idle_probe;
+  const bool keep = endpoints_.Get(probe.endpoint).state == EndpointState::kReady &&
+                    connections_.Find(idle_probe) == nullptr && IdleProbeCount() < kMaxIdleProbes;
+  if (!keep) {
+    Close(probe.id);
+    return;
   }
+  probe.state = State::kIdle;
+  idle_probe = probe.id;
+  probe.tcp.Consume(probe.tcp.input().size());
+  probe.timer.Set(loop_.Now() + TimeFraction(timeouts_.idle_close, kIdleFraction));
 }
 
-void Upstream::OnConnected(SlotId id) {
-  Link* l = links_.Find(id);
-  if (l == nullptr) return;
-  if (!l->probe) {
-    events_.OnAttemptConnected(l->owner);
-    l = links_.Find(id);
-    if (l == nullptr) return;
+void Upstream::ReportProbe(EndpointIndex endpoint, bool succeeded, std::string_view report) {
+  if (!succeeded) ++counters_.probes_failed;
+  events_.OnProbeCompleted(endpoint, succeeded, report);
+}
+
+void Upstream::FailProbe(Connection& probe, std::string_view report) {
+  const EndpointIndex endpoint = probe.endpoint;
+  const std::string answer(report);                   // The connection's buffer goes with it.
+  const bool was_idle = probe.state == State::kIdle;  // No probe waits for its answer.
+  SlotId& idle_probe = per_endpoint_[endpoint].idle_probe;
+  if (idle_probe == probe.id) idle_probe = {};
+  Close(probe.id);
+  if (!was_idle) ReportProbe(endpoint, false, answer);
+}
+
+void Upstream::CompleteProbe(Connection& probe, std::string_view report) {
+  const EndpointIndex endpoint = probe.endpoint;
+  const std::string answer(report);  // The connection's buffer is emptied.
+  KeepOrCloseProbe(probe);
+  ReportProbe(endpoint, true, answer);
+}
+
+void Upstream::ReadProbe(Connection& probe) {
+  const std::string_view input = probe.tcp.input();
+  const auto size = LineLength(input);
+  if (!size) {
+    if (input.size() >= kMaxLine) FailProbe(probe, {});
+    return;
   }
-  l->deadline.Set(l->give_up);
-  if (l->probe) {
-    l->stream.Write({"STATS\r\n"});
-  } else if (l->work.tells_wait) {
-    std::array<char, 24> text{};
-    const auto wait = std::max<Micros::rep>(1, (l->give_up - loop_.Now()).count() / 1000);
-    const char* end = std::to_chars(text.data(), text.data() + text.size(), wait).ptr;
-    l->stream.Write({l->work.before_wait,
-                     std::string_view(text.data(), static_cast<std::size_t>(end - text.data())),
-                     l->work.after_wait, "\r\n"});
+  const auto [word, report] = SplitFirstWord(StripLineEnd(input.substr(0, *size)));
+  if (word == "PONG" && probe.state == State::kPending) {
+    CompleteProbe(probe, report);
   } else {
-    l->stream.Write({l->work.before_wait, "\r\n"});
+    FailProbe(probe, report);
   }
-  if (l->stream.Queued() == 0 && !l->stream.IsBroken()) Sent(*l);
 }
 
-void Upstream::Sent(Link& link) {
-  if (std::exchange(link.sent, true) || link.probe) return;
-  events_.OnAttemptSent(link.owner);
+// The endpoint closed the idle connection just as it was to be used again: that says nothing of the endpoint.
+void Upstream::RestartProbe(Connection& probe) {
+  Connection& fresh = connections_.Add(*this, probe.endpoint, Kind::kProbe);
+  fresh.give_up_at = probe.give_up_at;
+  Close(probe.id);
+  Connect(fresh);
 }
 
-void Upstream::OnWritable(SlotId id) {
-  Link* l = links_.Find(id);
-  if (l == nullptr) return;
-  Sent(*l);
-  if (!l->probe && l->up) events_.OnAttemptWritable(l->owner);
-}
+// ---- connections ----
 
-void Upstream::OnBytes(SlotId id) {
-  Link* l = links_.Find(id);
-  if (l == nullptr) return;
-  if (l->probe) {
-    ReadProbe(*l);
-  } else if (l->up) {
-    events_.OnAttemptBytes(l->owner);
-  } else {
-    ReadAttempt(*l);
+void Upstream::OnTimeout(SlotId id) {
+  Connection* connection = connections_.Find(id);
+  if (connection == nullptr) return;
+  if (connection->IsProbe()) {
+    FailProbe(*connection, {});
+  } else if (connection->state == State::kPending) {
+    // What was never written completely has never run, for whatever reason the wait ended.
+    EndAttempt(*connection, connection->sent ? AttemptEnd::kTimedOut : AttemptEnd::kNotConnected, {});
   }
 }
 
-void Upstream::ReadAttempt(Link& attempt) {
-  const std::string_view in = attempt.stream.input();
-  const auto size = LineLength(in);
-  if (!size) {
-    if (in.size() >= kMaxLine) EndAttempt(attempt, AttemptEnd::kError, {});
-    return;
+void Upstream::OnConnected(SlotId id) {
+  Connection* connection = connections_.Find(id);
+  if (connection == nullptr) return;
+  if (!connection->IsProbe()) {
+    events_.OnAttemptConnected(connection->owner);
+    connection = connections_.Find(id);  // The owner may have closed it.
+    if (connection == nullptr) return;
   }
-  const std::string_view line = in.substr(0, *size);
-  const std::string_view word = SplitWord(Stripped(line)).first;
-  if (word != "UP") {
-    EndAttempt(attempt, MeaningOf(word), line);
-    return;
+  connection->timer.Set(connection->give_up_at);
+  if (connection->IsProbe()) {
+    connection->tcp.Write({kProbeLine});
+  } else {
+    SendRequest(*connection);
   }
-  attempt.up = true;
-  attempt.deadline.Cancel();
-  const std::string said(line);
-  attempt.stream.Consume(*size);
-  events_.OnAttemptUp(attempt.owner, said);
+  if (connection->tcp.Queued() == 0 && !connection->tcp.IsBroken()) OnSent(*connection);
 }
 
-void Upstream::ReadProbe(Link& link) {
-  const std::string_view in = link.stream.input();
-  const auto size = LineLength(in);
-  if (!size) {
-    if (in.size() >= kMaxLine) EndProbe(link, false, {}, false);
-    return;
+void Upstream::OnWritable(SlotId id) {
+  Connection* connection = connections_.Find(id);
+  if (connection == nullptr) return;
+  OnSent(*connection);
+  if (connection->state == State::kEstablished) events_.OnAttemptWritable(connection->owner);
+}
+
+void Upstream::OnBytes(SlotId id) {
+  Connection* connection = connections_.Find(id);
+  if (connection == nullptr) return;
+  if (connection->IsProbe()) {
+    ReadProbe(*connection);
+  } else if (connection->state == State::kEstablished) {
+    events_.OnAttemptBytes(connection->owner);
+  } else {
+    ReadAttempt(*connection);
   }
-  const auto [word, report] = SplitWord(Stripped(in.substr(0, *size)));
-  const bool ok = word == "PONG" && !link.up;
-  EndProbe(link, ok, report, ok);
 }
 
 void Upstream::OnEnd(SlotId id, ConnectionEnd end) {
-  Link* l = links_.Find(id);
-  if (l == nullptr) return;
-  if (l->probe && l->reused && !l->up && l->stream.input().empty() &&
-      hosts_[l->host].phase == EndpointState::kReady) {
-    // The host closed it while it was idle, just as it was to be used again: that says nothing of the host.
-    Link& fresh = links_.Add(*this, l->host, true);
-    fresh.give_up = l->give_up;
-    Close(id);
-    Start(fresh);
-  } else if (l->probe) {
-    EndProbe(*l, false, {}, false);
-  } else if (l->up) {
-    events_.OnAttemptFinished(l->owner, end);
+  Connection* connection = connections_.Find(id);
+  if (connection == nullptr) return;
+  if (!connection->IsProbe()) {
+    if (connection->state == State::kEstablished) {
+      events_.OnAttemptFinished(connection->owner, end);
+    } else {
+      EndAttempt(*connection, connection->sent ? AttemptEnd::kBroken : AttemptEnd::kNotConnected, {});
+    }
+    return;
+  }
+  const bool was_closed_idle =
+      connection->reused && connection->state == State::kPending && connection->tcp.input().empty();
+  if (was_closed_idle && endpoints_.Get(connection->endpoint).state == EndpointState::kReady) {
+    RestartProbe(*connection);
   } else {
-    EndAttempt(*l, l->sent ? AttemptEnd::kBroken : AttemptEnd::kNotConnected, {});
+    FailProbe(*connection, {});
   }
 }
 
--- a/src/proxy/upstream.h
+++ b/src/proxy/upstream.h
@@ -1,14 +1,15 @@
-// The upstream side: the hosts by number, attempts (each with a connection of its own) and probes.
+// The upstream side: connections to endpoints. An attempt is a connection of its own, which carries one
+// client's request line to an endpoint and, once the endpoint has accepted it, the session's bytes. A probe
+// asks an endpoint for its load report; its connection is kept for the next probe.
+//
+// Used by the event loop's thread only. Results are reported to UpstreamEvents from the loop, never from
+// within the call that started the attempt or probe.
 #ifndef STOATRUN_PROXY_UPSTREAM_H_
 #define STOATRUN_PROXY_UPSTREAM_H_
 
 #include <cstddef>
 #include <cstdint>
-#include <optional>
-#include <string>
 #include <string_view>
-#include <unordered_map>
-#include <utility>
 #include <vector>
 
 #include "base/counters.h"
@@ -16,72 +17,85 @@
 #include "base/slot_map.h"
 #include "base/tcp_connection.h"
 #include "endpoint/endpoint_update.h"
+#include "proxy/endpoint_table.h"
 
 namespace stoatrun {
 
-using EndpointIndex = std::uint32_t;
-
-// How an attempt ended before it was up: one name for each row of the protocol's outcome table, and one for
-// an attempt that was never begun, as a budget of the whole fleet did not allow it.
-enum class AttemptEnd {
+// How an attempt ended: one value for each row of the protocol's outcome table, and one for an attempt that
+// was never started because a quota of the whole fleet was exhausted. Logged by number: the order must not
+// change.
+enum class AttemptEnd : std::uint8_t {
   kServed,
-  kSentAway,
+  kMigrated,  // The endpoint sent the client away with MOVE.
   kError,
   kRejected,
-  kNotConnected,
+  kNotConnected,  // Nothing has run: the request line was not written completely.
   kBroken,
   kTimedOut,
-  kAbandoned,
-  kHeldBack
+  kAbandoned,  // By this side.
+  kQuotaExhausted
 };
 
-struct AttemptWork {
-  std::string_view before_wait, after_wait;  // Of the client's line, which outlives the attempt's set-up.
-  bool tells_wait = true;
-  Micros wait{0};
+// What an attempt sends. The views must stay valid until the attempt has connected.
+struct AttemptRequest {
+  std::string_view before_timeout, after_timeout;  // The request line around its timeout.
+  bool sends_timeout = true;                       // Whether the remaining time is written between them.
+  Micros timeout{0};                               // For the whole attempt.
 };
 
+// Receives the results of attempts and probes. `owner` is the id that was passed to Open.
 class UpstreamEvents {
  public:
   virtual ~UpstreamEvents() = default;
-  // An attempt is named by the number its opener gave. `line` is what the host said, with its end; empty
-  // where it said nothing.
-  virtual void OnAttemptUp(SlotId owner, std::string_view line) = 0;
-  // The connection is up and nothing is sent yet: the last moment in which the opener may close the attempt.
+  // The connection is up and nothing is sent yet: the last moment at which the owner can close the attempt
+  // with nothing sent.
   virtual void OnAttemptConnected(SlotId /*owner*/) {}
-  // The first line's last byte is with the socket: the attempt counts at its host from here on.
+  // The last byte of the request line is with the socket: from here on the endpoint may run the request.
   virtual void OnAttemptSent(SlotId /*owner*/) {}
-  virtual void OnAttemptEnd(SlotId owner, AttemptEnd end, std::string_view line) = 0;
-  // Of an attempt that is up.
+  // The endpoint accepted the request. `line` is its answer, with line end.
+  virtual void OnAttemptEstablished(SlotId owner, std::string_view line) = 0;
+  // The attempt ended before it was established, and its id is no longer valid. `line` is the endpoint's
+  // answer, with line end; empty if there was none.
+  virtual void OnAttemptEnded(SlotId owner, AttemptEnd end, std::string_view line) = 0;
+  // An established attempt has input.
   virtual void OnAttemptBytes(SlotId owner) = 0;
+  // The endpoint ended an established attempt.
   virtual void OnAttemptFinished(SlotId owner, ConnectionEnd end) = 0;
+  // All output of an established attempt is written.
   virtual void OnAttemptWritable(SlotId owner) = 0;
-  virtual void OnProbe(EndpointIndex host, bool ok, std::string_view report) = 0;
+  // A probe ended. `report`: the metrics in the endpoint's answer, if it answered in time.
+  virtual void OnProbeCompleted(EndpointIndex endpoint, bool succeeded, std::string_view report) = 0;
 };
 
+// Owns the endpoint table and all connections to endpoints.
 class Upstream : public TcpConnectionHandler {
  public:
-  struct Times {
+  // Time limits, in microseconds.
+  struct Timeouts {
     Micros connect{250'000};
-    Micros idle_close{10'000'000};
-    Micros stop_sending{250'000};
+    Micros idle_close{10'000'000};  // Endpoints close idle connections after it.
+    Micros stop_sending{250'000};   // After a drain was announced nothing may be sent to the endpoint.
   };
 
-  Upstream(EventLoop& loop, UpstreamEvents& events, Counters& counters, const Times& times);
+  // All references must outlive the object.
+  Upstream(EventLoop& loop, UpstreamEvents& events, Counters& counters, const Timeouts& timeouts);
 
-  // The number of a host, the same for one id for ever.
-  EndpointIndex NumberOf(const std::string& id);
-  std::optional<EndpointIndex> Known(const std::string& id) const;
-  const std::string& IdOf(EndpointIndex host) const { return hosts_[host].id; }
-  void TakeList(const EndpointUpdate& list);
-  std::size_t Listed() const;  // Hosts in the list now, ready or draining.
+  // The endpoints, as updated so far.
+  const EndpointTable& endpoints() const { return endpoints_; }
+  // Takes over an update of the endpoint list.
+  void ApplyUpdate(const EndpointUpdate& update);
 
-  // Starts an attempt. Its end is told later, never from within this call.
-  SlotId Open(SlotId owner, EndpointIndex host, const AttemptWork& work);
-  void Close(SlotId attempt);  // Abandons it, or ends it once up. Nothing more is told.
+  // Starts an attempt and returns its id.
+  SlotId Open(SlotId owner, EndpointIndex endpoint, const AttemptRequest& request);
+  // Closes an attempt, established or not; reports nothing further of it. No effect if it has ended.
+  void Close(SlotId attempt);
+  // Likewise, with a TCP reset.
   void Reset(SlotId attempt);
+  // The attempt's connection; null if it has ended.
   TcpConnection* Find(SlotId attempt);
-  void Probe(EndpointIndex host);
+
+  // Asks the endpoint for its load report.
+  void Probe(EndpointIndex endpoint);
 
   void OnConnected(SlotId id) override;
   void OnBytes(SlotId id) override;
@@ -89,58 +103,67 @@
   void OnWritable(SlotId id) override;
 
  private:
-  struct Host {
-    std::string id;
-    std::optional<Address> address;
-    EndpointState phase = EndpointState::kReady;
-    SlotId idle_probe;
-    bool watched_drain = false;
-  };
-  struct Link {  // An attempt or a probe's connection.
-    Link(SlotId slot, Upstream& all, EndpointIndex to, bool is_probe)
+  enum class Kind : std::uint8_t { kAttempt, kProbe };
+  // kPending -> kEstablished (an attempt that the endpoint accepted), or kPending <-> kIdle (a probe's
+  // connection between two probes). Any state ends with the connection.
+  enum class State : std::uint8_t { kPending, kEstablished, kIdle };
+  struct Connection {
+    Connection(SlotId slot, Upstream& upstream, EndpointIndex to, Kind of_kind)
         : id(slot),
-          host(to),
-          probe(is_probe),
-          stream(all.loop_, all, slot),
-          deadline(all.loop_.timers, [&all, slot] { all.Due(slot); }) {}
+          endpoint(to),
+          kind(of_kind),
+          tcp(upstream.loop_, upstream, slot),
+          timer(upstream.loop_.timers, [&upstream, slot] { upstream.OnTimeout(slot); }) {}
+    bool IsProbe() const { return kind == Kind::kProbe; }
     SlotId id, owner;
-    EndpointIndex host;
-    bool probe;
-    TcpConnection stream;
-    Timer deadline;
-    AttemptWork work;
-    Micros give_up{0};
-    bool sent = false;    // The first line's last byte is with the socket.
+    EndpointIndex endpoint;
+    Kind kind;
+    State state = State::kPending;
+    TcpConnection tcp;
+    Timer timer;
+    AttemptRequest request;
+    Micros give_up_at{0};
+    bool sent = false;    // The last byte of the request line is with the socket.
     bool reused = false;  // A probe's connection that was idle before.
-    bool up = false;      // An attempt after UP; a probe's connection while it is idle.
+  };
+  // Ends what is still unsent to a draining endpoint when its grace time is over.
+  struct DrainTimer {
+    DrainTimer(SlotId slot, Upstream& upstream, EndpointIndex endpoint)
+        : timer(upstream.loop_.timers, [&upstream, slot, endpoint] {
+            upstream.drain_timers_.Erase(slot);
+            upstream.StopSending(endpoint);
+          }) {}
+    Timer timer;
+  };
+  struct EndpointConnections {
+    SlotId idle_probe;
+    bool has_drain_timer = false;
   };
 
-  void Start(Link& link);
-  void Sent(Link& link);
-  void Due(SlotId id);
-  void EndAttempt(Link& attempt, AttemptEnd end, std::string_view line);
-  void EndProbe(Link& link, bool ok, std::string_view report, bool keep);
-  void ReadAttempt(Link& attempt);
-  void ReadProbe(Link& link);
-  void StopSending(EndpointIndex host);
-  std::size_t Idle() const;  // Probes' connections that are kept.
+  void Connect(Connection& connection);
+  void SendRequest(Connection& attempt);
+  void OnSent(Connection& connection);
+  void OnTimeout(SlotId id);
+  void EndAttempt(Connection& attempt, AttemptEnd end, std::string_view line);
+  void CountAttemptEnd(AttemptEnd end);
+  void FailProbe(Connection& probe, std::string_view report);
+  void CompleteProbe(Connection& probe, std::string_view report);
+  void ReportProbe(EndpointIndex endpoint, bool succeeded, std::string_view report);
+  void KeepOrCloseProbe(Connection& probe);
+  void RestartProbe(Connection& probe);
+  void ReadAttempt(Connection& attempt);
+  void ReadProbe(Connection& probe);
+  void StopSending(EndpointIndex endpoint);
+  std::size_t IdleProbeCount() const;
 
   EventLoop& loop_;
   UpstreamEvents& events_;
   Counters& counters_;
-  Times times_;
-  std::vector<Host> hosts_;
-  std::unordered_map<std::string, EndpointIndex> numbers_;
-  SlotMap<Link> links_;
-  struct Drain {
-    Drain(SlotId slot, Upstream& all, EndpointIndex to)
-        : deadline(all.loop_.timers, [&all, slot, to] {
-            all.drains_.Erase(slot);
-            all.StopSending(to);
-          }) {}
-    Timer deadline;
-  };
-  SlotMap<Drain> drains_;
+  const Timeouts timeouts_;
+  EndpointTable endpoints_;
+  std::vector<EndpointConnections> per_endpoint_;  // By EndpointIndex.
+  SlotMap<Connection> connections_;
+  SlotMap<DrainTimer> drain_timers_;
 };
 
 }  // namespace stoatrun
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -60,58 +60,58 @@
 
 TEST_CASE("the drain holds, spreads its moves evenly and moves late comers at once") {
   using drain::Micros;
-  drain::Plan plan;
-  CHECK(plan.SaysYes());
-  CHECK(plan.At(Micros(5'000'000), 10).moves == 0);
-  CHECK(plan.At(Micros(5'000'000), 10).next.count() == 0);
+  drain::Schedule plan;
+  CHECK(plan.Healthy());
+  CHECK(plan.Advance(Micros(5'000'000), 10).migrations == 0);
+  CHECK(plan.Advance(Micros(5'000'000), 10).next_step_at.count() == 0);
   plan.Drain(Micros(1'000'000));
   plan.Drain(Micros(1'300'000));  // A second call keeps the first one's times.
-  CHECK_FALSE(plan.SaysYes());
-  const drain::Step hold = plan.At(Micros(1'100'000), 44);
-  CHECK(hold.moves == 0);
-  CHECK(hold.next == Micros(1'400'000));
+  CHECK_FALSE(plan.Healthy());
+  const drain::Step hold = plan.Advance(Micros(1'100'000), 44);
+  CHECK(hold.migrations == 0);
+  CHECK(hold.next_step_at == Micros(1'400'000));
   // 2.2 s in steps of 50 ms: 44 steps, one each.
   std::size_t standing = 44, steps = 0;
-  Micros now = hold.next;
+  Micros now = hold.next_step_at;
   while (standing > 0 && now < Micros(3'600'000)) {
-    const drain::Step step = plan.At(now, standing);
-    CHECK(step.moves <= 1);
-    standing -= step.moves;
-    steps += step.moves > 0 ? 1 : 0;
-    now = step.next;
+    const drain::Step step = plan.Advance(now, standing);
+    CHECK(step.migrations <= 1);
+    standing -= step.migrations;
+    steps += step.migrations > 0 ? 1 : 0;
+    now = step.next_step_at;
   }
   CHECK(standing == 0);
   CHECK(steps == 44);
-  CHECK(plan.At(Micros(3'600'000), 5).moves == 5);
+  CHECK(plan.Advance(Micros(3'600'000), 5).migrations == 5);
   // Few connections go evenly in time too, not all at the first steps.
-  drain::Plan few;
+  drain::Schedule few;
   few.Drain(Micros(0));
   std::vector<std::int64_t> at;
   for (Micros t(400'000); t < Micros(2'600'000); t += Micros(50'000)) {
-    if (few.At(t, 4 - at.size()).moves > 0) at.push_back(t.count());
+    if (few.Advance(t, 4 - at.size()).migrations > 0) at.push_back(t.count());
   }
   REQUIRE(at.size() == 4);
   CHECK(at.front() >= 700'000);  // A quarter of the 2.2 s after the hold, less a step or two.
   for (std::size_t k = 1; k < at.size(); ++k) CHECK(at[k] - at[k - 1] >= 400'000);
   CHECK(at.back() < 2'600'000);
   plan.Activate();
-  CHECK(plan.SaysYes());
-  CHECK(plan.At(Micros(3'700'000), 5).moves == 0);
+  CHECK(plan.Healthy());
+  CHECK(plan.Advance(Micros(3'700'000), 5).migrations == 0);
 }
 
 TEST_CASE("whom a drain moves first: the latest answered without a line under way, then the others") {
   using drain::Micros;
-  const std::vector<drain::Standing> all{
-      {.id = 1, .asking = true, .answered_at = Micros(900)},
-      {.id = 2, .asking = false, .answered_at = Micros(100)},
-      {.id = 3, .asking = false, .answered_at = Micros(700)},
-      {.id = 4, .asking = true, .answered_at = Micros(50)},
-      {.id = 5, .asking = false, .answered_at = Micros(700)},
+  const std::vector<drain::Candidate> all{
+      {.id = 1, .request_in_flight = true, .answered_at = Micros(900)},
+      {.id = 2, .request_in_flight = false, .answered_at = Micros(100)},
+      {.id = 3, .request_in_flight = false, .answered_at = Micros(700)},
+      {.id = 4, .request_in_flight = true, .answered_at = Micros(50)},
+      {.id = 5, .request_in_flight = false, .answered_at = Micros(700)},
   };
-  CHECK(drain::Quietest(all, 0).empty());
-  CHECK(drain::Quietest(all, 2) == std::vector<std::uint64_t>{3, 5});
-  CHECK(drain::Quietest(all, 4) == std::vector<std::uint64_t>{3, 5, 2, 1});
-  CHECK(drain::Quietest(all, 9).size() == 5);
+  CHECK(drain::SelectForMigration(all, 0).empty());
+  CHECK(drain::SelectForMigration(all, 2) == std::vector<std::uint64_t>{3, 5});
+  CHECK(drain::SelectForMigration(all, 4) == std::vector<std::uint64_t>{3, 5, 2, 1});
+  CHECK(drain::SelectForMigration(all, 9).size() == 5);
 }
 
 class Calls : public ManagementEvents {
--- a/tests/proxy/drain_test.cpp
+++ b/tests/proxy/drain_test.cpp
@@ -14,9 +14,10 @@
 namespace stoatrun {
 namespace {
 
-TEST_CASE_METHOD(Alone, "the operators' drain says no to the front and moves standing clients in time") {
-  Play(kStand);
-  CHECK(Relayed().Ready());
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "the operators' drain says no to the front and moves standing clients in time") {
+  Play(kEstablishSession);
+  CHECK(ProxyUnderTest().Ready());
   Play(R"(
     drain-call
     drain-call
@@ -28,7 +29,7 @@
     s-1 send M 1 x
     a expect M 1 x
   )");
-  CHECK_FALSE(Relayed().Ready());
+  CHECK_FALSE(ProxyUnderTest().Ready());
   CHECK(Counts().moved == 0);  // Not before a moved client can no longer be sent back here.
   // Who still comes in the 0.2 s after the first no is served, and moved as well.
   Play(R"(
@@ -59,30 +60,30 @@
     e send M 5 x
     s-1#3 expect M 5 x
   )");
-  CHECK(Relayed().Ready());
+  CHECK(ProxyUnderTest().Ready());
   CHECK(Counts().moved == 2);  // After activate nobody is moved.
 }
 
-TEST_CASE_METHOD(Alone, "a planned end during the operators' drain still ends the process") {
-  Play(kStand);
+TEST_CASE_METHOD(SingleEndpointFixture, "a planned end during the operators' drain still ends the process") {
+  Play(kEstablishSession);
   Play("drain-call\nwait 100\ndrain\nwait 2000\na expect MOVE\na expect-end\na close\nwait 1500\nstopped");
-  CHECK_FALSE(Relayed().Ready());
+  CHECK_FALSE(ProxyUnderTest().Ready());
 }
 
-TEST_CASE_METHOD(Alone, "figures count by class where each thing happens") {
+TEST_CASE_METHOD(SingleEndpointFixture, "figures count by class where each thing happens") {
   const auto& watch = [this] { return Counts().classes.at(0); };
-  Play(kStand);
+  Play(kEstablishSession);
   CHECK(watch().succeeded == 1);
   CHECK(watch().forwards == 1);
-  CHECK(Relayed().Outstanding() == 1);
-  CHECK(Relayed().Discovered() == 1);
+  CHECK(ProxyUnderTest().SessionCount() == 1);
+  CHECK(ProxyUnderTest().EndpointCount() == 1);
   Play("b send OPEN 1 k2 c=watch,d=2000\nb expect ERR\nb expect-end");  // An id that is open.
   CHECK(watch().aborted == 1);
   Play("s-1 load 0.99\nwait 1000\nc send OPEN 3 k c=watch,d=2000\nc expect BUSY *\nc expect-end");
   CHECK(watch().declined == 1);
   CHECK(watch().forwards == 1);
   Play("a send M 1 x\ns-1 expect M 1 x\ns-1 send BYE\ns-1 close\na expect BYE\na expect-end\nwait 10");
-  CHECK(Relayed().Outstanding() == 0);
+  CHECK(ProxyUnderTest().SessionCount() == 0);
   CHECK(watch().succeeded == 1);
 }
 
@@ -103,10 +104,10 @@
   return ntohs(a.sin_port);
 }
 
-class Inheriting : public World {
+class InheritedListenerFixture : public LoopbackFixture {
  public:
-  Inheriting() : World({"s-1"}, 0, 1, Held()) {}
-  ~Inheriting() { close(held_); }
+  InheritedListenerFixture() : LoopbackFixture({"s-1"}, 0, 1, Held()) {}
+  ~InheritedListenerFixture() { close(held_); }
   static int Held() {  // The relay's copy.
     const int fd = ListeningSocket();
     held_ = dup(fd);
@@ -115,9 +116,10 @@
   inline static int held_ = -1;  // The platform's own copy.
 };
 
-TEST_CASE_METHOD(Inheriting, "a socket handed down is served, and its queue is left to the next process") {
-  CHECK(Relayed().Port() == PortOf(held_));
-  Play(kStand);
+TEST_CASE_METHOD(InheritedListenerFixture,
+                 "a socket handed down is served, and its queue is left to the next process") {
+  CHECK(ProxyUnderTest().Port() == PortOf(held_));
+  Play(kEstablishSession);
   Play("drain\nwait 50");
   // After the planned end began, a client that comes waits in the queue for whoever takes it next.
   const int late = socket(AF_INET, SOCK_STREAM, 0);
@@ -136,8 +138,9 @@
 }
 
 // The next process serves already: those moved late would only crowd it later, and all at once.
-TEST_CASE_METHOD(Inheriting, "with a socket handed down a planned end moves clients from its start, evenly") {
-  Play(kStand);
+TEST_CASE_METHOD(InheritedListenerFixture,
+                 "with a socket handed down a planned end moves clients from its start, evenly") {
+  Play(kEstablishSession);
   Play(R"(
     b send OPEN 2 k c=watch,d=2000
     s-1#2 expect OPEN 2 k*
@@ -154,9 +157,9 @@
 }
 
 // A client that has just had its answer is furthest from its next line: it can be back elsewhere before then.
-TEST_CASE_METHOD(Inheriting,
+TEST_CASE_METHOD(InheritedListenerFixture,
                  "a planned end moves first whom it has just answered, last whose line is under way") {
-  Play(kStand);
+  Play(kEstablishSession);
   Play(R"(
     b send OPEN 2 k c=watch,d=2000
     s-1#2 expect OPEN 2 k*
@@ -182,8 +185,8 @@
   EventLoop loop(Clock::Mode::kManual);
   Counters counters;
   struct Nobody : DownstreamEvents {
-    std::string_view Validate(const OpenHead& /*head*/) override { return {}; }
-    SlotId OnOpen(SlotId client, const OpenHead& /*head*/) override { return client; }
+    std::optional<OpenRequestError> Validate(const OpenRequest& /*request*/) override { return std::nullopt; }
+    SlotId OnOpen(SlotId client, const OpenRequest& /*head*/) override { return client; }
     void OnClientBytes(SlotId /*owner*/) override {}
     void OnClientEnd(SlotId /*owner*/, ConnectionEnd /*end*/) override {}
     void OnClientWritable(SlotId /*owner*/) override {}
@@ -205,7 +208,7 @@
   refused(unbound, "does not listen");
   refused(datagram, "is not a TCP socket");
   refused(987, "is not open");
-  CHECK_FALSE(downstream.Inherited());
+  CHECK_FALSE(downstream.IsInherited());
   for (const int fd : {file, unbound, datagram}) close(fd);
 }
 
--- a/tests/proxy/endings_test.cpp
+++ b/tests/proxy/endings_test.cpp
@@ -1,5 +1,5 @@
 // The instants in which something ends and something else is still owed: docs/design/endings.md has a row for
-// each. The language is described in world.h.
+// each. The language is described in fixture.h.
 #include <arpa/inet.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -51,33 +51,33 @@
   const std::string place = GENERATE("queue", "between attempts", "connecting", "budget");
   INFO(way << ", " << behind << ", " << place);
   FleetClientRecorder fleet;
-  World world({"s-1"}, 0, 1, -1, "subscribe", &fleet);
-  if (place == "queue") world.Play(kDrained);
+  LoopbackFixture fixture({"s-1"}, 0, 1, -1, "subscribe", &fleet);
+  if (place == "queue") fixture.Play(kDrained);
   if (place == "budget") {
     fleet.slow_start_sends = 0;
-    world.Play(kReady);
+    fixture.Play(kReady);
   }
-  if (place == "connecting") world.Play("s-1 full");
+  if (place == "connecting") fixture.Play("s-1 full");
   if (behind == "a full buffer") {
-    world.Play("a both OPEN 1 k c=watch,d=2000 | M 1 " + std::string(20'000, 'x'));
+    fixture.Play("a both OPEN 1 k c=watch,d=2000 | M 1 " + std::string(20'000, 'x'));
   } else {
-    world.Play("a send OPEN 1 k c=watch,d=2000");
+    fixture.Play("a send OPEN 1 k c=watch,d=2000");
   }
-  if (behind == "part of a line") world.Play("a raw M 1 par");
-  if (place == "between attempts") world.Play("s-1 expect OPEN 1 k*\ns-1 send BUSY\ns-1 expect-end");
-  world.Play("wait 30\na " + way);
-  world.Play("wait 150");  // Half of the time after which nothing may be sent.
-  CHECK(world.Counts().client_left == 1);
-  CHECK(world.Relayed().Outstanding() == 0);
-  const auto attempts = world.Counts().legs;
+  if (behind == "part of a line") fixture.Play("a raw M 1 par");
+  if (place == "between attempts") fixture.Play("s-1 expect OPEN 1 k*\ns-1 send BUSY\ns-1 expect-end");
+  fixture.Play("wait 30\na " + way);
+  fixture.Play("wait 150");  // Half of the time after which nothing may be sent.
+  CHECK(fixture.Counts().client_left == 1);
+  CHECK(fixture.ProxyUnderTest().SessionCount() == 0);
+  const auto attempts = fixture.Counts().legs;
   fleet.slow_start_sends = 100;
-  if (place == "queue") world.Play(kReady);
-  world.Play("wait 2000");
-  CHECK(world.Counts().legs == attempts);
-  world.Play("s-1 legs " + std::string(place == "between attempts" ? "1" : "0"));
+  if (place == "queue") fixture.Play(kReady);
+  fixture.Play("wait 2000");
+  CHECK(fixture.Counts().legs == attempts);
+  fixture.Play("s-1 legs " + std::string(place == "between attempts" ? "1" : "0"));
 }
 
-TEST_CASE_METHOD(Alone,
+TEST_CASE_METHOD(SingleEndpointFixture,
                  "an attempt that comes up in the turn in which its client's end lies unread sends nothing") {
   const std::string way = GENERATE("close", "half", "reset");
   Play("turns 0\na send OPEN 1 k c=watch,d=2000,at=s-1");
@@ -87,7 +87,7 @@
   CHECK(Counts().client_left == 1);
 }
 
-TEST_CASE_METHOD(Alone, "the answer of one that left by half is ERR, at once") {
+TEST_CASE_METHOD(SingleEndpointFixture, "the answer of one that left by half is ERR, at once") {
   Play("s-1 full\na both OPEN 1 k c=watch,d=2000 | M 1 " + std::string(20'000, 'x'));
   Play("a half\nwait 110\na expect ERR\na expect-end");
 }
@@ -95,8 +95,8 @@
 // ---- a break that nothing read or written would tell of ----
 
 // Reading is held back while the other side takes nothing: a reset was then seen when that side read again.
-TEST_CASE_METHOD(Alone, "a reset is noticed while reading is held back") {
-  Play(kStand);
+TEST_CASE_METHOD(SingleEndpointFixture, "a reset is noticed while reading is held back") {
+  Play(kEstablishSession);
   SECTION("the client's") {
     Play("a flood 12000\na reset\nwait 150");
     CHECK(Counts().client_left == 1);
@@ -105,13 +105,14 @@
     Play("s-1 flood 12000\ns-1 reset\nwait 150");
     CHECK(Counts().legs_cut == 1);
   }
-  CHECK(Relayed().Outstanding() == 0);
+  CHECK(ProxyUnderTest().SessionCount() == 0);
 }
 
 // ---- attempts ----
 
 // What was never written whole has never run, and may be tried again whatever its class.
-TEST_CASE_METHOD(Alone, "a break tells by the first line's last byte whether the attempt may have run") {
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "a break tells by the first line's last byte whether the attempt may have run") {
   Play("turns 0\na send OPEN 1 k c=watch,d=2000,at=s-1");
   while (Counts().legs == 0) Play("turn");
   SECTION("before the first byte") {
@@ -128,8 +129,9 @@
 }
 
 // A connection that the host closes as idle must not count as a failed look at the host.
-TEST_CASE_METHOD(Alone, "a look on a connection that was closed at that moment is taken on a new one") {
-  Play(kStand);
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "a look on a connection that was closed at that moment is taken on a new one") {
+  Play(kEstablishSession);
   // Both lie in sockets when the turn begins; the client's is served first, and asks.
   Play("wait 4000\nb raw OPEN 2 k c=watch\nwait 1500\nturns 0\ns-1 idle-end\nb send ,d=2000\nturns 3");
   Play("s-1#2 expect OPEN 2 k*");
@@ -149,20 +151,20 @@
       setsockopt(fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
       close(fd);
     }
-    void OnAttemptUp(SlotId /*owner*/, std::string_view /*line*/) override {}
+    void OnAttemptEstablished(SlotId /*owner*/, std::string_view /*line*/) override {}
     void OnAttemptSent(SlotId /*owner*/) override { sent = true; }
-    void OnAttemptEnd(SlotId /*owner*/, AttemptEnd how, std::string_view /*line*/) override { end = how; }
+    void OnAttemptEnded(SlotId /*owner*/, AttemptEnd how, std::string_view /*line*/) override { end = how; }
     void OnAttemptBytes(SlotId /*owner*/) override {}
     void OnAttemptFinished(SlotId /*owner*/, ConnectionEnd /*how*/) override {}
     void OnAttemptWritable(SlotId /*owner*/) override {}
-    void OnProbe(EndpointIndex /*host*/, bool /*ok*/, std::string_view /*report*/) override {}
+    void OnProbeCompleted(EndpointIndex /*host*/, bool /*ok*/, std::string_view /*report*/) override {}
   } cut;
   const Door door;
   cut.listener = door.fd;
   EventLoop loop(Clock::Mode::kManual);
   Counters counters;
   Upstream upstream(loop, cut, counters, {});
-  upstream.TakeList({1, true, {{.id = "s-1", .address = door.address, .locality = ""}}});
+  upstream.ApplyUpdate({1, true, {{.id = "s-1", .address = door.address, .locality = ""}}});
   upstream.Open({}, 0, {"OPEN 1 k d=", "", true, Micros(1'000'000)});
   for (int k = 0; k < 1'000'000 && !cut.end; ++k) loop.Poll();
   CHECK(cut.end == AttemptEnd::kNotConnected);
@@ -173,18 +175,18 @@
 TEST_CASE("an attempt that comes up with the end of its time sends nothing") {
   struct Late : UpstreamEvents {
     std::optional<AttemptEnd> end;
-    void OnAttemptUp(SlotId /*owner*/, std::string_view /*line*/) override {}
-    void OnAttemptEnd(SlotId /*owner*/, AttemptEnd how, std::string_view /*line*/) override { end = how; }
+    void OnAttemptEstablished(SlotId /*owner*/, std::string_view /*line*/) override {}
+    void OnAttemptEnded(SlotId /*owner*/, AttemptEnd how, std::string_view /*line*/) override { end = how; }
     void OnAttemptBytes(SlotId /*owner*/) override {}
     void OnAttemptFinished(SlotId /*owner*/, ConnectionEnd /*how*/) override {}
     void OnAttemptWritable(SlotId /*owner*/) override {}
-    void OnProbe(EndpointIndex /*host*/, bool /*ok*/, std::string_view /*report*/) override {}
+    void OnProbeCompleted(EndpointIndex /*host*/, bool /*ok*/, std::string_view /*report*/) override {}
   } late;
   const Door door;
   EventLoop loop(Clock::Mode::kManual);
   Counters counters;
   Upstream upstream(loop, late, counters, {});
-  upstream.TakeList({1, true, {{.id = "s-1", .address = door.address, .locality = ""}}});
+  upstream.ApplyUpdate({1, true, {{.id = "s-1", .address = door.address, .locality = ""}}});
   upstream.Open({}, 0, {"OPEN 1 k d=", "", true, Micros(100'000)});
   int fd = -1;
   while ((fd = accept(door.fd, nullptr, nullptr)) < 0) continue;  // Up, and not told yet.
@@ -200,12 +202,12 @@
 TEST_CASE("of the connections of probes a bounded number is kept, however many hosts there are") {
   struct Asked : UpstreamEvents {
     int answers = 0;
-    void OnAttemptUp(SlotId /*owner*/, std::string_view /*line*/) override {}
-    void OnAttemptEnd(SlotId /*owner*/, AttemptEnd /*how*/, std::string_view /*line*/) override {}
+    void OnAttemptEstablished(SlotId /*owner*/, std::string_view /*line*/) override {}
+    void OnAttemptEnded(SlotId /*owner*/, AttemptEnd /*how*/, std::string_view /*line*/) override {}
     void OnAttemptBytes(SlotId /*owner*/) override {}
     void OnAttemptFinished(SlotId /*owner*/, ConnectionEnd /*how*/) override {}
     void OnAttemptWritable(SlotId /*owner*/) override {}
-    void OnProbe(EndpointIndex /*host*/, bool ok, std::string_view /*report*/) override {
+    void OnProbeCompleted(EndpointIndex /*host*/, bool ok, std::string_view /*report*/) override {
       answers += ok ? 1 : 0;
     }
   } asked;
@@ -217,7 +219,7 @@
   for (int k = 0; k < 90; ++k) {
     list.entries.push_back({.id = "s-" + std::to_string(k), .address = door.address, .locality = ""});
   }
-  upstream.TakeList(list);
+  upstream.ApplyUpdate(list);
   std::vector<int> open;
   for (int round = 1; round <= 3; ++round) {
     for (EndpointIndex h = 0; h < 90; ++h) {
@@ -254,27 +256,27 @@
   for (std::size_t cut = 0; cut <= word.line.size(); ++cut) {
     if (word.line[cut] == ' ') continue;  // A blank begins no step's text.
     INFO(word.line << " cut at " << cut << ", " << end);
-    World world({"s-1"});
-    world.Play("a send OPEN 1 k c=watch,d=2000\ns-1 expect OPEN 1 k*\ns-1 raw " + word.line.substr(0, cut) +
-               "\nwait 20");
-    CHECK(world.Relayed().Outstanding() == 1);
+    LoopbackFixture fixture({"s-1"});
+    fixture.Play("a send OPEN 1 k c=watch,d=2000\ns-1 expect OPEN 1 k*\ns-1 raw " + word.line.substr(0, cut) +
+                 "\nwait 20");
+    CHECK(fixture.ProxyUnderTest().SessionCount() == 1);
     if (end == "in pieces") {
-      world.Play("s-1 send " + word.line.substr(cut));
+      fixture.Play("s-1 send " + word.line.substr(cut));
       if (!word.expect.empty()) {
-        world.Play("a expect " + word.expect);
+        fixture.Play("a expect " + word.expect);
         continue;
       }
     } else {
-      world.Play("s-1 " + end);
-      CHECK(world.Counts().legs_cut == 1);  // It may have run.
+      fixture.Play("s-1 " + end);
+      CHECK(fixture.Counts().legs_cut == 1);  // It may have run.
     }
     // What a failed attempt says later is nobody's; the client's answer is that of the next.
-    if (end == "in pieces") world.Play("wait 5\ns-1 send UP late");
-    world.Play("wait 1000\ns-1#2 expect OPEN 1 k*\ns-1#2 send UP r2\na expect UP r2");
+    if (end == "in pieces") fixture.Play("wait 5\ns-1 send UP late");
+    fixture.Play("wait 1000\ns-1#2 expect OPEN 1 k*\ns-1#2 send UP r2\na expect UP r2");
   }
 }
 
-TEST_CASE_METHOD(Alone,
+TEST_CASE_METHOD(SingleEndpointFixture,
                  "an answer without an end is an error before UP, and goes on in its pieces after it") {
   const std::string endless(4096, 'x');
   SECTION("before") {
@@ -282,12 +284,13 @@
     CHECK(Counts().legs_error == 1);
   }
   SECTION("after") {
-    Play(kStand);
+    Play(kEstablishSession);
     Play("s-1 raw " + endless + "\ns-1 send y\na expect " + endless + "y");
   }
 }
 
-TEST_CASE_METHOD(Alone, "lines that come in the turn of the host's end, or with its UP, are all passed on") {
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "lines that come in the turn of the host's end, or with its UP, are all passed on") {
   Play("a send OPEN 1 k c=watch,d=2000\ns-1 expect OPEN 1 k*\nturns 0\ns-1 both UP r1 | M 1 x");
   Play("s-1 raw M 2 half\ns-1 close\nturns 3\na expect UP r1\na expect M 1 x\na expect M 2 half");
   CHECK(Counts().legs_cut == 1);
@@ -296,14 +299,15 @@
 // ---- the planned end ----
 
 // Closed with the process, its request would be answered by a reset.
-TEST_CASE_METHOD(Alone,
+TEST_CASE_METHOD(SingleEndpointFixture,
                  "a request on a resting connection in the moment of the planned end is refused in order") {
   const std::string rests = GENERATE("a send PING\na expect PONG", "a raw OPEN 1 k", "a raw");
   Play(rests + "\nwait 300\nturns 0\ndrain\nwait 5\nturns 3");
   Play("a send OPEN 1 k c=watch,d=2000\na expect BUSY\na expect-end\ns-1 legs 0\na close\nwait 510\nstopped");
 }
 
-TEST_CASE_METHOD(Alone, "a line that comes in pieces is served in the planned end while others wait") {
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "a line that comes in pieces is served in the planned end while others wait") {
   Play(R"(
     a send OPEN 1 k c=watch,d=2000
     s-1 expect OPEN 1 k*
@@ -323,8 +327,8 @@
 TEST_CASE("a planned end ends those that rest, though room is made among them meanwhile") {
   struct Taken : DownstreamEvents {
     int opened = 0;
-    std::string_view Validate(const OpenHead& /*head*/) override { return {}; }
-    SlotId OnOpen(SlotId /*client*/, const OpenHead& /*head*/) override { return ++opened, SlotId{}; }
+    std::optional<OpenRequestError> Validate(const OpenRequest& /*request*/) override { return std::nullopt; }
+    SlotId OnOpen(SlotId /*client*/, const OpenRequest& /*head*/) override { return ++opened, SlotId{}; }
     void OnClientBytes(SlotId /*owner*/) override {}
     void OnClientEnd(SlotId /*owner*/, ConnectionEnd /*end*/) override {}
     void OnClientWritable(SlotId /*owner*/) override {}
@@ -344,7 +348,7 @@
   loop.clock.Advance(std::chrono::milliseconds(300));
   const std::string_view line = "OPEN 1 k c=watch,d=2000\r\n";
   CHECK(send(callers.front(), line.data(), line.size(), 0) == static_cast<ssize_t>(line.size()));
-  downstream.EndResting(false);
+  downstream.EndIdle(false);
   CHECK(taken.opened == 1);
   CHECK(counters.crowded_out == 1);
   for (std::size_t k = 1; k < callers.size(); ++k) {
@@ -355,7 +359,7 @@
 }
 
 // One turn took 64 of the queue; who stood behind was reset with the listener.
-TEST_CASE_METHOD(Alone, "all who wait in the queue when the taking ends are answered") {
+TEST_CASE_METHOD(SingleEndpointFixture, "all who wait in the queue when the taking ends are answered") {
   Play("drain\nwait 495\nturns 0");
   for (int k = 0; k < 400; ++k)
     Play("q" + std::to_string(k) + " send OPEN q" + std::to_string(k) + " k c=watch,d=900");
@@ -364,7 +368,7 @@
 }
 
 #ifndef __SANITIZE_ADDRESS__  // As the test of `exhaust` in relay_test.cpp.
-TEST_CASE_METHOD(Alone,
+TEST_CASE_METHOD(SingleEndpointFixture,
                  "who waits in the queue while no descriptor is left is told to come again at the end") {
   Play("drain\nwait 495\nturns 0");
   for (int k = 0; k < 70; ++k) {
@@ -378,9 +382,9 @@
 }
 #endif
 
-TEST_CASE_METHOD(Alone,
+TEST_CASE_METHOD(SingleEndpointFixture,
                  "what waits at the planned end is answered, and its client may send on without a reset") {
-  Play(kStand);
+  Play(kEstablishSession);
   Play("drain\nwait 480\nb send OPEN 2 k c=watch,d=2000\ns-1#2 expect OPEN 2 k*\nwait 1775");
   Play(
       "b send M 1 x\nb expect ERR\nb expect-end\na expect MOVE\na expect-end\na close\nb close\nwait "
@@ -388,14 +392,14 @@
 }
 
 // A client that reads late is owed the rest of its lines.
-TEST_CASE_METHOD(Alone, "the planned end waits for what a client has not read yet") {
-  Play(kStand);
+TEST_CASE_METHOD(SingleEndpointFixture, "the planned end waits for what a client has not read yet") {
+  Play(kEstablishSession);
   Play("s-1 flood 12000\ndrain\nwait 1900\na expect-moved\na close\nwait 300\nstopped");
   CHECK(Counts().moved == 1);
 }
 
-TEST_CASE_METHOD(Alone, "a planned end keeps its times whatever else happens in it") {
-  Play(kStand);
+TEST_CASE_METHOD(SingleEndpointFixture, "a planned end keeps its times whatever else happens in it") {
+  Play(kEstablishSession);
   const std::string moment =
       GENERATE("a hanging host", "discovery down", "a reload", "a drain by call", "again");
   INFO(moment);
@@ -415,23 +419,23 @@
 
 // Bad callers are closed to make room: their unread bytes must not cost anybody an answer.
 TEST_CASE("beside a thousand that send much and go, every client is answered, and so are those that stay") {
-  World world({"s-1"}, 96);
+  LoopbackFixture fixture({"s-1"}, 96);
   for (int k = 0; k < 1000; ++k) {
     const std::string n = std::to_string(k);
-    world.Play("turns " + std::string(k % 100 == 99 ? "3" : "0"));
-    if (k % 100 == 50) world.Play("good" + n + " send OPEN g" + n + " k c=watch,d=2000");
+    fixture.Play("turns " + std::string(k % 100 == 99 ? "3" : "0"));
+    if (k % 100 == 50) fixture.Play("good" + n + " send OPEN g" + n + " k c=watch,d=2000");
     if (k % 3 == 0) {
-      world.Play("stay" + n + " raw " + std::string(k % 2 == 0 ? 2000 : 30'000, 'k'));
+      fixture.Play("stay" + n + " raw " + std::string(k % 2 == 0 ? 2000 : 30'000, 'k'));
     } else {
-      world.Play("bad" + n + " raw " + std::string(9000, 'k') + "\nbad" + n +
-                 (k % 3 == 1 ? " close" : " reset"));
+      fixture.Play("bad" + n + " raw " + std::string(9000, 'k') + "\nbad" + n +
+                   (k % 3 == 1 ? " close" : " reset"));
     }
   }
-  world.Play("turns 3\nwait 2100");
+  fixture.Play("turns 3\nwait 2100");
   for (int k = 0; k < 1000; ++k) {
     const std::string n = std::to_string(k);
-    if (k % 100 == 50) world.Play("good" + n + " answered");
-    if (k % 3 == 0) world.Play("stay" + n + " expect ERR\nstay" + n + " expect-end");
+    if (k % 100 == 50) fixture.Play("good" + n + " answered");
+    if (k % 3 == 0) fixture.Play("stay" + n + " expect ERR\nstay" + n + " expect-end");
   }
 }
 
--- a/tests/proxy/fleet_client_test.cpp
+++ b/tests/proxy/fleet_client_test.cpp
@@ -12,8 +12,8 @@
 
 TEST_CASE("every connection is told to the fleet once, with its end") {
   FleetClientRecorder fleet;
-  World world({"s-1"}, 0, 1, -1, "subscribe", &fleet);
-  world.Play(R"(
+  LoopbackFixture fixture({"s-1"}, 0, 1, -1, "subscribe", &fleet);
+  fixture.Play(R"(
     a send OPEN 1 k c=watch,t=wetland,d=2000
     s-1 expect OPEN 1 k c=watch,t=wetland*
     s-1 send UP r1
@@ -39,8 +39,8 @@
 TEST_CASE("a connection beyond its group's quota is declined at once, with advice, and not sent on") {
   FleetClientRecorder fleet;
   fleet.quota = 1;
-  World world({"s-1"}, 0, 1, -1, "subscribe", &fleet);
-  world.Play(R"(
+  LoopbackFixture fixture({"s-1"}, 0, 1, -1, "subscribe", &fleet);
+  fixture.Play(R"(
     a send OPEN 1 k c=watch,t=wetland,d=2000
     s-1 expect OPEN 1 k*
     s-1 send UP r1
@@ -54,7 +54,7 @@
   CHECK(fleet.reserved == 1);
   // What is over the quota later, as a loan ended, is moved away.
   fleet.quota = 0;
-  world.Play(R"(
+  fixture.Play(R"(
     wait 300
     a expect MOVE
     a expect-end
@@ -65,39 +65,39 @@
 TEST_CASE("a further attempt that the fleet's budget does not allow ends in the final answer at once") {
   FleetClientRecorder fleet;
   fleet.retries = 0;
-  World world({"s-1", "s-2"}, 0, 1, -1, "subscribe", &fleet);
-  world.Play(
+  LoopbackFixture fixture({"s-1", "s-2"}, 0, 1, -1, "subscribe", &fleet);
+  fixture.Play(
       "s-1 down\ns-2 down\na send OPEN 1 k c=watch,d=2000\nwait 100\nwait 300\nwait 300\na expect BUSY*\n");
-  CHECK(world.Counts().legs_held_back == 1);
+  CHECK(fixture.Counts().legs_held_back == 1);
   CHECK(fleet.outcomes[FleetClient::ConnectionOutcome::kRejected] == 1);
 }
 
 TEST_CASE("a look that the fleet's budget does not allow tells the module nothing, and placement goes on") {
   FleetClientRecorder fleet;
   fleet.probes = 0;
-  World world({"s-1"}, 0, 1, -1, "subscribe", &fleet);
-  world.Play(R"(
+  LoopbackFixture fixture({"s-1"}, 0, 1, -1, "subscribe", &fleet);
+  fixture.Play(R"(
     a send OPEN 1 k c=watch,d=2000
     wait 100
     s-1 expect OPEN 1 k*
     s-1 send UP r1
     a expect UP r1
   )");
-  CHECK(world.Counts().probes == 0);
+  CHECK(fixture.Counts().probes == 0);
 }
 
 TEST_CASE("hosts that the others found failing are left alone") {
   FleetClientRecorder fleet;
-  World world({"s-1", "s-2"}, 0, 1, -1, "subscribe", &fleet);
+  LoopbackFixture fixture({"s-1", "s-2"}, 0, 1, -1, "subscribe", &fleet);
   fleet.hints = {{"s-1", 0, -1, true}, {"s-unknown", 3, 3, true}};
-  world.Play(R"(
+  fixture.Play(R"(
     wait 260
     a send OPEN 1 k c=watch,d=2000
     s-2 expect OPEN 1 k*
     s-2 send UP r1
     a expect UP r1
   )");
-  CHECK(world.Relayed().Ejected() == 1);
+  CHECK(fixture.ProxyUnderTest().EjectedCount() == 1);
 }
 
 }  // namespace
--- a/tests/proxy/loopback_fixture.cpp
+++ b/tests/proxy/loopback_fixture.cpp
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-void World::Peer::Read() {
+void LoopbackFixture::Peer::Read() {
   std::array<char, 8192> buffer{};
   while (fd >= 0 && !ended) {
     const ssize_t n = recv(fd, buffer.data(), buffer.size(), 0);
@@ -66,11 +66,11 @@
   }
 }
 
-void World::Peer::Send(std::string_view text) const {
+void LoopbackFixture::Peer::Send(std::string_view text) const {
   CHECK(send(fd, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
 }
 
-void World::Peer::Close(bool hard) {
+void LoopbackFixture::Peer::Close(bool hard) {
   if (fd < 0) return;
   const linger how{hard ? 1 : 0, 0};
   setsockopt(fd, SOL_SOCKET, SO_LINGER, &how, sizeof how);
@@ -78,7 +78,7 @@
   fd = -1;
 }
 
-void World::Listen(Server& s) {
+void LoopbackFixture::Listen(Server& s) {
   s.fd = NonBlocking(socket(AF_INET, SOCK_STREAM, 0));
   const int on = 1;
   setsockopt(s.fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
@@ -90,17 +90,17 @@
   s.port = ntohs(a.sin_port);
 }
 
-World::World(const std::vector<std::string>& hosts, int descriptors, int relays, int accept_fd,
-             std::string discovery, FleetClient* peers)
+LoopbackFixture::LoopbackFixture(const std::vector<std::string>& hosts, int descriptors, int relays,
+                                 int accept_fd, std::string discovery, FleetClient* peers)
     : descriptors_(descriptors), relays_(relays), accept_fd_(accept_fd), mode_(std::move(discovery)) {
   SetLogLevel(Level::kError);
   for (const char* name : {"discovery", "discovery2"}) Listen(discoveries_[name]);
   for (const std::string& id : hosts) Listen(hosts_[id]);
-  relay_ = std::make_unique<Proxy>(loop_, ConfigWith(discoveries_["discovery"]), nullptr, peers);
-  relay_->Start();
+  proxy_ = std::make_unique<Proxy>(loop_, ConfigWith(discoveries_["discovery"]), nullptr, peers);
+  proxy_->Start();
 }
 
-Config World::ConfigWith(const Server& discovery) const {
+Config LoopbackFixture::ConfigWith(const Server& discovery) const {
   std::string members;
   for (const auto& [id, host] : hosts_) {
     members += (members.empty() ? "" : ",") + std::string(R"({"id":")") + id +
@@ -117,7 +117,7 @@
   return config;
 }
 
-World::~World() {
+LoopbackFixture::~LoopbackFixture() {
   for (auto& [name, peer] : clients_) peer->Close(false);
   hosts_.merge(discoveries_);
   for (auto& [name, host] : hosts_) {
@@ -129,7 +129,7 @@
   }
 }
 
-void World::Serve(Server& host) {
+void LoopbackFixture::Serve(Server& host) {
   for (int fd = 0; host.waiting.empty() && host.fd >= 0 && (fd = accept(host.fd, nullptr, nullptr)) >= 0;) {
     host.fresh.push_back(std::make_unique<Peer>());
     host.fresh.back()->fd = NonBlocking(fd);
@@ -148,7 +148,7 @@
   std::erase(host.fresh, nullptr);
 }
 
-void World::ServeDiscovery(Server& discovery) {
+void LoopbackFixture::ServeDiscovery(Server& discovery) {
   for (int fd = 0; (fd = accept(discovery.fd, nullptr, nullptr)) >= 0;) {
     discovery.fresh.push_back(std::make_unique<Peer>());
     discovery.fresh.back()->fd = NonBlocking(fd);
@@ -167,18 +167,18 @@
   std::erase(discovery.fresh, nullptr);
 }
 
-void World::Turn() {
+void LoopbackFixture::Turn() {
   loop_.Poll();
   for (auto& [id, host] : hosts_) Serve(host);
   for (auto& [name, discovery] : discoveries_) ServeDiscovery(discovery);
 }
 
-void World::TurnAfter() {
+void LoopbackFixture::TurnAfter() {
   for (int k = 0; k < turns_; ++k) Turn();
 }
 
 template <typename F>
-bool World::Until(F&& holds) {
+bool LoopbackFixture::Until(F&& holds) {
   const auto end = std::chrono::steady_clock::now() + kPatience;
   while (!holds()) {
     if (std::chrono::steady_clock::now() > end) return false;
@@ -187,7 +187,7 @@
   return true;
 }
 
-World::Peer& World::PeerOf(const std::string& who, const std::string& step) {
+LoopbackFixture::Peer& LoopbackFixture::PeerOf(const std::string& who, const std::string& step) {
   INFO(step);
   const std::size_t mark = who.find('#');
   if (const auto host = hosts_.find(who.substr(0, mark)); host != hosts_.end()) {
@@ -199,14 +199,14 @@
   if (!client) {
     client = std::make_unique<Peer>();
     client->fd = socket(AF_INET, SOCK_STREAM, 0);
-    const sockaddr_in a = Local(relay_->Port());
+    const sockaddr_in a = Local(proxy_->Port());
     REQUIRE(connect(client->fd, reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0);
     NonBlocking(client->fd);
   }
   return *client;
 }
 
-void World::Expect(Peer& peer, const std::string& text, const std::string& step) {
+void LoopbackFixture::Expect(Peer& peer, const std::string& text, const std::string& step) {
   INFO(step);
   const bool came = Until([&] {
     peer.Read();
@@ -223,7 +223,7 @@
   }
 }
 
-void World::Play(std::string_view script) {
+void LoopbackFixture::Play(std::string_view script) {
   std::istringstream lines{std::string(script)};
   for (std::string line; std::getline(lines, line);) {
     line.erase(0, line.find_first_not_of(' '));
@@ -231,7 +231,7 @@
   }
 }
 
-void World::Step(const std::string& step) {
+void LoopbackFixture::Step(const std::string& step) {
   INFO(step);
   std::istringstream words(step);
   std::string who, verb, text;
@@ -256,12 +256,12 @@
     });
     CHECK(there == std::stoi(verb));
   } else if (who == "drain") {
-    relay_->Drain();
+    proxy_->BeginGracefulShutdown();
   } else if (who == "drain-call") {
-    relay_->DrainByCall();
+    proxy_->StartDrain();
     for (int k = 0; k < 3; ++k) Turn();
   } else if (who == "activate") {
-    relay_->Activate();
+    proxy_->Activate();
     for (int k = 0; k < 3; ++k) Turn();
   } else if (who == "exhaust") {  // No descriptor is left when the client's connection is to be taken.
     PeerOf(verb, step);
@@ -276,7 +276,7 @@
   } else if (who == "stopped") {
     REQUIRE(Until([&] { return loop_.Stopped(); }));
   } else if (who == "reload") {
-    relay_->Reload(ConfigWith(discoveries_.at(verb)));
+    proxy_->Reload(ConfigWith(discoveries_.at(verb)));
     for (int k = 0; k < 5; ++k) Turn();
   } else if (const auto at = discoveries_.find(who); at != discoveries_.end()) {
     Server& discovery = at->second;
--- a/tests/proxy/loopback_fixture.h
+++ b/tests/proxy/loopback_fixture.h
@@ -40,22 +40,23 @@
 
 namespace stoatrun {
 
-class World {
+class LoopbackFixture {
  public:
   // `descriptors`: what the relay is told that it may hold; 0: not told. `relays`: of its fleet, itself
   // included.
   // `accept_fd`: a listening socket that the relay is handed, as the platform hands one down; -1: it binds.
   // `discovery`: how lists come, as the settings say it. `fellows`: the rest of the fleet, if there is one.
-  explicit World(const std::vector<std::string>& hosts, int descriptors = 0, int relays = 1,
-                 int accept_fd = -1, std::string discovery = "subscribe", FleetClient* peers = nullptr);
-  ~World();
-  World(const World&) = delete;
-  World& operator=(const World&) = delete;
+  explicit LoopbackFixture(const std::vector<std::string>& hosts, int descriptors = 0, int relays = 1,
+                           int accept_fd = -1, std::string discovery = "subscribe",
+                           FleetClient* peers = nullptr);
+  ~LoopbackFixture();
+  LoopbackFixture(const LoopbackFixture&) = delete;
+  LoopbackFixture& operator=(const LoopbackFixture&) = delete;
 
   void Play(std::string_view script);  // Fails the test at the first step that does not hold.
-  const Counters& Counts() const { return relay_->Counts(); }
-  const Proxy& Relayed() const { return *relay_; }
-  std::size_t Discovered() const {
+  const Counters& Counts() const { return proxy_->Counts(); }
+  const Proxy& ProxyUnderTest() const { return *proxy_; }
+  std::size_t DiscoveryCallCount() const {
     return discoveries_.at("discovery").attempts.size();
   }  // Calls that it took.
 
@@ -98,20 +99,20 @@
   std::string flood_;
   int turns_ = 3;  // After a step.
   std::map<std::string, std::unique_ptr<Peer>> clients_;
-  std::unique_ptr<Proxy> relay_;
+  std::unique_ptr<Proxy> proxy_;
 };
 
-// Plays a script in a world of the hosts s-1 and s-2 of its own.
-inline void Play(std::string_view script) { World({"s-1", "s-2"}).Play(script); }
+// Plays a script in a fixture of the hosts s-1 and s-2 of its own.
+inline void Play(std::string_view script) { LoopbackFixture({"s-1", "s-2"}).Play(script); }
 
-// A world of one host: a lone one makes the landing certain.
-class Alone : public World {
+// A fixture of one host: a lone one makes the landing certain.
+class SingleEndpointFixture : public LoopbackFixture {
  public:
-  Alone() : World({"s-1"}) {}
+  SingleEndpointFixture() : LoopbackFixture({"s-1"}) {}
 };
 
 // A client that stands there.
-inline constexpr const char* kStand = R"(
+inline constexpr const char* kEstablishSession = R"(
   a send OPEN 1 k c=watch,d=2000
   s-1 expect OPEN 1 k c=watch,d=*
   s-1 send UP r1
--- a/tests/proxy/parts_test.cpp
+++ b/tests/proxy/parts_test.cpp
@@ -71,15 +71,15 @@
 }
 
 TEST_CASE("first lines") {
-  const auto head = ParseOpen("OPEN 1 k c=chat,t=acme,d=2000,h=12.5,again=1,x=1");
+  const auto head = ParseOpenRequest("OPEN 1 k c=chat,t=acme,d=2000,h=12.5,again=1,x=1");
   REQUIRE(head);
   CHECK(head->class_name == "chat");
-  CHECK(head->wait_ms == 2000);
+  CHECK(head->timeout_ms == 2000);
   CHECK(head->load == 12.5);
-  CHECK(head->again);
-  CHECK(head->before_wait == "OPEN 1 k c=chat,t=acme,d=");
-  CHECK(head->after_wait == ",h=12.5,again=1,x=1");
-  CHECK(ParseOpen("OPEN 9b1f03aa5c7e2d41 tpl/c0d c=chat,d=4294967.5,at=s-1,r=1,new=a=b")->wait_ms ==
+  CHECK(head->is_reconnect);
+  CHECK(head->before_timeout == "OPEN 1 k c=chat,t=acme,d=");
+  CHECK(head->after_timeout == ",h=12.5,again=1,x=1");
+  CHECK(ParseOpenRequest("OPEN 9b1f03aa5c7e2d41 tpl/c0d c=chat,d=4294967.5,at=s-1,r=1,new=a=b")->timeout_ms ==
         4'294'967);
   for (const char* bad :
        {"", "OPEN", "OPEN 1", "OPEN 1 k", "OPEN 1 k d=5", "OPEN 1 k c=chat", "OPEN 1 k c=chat,d=x",
@@ -91,7 +91,7 @@
         "OPEN 1 k c=chat,d=5 k", "OPEN 1 c=chat,d=5", "OPEN  k c=chat,d=5", "OPEN 1=2 k c=chat,d=5",
         "OPEN 1 k c=chat,d=5,h=nan"}) {
     INFO(bad);
-    CHECK_FALSE(ParseOpen(bad));
+    CHECK_FALSE(ParseOpenRequest(bad));
   }
 }
 
--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -1,4 +1,4 @@
-// Scenarios of the relay on sockets; the language is described in world.h.
+// Scenarios of the relay on sockets; the language is described in fixture.h.
 #include <catch2/catch.hpp>
 #include <string>
 
@@ -7,8 +7,8 @@
 namespace stoatrun {
 namespace {
 
-TEST_CASE_METHOD(Alone, "lines pass unchanged both ways until the host says BYE") {
-  Play(kStand);
+TEST_CASE_METHOD(SingleEndpointFixture, "lines pass unchanged both ways until the host says BYE") {
+  Play(kEstablishSession);
   Play(R"(
     a send M 1 x
     s-1 expect M 1 x
@@ -24,7 +24,7 @@
   CHECK(Counts().served == 1);
 }
 
-TEST_CASE_METHOD(Alone, "the wait is written anew and all other fields go on as they came") {
+TEST_CASE_METHOD(SingleEndpointFixture, "the wait is written anew and all other fields go on as they came") {
   Play(R"(
     a send OPEN 1 k z=?,c=watch,t=acme,d=2000,g=5c,later=1
     s-1 expect OPEN 1 k z=?,c=watch,t=acme,d=998,g=5c,later=1
@@ -32,7 +32,7 @@
 }
 
 // A wait of 71 minutes is what connections from before the start ask for: it was once refused as malformed.
-TEST_CASE_METHOD(Alone, "a connection that was open before is led back to its host") {
+TEST_CASE_METHOD(SingleEndpointFixture, "a connection that was open before is led back to its host") {
   Play(R"(
     a send OPEN 1 k c=watch,d=4294967,at=s-1
     s-1 expect OPEN 1 k c=watch,d=*
@@ -43,7 +43,8 @@
   CHECK(Counts().malformed == 0);
 }
 
-TEST_CASE_METHOD(Alone, "a client from before that gives up on an unlisted host is answered") {
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "a client from before that gives up on an unlisted host is answered") {
   Play(R"(
     a send OPEN 1 k c=watch,d=4294967,at=s-9
     wait 400
@@ -53,7 +54,7 @@
   )");
 }
 
-TEST_CASE_METHOD(Alone, "PING is answered, and a first line may follow") {
+TEST_CASE_METHOD(SingleEndpointFixture, "PING is answered, and a first line may follow") {
   Play(R"(
     a send PING
     a expect PONG
@@ -62,7 +63,7 @@
   )");
 }
 
-TEST_CASE_METHOD(Alone, "bad first lines get a failure line, a close and a count") {
+TEST_CASE_METHOD(SingleEndpointFixture, "bad first lines get a failure line, a close and a count") {
   Play("a send HELLO\na expect ERR\na expect-end");
   Play("b send OPEN 1 k c=nobody,d=2000\nb expect ERR\nb expect-end");
   Play("c send OPEN 1 k c=watch,d=-1\nc expect ERR\nc expect-end");
@@ -75,15 +76,17 @@
 }
 
 // Served, the second would share the first one's place at its host.
-TEST_CASE_METHOD(Alone, "the id of an open connection is no new client's, and is free again after its end") {
-  Play(kStand);
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "the id of an open connection is no new client's, and is free again after its end") {
+  Play(kEstablishSession);
   Play("b send OPEN 1 k2 c=watch,d=2000\nb expect ERR\nb expect-end");
   Play("a send M 1 x\ns-1 expect M 1 x\na reset\ns-1 expect-reset");
   Play("c send OPEN 1 k c=watch,d=2000\ns-1#2 expect OPEN 1 k*");
   CHECK(Counts().malformed == 1);
 }
 
-TEST_CASE_METHOD(Alone, "a client that asks again before it is answered is refused and its leg given up") {
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "a client that asks again before it is answered is refused and its leg given up") {
   SECTION("in one write") { Play("a both OPEN 1 k c=watch,d=2000 | OPEN 2 k c=watch,d=2000"); }
   SECTION("later") {
     Play("a send OPEN 1 k c=watch,d=2000\ns-1 expect OPEN 1 k*\na send OPEN 2 k c=watch,d=2000");
@@ -94,25 +97,28 @@
 }
 
 // Closing on unread bytes is a reset, which overtakes the answer of a client that has not read yet.
-TEST_CASE_METHOD(Alone, "the answer reaches a client that first sends 60 MB") {
+TEST_CASE_METHOD(SingleEndpointFixture, "the answer reaches a client that first sends 60 MB") {
   Play("a pour 60000000\na expect ERR\na expect-end");
 }
 
-class Few : public World {  // 96 descriptors: at most 16 clients, and 16 callers at the least.
+class FewDescriptorsFixture
+    : public LoopbackFixture {  // 96 descriptors: at most 16 clients, and 16 callers at the least.
  public:
-  Few() : World({"s-1"}, 96) {}
+  FewDescriptorsFixture() : LoopbackFixture({"s-1"}, 96) {}
 };
 
 // Hundreds that say nothing once took every descriptor: clients were turned away and attempts could not
 // connect.
-TEST_CASE_METHOD(Few, "silent callers are bounded, the oldest go first, and clients come through") {
-  Play(kStand);
+TEST_CASE_METHOD(FewDescriptorsFixture,
+                 "silent callers are bounded, the oldest go first, and clients come through") {
+  Play(kEstablishSession);
   Play("crowd 200\nquiet 46\nb send OPEN 2 k c=watch,d=2000\ns-1#2 expect OPEN 2 k*\nquiet 44");
   CHECK(Counts().crowded_out >= 154);
   Play("wait 2050\nquiet 0");
 }
 
-TEST_CASE_METHOD(Few, "a client for whom there are no descriptors left is told to come again") {
+TEST_CASE_METHOD(FewDescriptorsFixture,
+                 "a client for whom there are no descriptors left is told to come again") {
   for (int k = 0; k < 16; ++k) {
     const std::string n = std::to_string(k);
     Play("c" + n + " send OPEN " + n + " k c=watch,d=60000,at=s-9");
@@ -122,7 +128,8 @@
   CHECK(Counts().no_room == 1);
 }
 
-TEST_CASE_METHOD(Alone, "lines in parts are put together, and what comes before UP waits for it") {
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "lines in parts are put together, and what comes before UP waits for it") {
   Play(R"(
     a raw OPEN 1 k c=wa
     a send tch,d=2000
@@ -138,7 +145,7 @@
   )");
 }
 
-TEST_CASE_METHOD(Alone, "a leg that is turned away is closed before the next is opened") {
+TEST_CASE_METHOD(SingleEndpointFixture, "a leg that is turned away is closed before the next is opened") {
   Play(R"(
     a send OPEN 1 k c=watch,d=2000
     s-1 expect OPEN 1 k*
@@ -152,7 +159,7 @@
   CHECK(Counts().legs_turned_away == 1);
 }
 
-TEST_CASE_METHOD(Alone,
+TEST_CASE_METHOD(SingleEndpointFixture,
                  "the module's last word comes when the client's time is up and no host was to be had") {
   Play(R"(
     s-1 down
@@ -167,7 +174,8 @@
 }
 
 // Once full, always the same answer at once; an answer held back would only hide the refusal.
-TEST_CASE_METHOD(Alone, "with all hosts full the answer is at once BUSY and a time to come back") {
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "with all hosts full the answer is at once BUSY and a time to come back") {
   Play(R"(
     s-1 load 0.99
     a send OPEN 1 k c=watch,d=2000
@@ -181,7 +189,8 @@
   CHECK(Counts().legs == 0);
 }
 
-TEST_CASE_METHOD(Alone, "a host that takes the line and says nothing times out and is abandoned in time") {
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "a host that takes the line and says nothing times out and is abandoned in time") {
   Play(R"(
     a send OPEN 1 k c=watch,d=1000
     s-1 expect OPEN 1 k*
@@ -192,7 +201,7 @@
   CHECK(Counts().legs_timed_out >= 1);
 }
 
-TEST_CASE_METHOD(Alone, "a client that leaves before UP takes its leg with it") {
+TEST_CASE_METHOD(SingleEndpointFixture, "a client that leaves before UP takes its leg with it") {
   Play(R"(
     a send OPEN 1 k c=watch,d=2000
     s-1 expect OPEN 1 k*
@@ -202,8 +211,8 @@
   CHECK(Counts().client_left == 1);
 }
 
-TEST_CASE_METHOD(Alone, "each side ends as the other did") {
-  Play(kStand);
+TEST_CASE_METHOD(SingleEndpointFixture, "each side ends as the other did") {
+  Play(kEstablishSession);
   SECTION("the client's end") {
     Play("a half\ns-1 expect-end\ns-1 send BYE\ns-1 close\na expect BYE\na expect-end");
   }
@@ -217,9 +226,9 @@
 }
 
 // A machine that vanishes leaves its connections open: nothing but the missing answer shows it.
-TEST_CASE_METHOD(Alone,
+TEST_CASE_METHOD(SingleEndpointFixture,
                  "a host that falls silent loses its clients within seven seconds of its last answer") {
-  Play(kStand);
+  Play(kEstablishSession);
   Play(R"(
     a send M 1 x
     s-1 expect M 1 x
@@ -236,14 +245,15 @@
   CHECK(Counts().silent == 1);
 }
 
-TEST_CASE_METHOD(Alone, "a connection without client lines is not taken for silent") {
-  Play(kStand);
+TEST_CASE_METHOD(SingleEndpointFixture, "a connection without client lines is not taken for silent") {
+  Play(kEstablishSession);
   Play("wait 9000\na send M 1 x\ns-1 expect M 1 x");
   CHECK(Counts().silent == 0);
 }
 
-TEST_CASE_METHOD(Alone, "a planned end still takes clients, then moves all that stand and stops") {
-  Play(kStand);
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "a planned end still takes clients, then moves all that stand and stops") {
+  Play(kEstablishSession);
   Play(R"(
     drain
     wait 300
@@ -269,7 +279,8 @@
 
 // The front's checks keep connections without a first line open; they once held the end up until its last
 // moment.
-TEST_CASE_METHOD(Alone, "a planned end does not wait for connections that asked for nothing") {
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "a planned end does not wait for connections that asked for nothing") {
   SECTION("PING") { Play("a send PING\na expect PONG"); }
   SECTION("half a line") { Play("a raw OPEN 1 k"); }
   SECTION("an answered caller that does not end") { Play("a send HELLO"); }
@@ -279,7 +290,7 @@
 #ifndef __SANITIZE_ADDRESS__  // The check of virtual calls needs a descriptor itself: it fails where none is
                               // left.
 // Closing a connection that the machine has taken would lose its client's request without an answer.
-TEST_CASE_METHOD(Alone, "without a descriptor left a client is told to come again") {
+TEST_CASE_METHOD(SingleEndpointFixture, "without a descriptor left a client is told to come again") {
   Play("exhaust a\na expect BUSY\na expect-end");
   CHECK(Counts().accept_failed == 1);
   Play("b send OPEN 1 k c=watch,d=2000\ns-1 expect OPEN 1 k*");
@@ -287,20 +298,21 @@
 #endif
 
 // The host takes nothing while the client sends far more than all buffers hold, and then ends.
-TEST_CASE_METHOD(Alone, "lines wait for a slow host within bounds and none is lost at the client's end") {
-  Play(kStand);
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "lines wait for a slow host within bounds and none is lost at the client's end") {
+  Play(kEstablishSession);
   Play("a flood 12000\na half\nwait 50\ns-1 expect-flood\ns-1 expect-end");
 }
 
 // MOVE in the middle of a line would be read as its rest.
-TEST_CASE_METHOD(Alone, "MOVE waits for no half line and never falls into one") {
-  Play(kStand);
+TEST_CASE_METHOD(SingleEndpointFixture, "MOVE waits for no half line and never falls into one") {
+  Play(kEstablishSession);
   Play("s-1 raw M 1 half\ndrain\nwait 2100\na expect MOVE\na expect-end");
 }
 
 // A machine that vanished lets no connection come up and refuses none.
-TEST_CASE_METHOD(Alone, "a leg that does not come up in its time has not run") {
-  Play(kStand);
+TEST_CASE_METHOD(SingleEndpointFixture, "a leg that does not come up in its time has not run") {
+  Play(kEstablishSession);
   Play("s-1 full\nb send OPEN 2 k c=watch,d=2000\nwait 240");
   CHECK(Counts().legs == 2);
   CHECK(Counts().legs_not_connected == 0);
@@ -310,8 +322,9 @@
 
 // Guards the rule of careful drains: the attempt would send its first byte when it comes up, long after the
 // grace.
-TEST_CASE_METHOD(Alone, "a leg that still connects when a drain is told is given up within the grace") {
-  Play(kStand);
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "a leg that still connects when a drain is told is given up within the grace") {
+  Play(kEstablishSession);
   Play(R"(
     s-1 full
     b send OPEN 2 k c=watch,d=2000
@@ -323,7 +336,7 @@
   CHECK(Counts().legs_not_connected == 1);
 }
 
-TEST_CASE_METHOD(Alone, "a drain that is told stops sending") {
+TEST_CASE_METHOD(SingleEndpointFixture, "a drain that is told stops sending") {
   Play(R"(
     discovery send {"revision":2,"complete":false,"members":[{"id":"s-1","host_port":"","phase":"draining"}]}
     a send OPEN 1 k c=watch,d=1000
@@ -334,7 +347,8 @@
   CHECK(Counts().legs == 0);
 }
 
-TEST_CASE_METHOD(Alone, "a watch that ends, is refused or falls silent is made anew and the list stays") {
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "a watch that ends, is refused or falls silent is made anew and the list stays") {
   Play("discovery watches 1");
   SECTION("ends") { Play("discovery close\nwait 100\ndiscovery watches 2"); }
   SECTION("refused") {
@@ -357,17 +371,17 @@
     Play("discovery watches 2");
     CHECK(Counts().lists == 0);
   }
-  Play(kStand);
+  Play(kEstablishSession);
 }
 
 // Its other host is as empty, but every host that holds some of a group pays for it.
 TEST_CASE("clients of one group go to one host, whichever relay they meet") {
   for (int relay = 0; relay < 2; ++relay) {
-    World world({"s-1", "s-2"}, 0, 2);
+    LoopbackFixture fixture({"s-1", "s-2"}, 0, 2);
     for (int k = 1; k <= 4; ++k) {
       const std::string n = std::to_string(k);
-      world.Play("h" + n + " send OPEN h" + n + " k c=watch,d=2000,g=herons\ns-2#" + n + " expect OPEN h*");
-      world.Play("k" + n + " send OPEN k" + n + " k c=watch,d=2000,g=kites\ns-1#" + n + " expect OPEN k*");
+      fixture.Play("h" + n + " send OPEN h" + n + " k c=watch,d=2000,g=herons\ns-2#" + n + " expect OPEN h*");
+      fixture.Play("k" + n + " send OPEN k" + n + " k c=watch,d=2000,g=kites\ns-1#" + n + " expect OPEN k*");
     }
   }
 }
@@ -375,20 +389,20 @@
 // The module asks for no pushed list, so the relay once never held a watch: it served for the whole day by
 // the list that it was started with.
 TEST_CASE("where lists are pushed the relay holds the watch by itself, and makes it anew") {
-  World world({"s-1"}, 0, 100, -1, "automatic");
-  world.Play("discovery watches 1\ndiscovery asked after=1 ");  // At once: the agent is this machine's own.
-  SECTION("ended") { world.Play("discovery close\nwait 100\ndiscovery watches 2"); }
-  SECTION("silent") { world.Play("wait 3700\ndiscovery watches 2"); }
-  world.Play(R"(
+  LoopbackFixture fixture({"s-1"}, 0, 100, -1, "automatic");
+  fixture.Play("discovery watches 1\ndiscovery asked after=1 ");  // At once: the agent is this machine's own.
+  SECTION("ended") { fixture.Play("discovery close\nwait 100\ndiscovery watches 2"); }
+  SECTION("silent") { fixture.Play("wait 3700\ndiscovery watches 2"); }
+  fixture.Play(R"(
     discovery send {"revision":2,"complete":false,"members":[{"id":"s-1","host_port":"","phase":"draining"}]}
     a send OPEN 1 k c=watch,d=500
     wait 500
     a expect BUSY*
   )");
-  CHECK(world.Counts().legs == 0);
+  CHECK(fixture.Counts().legs == 0);
 }
 
-TEST_CASE_METHOD(Alone,
+TEST_CASE_METHOD(SingleEndpointFixture,
                  "a list without any host that answers costs bounded tries, and the next list serves") {
   Play(R"(
     discovery send {"revision":5,"complete":true,"members":[{"id":"s-9","host_port":"127.0.0.1:1"}]}
@@ -405,7 +419,8 @@
   CHECK(Counts().legs_not_connected <= 5);
 }
 
-TEST_CASE_METHOD(Alone, "a host that answers nonsense is counted and tried again within bounds") {
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "a host that answers nonsense is counted and tried again within bounds") {
   Play(R"(
     a send OPEN 1 k c=watch,d=2000
     s-1 expect OPEN 1 k*
@@ -421,23 +436,24 @@
 
 // Discovery serves calls in turn: a hundred relays that lose their watches together overran it for good.
 TEST_CASE("one relay of a hundred begins its watch within a spread and comes again late") {
-  World world({"s-1"}, 0, 100);
-  world.Play("wait 4000\ndiscovery watches 1\ndiscovery refuse\ndiscovery close\nwait 1000");
-  CHECK(world.Counts().watches_failed == 1);
-  world.Play("wait 2500\ndiscovery watches 2\ndiscovery serve\nwait 6000\ndiscovery watches 3");
-  world.Play(kStand);
+  LoopbackFixture fixture({"s-1"}, 0, 100);
+  fixture.Play("wait 4000\ndiscovery watches 1\ndiscovery refuse\ndiscovery close\nwait 1000");
+  CHECK(fixture.Counts().watches_failed == 1);
+  fixture.Play("wait 2500\ndiscovery watches 2\ndiscovery serve\nwait 6000\ndiscovery watches 3");
+  fixture.Play(kEstablishSession);
 }
 
 // The old address closes its watches soon after: to wait for that, or for a back-off grown there, would leave
 // the relay deaf for seconds. Another service counts its own revisions, so the whole list is asked for.
-TEST_CASE_METHOD(Alone, "a reload moves the watch at once and the old list stays until the new one speaks") {
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "a reload moves the watch at once and the old list stays until the new one speaks") {
   Play("discovery send {\"revision\":41,\"members\":[]}");
   SECTION("from a watch that stands") { Play("reload discovery2\ndiscovery expect-end"); }
   SECTION("from a back-off") {
     Play("discovery refuse\ndiscovery close\nwait 600\nreload discovery2\ndiscovery serve");
   }
   Play("discovery2 watches 1\ndiscovery2 asked after=0 ");
-  Play(kStand);
+  Play(kEstablishSession);
   Play(R"(
     discovery2 send {"revision":1,"complete":true,"members":[]}
     b send OPEN 2 k c=watch,d=300
@@ -449,7 +465,8 @@
   CHECK(Counts().reloads == 1);
 }
 
-TEST_CASE_METHOD(Alone, "a reload that changes nothing does not cut the watch, and one may follow another") {
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "a reload that changes nothing does not cut the watch, and one may follow another") {
   Play(
       "discovery watches 1\nreload discovery\nreload discovery2\nreload discovery2\ndrain\nreload discovery");
   Play("discovery watches 2\ndiscovery2 expect-end");
