--- a/src/proxy/balancer_mapping.h
+++ b/src/proxy/balancer_mapping.h
@@ -36,25 +36,36 @@
 // Where an endpoint list comes from: the configuration, or a watch at discovery.
 enum class EndpointSource : std::uint8_t { kCached, kWatch };
 
-// The ids in the balancer's actions.
+// The session that the balancer names by `id`.
 SlotId ToSessionId(balancer::RequestId id);
+// The endpoint that the balancer names by `id`.
 EndpointIndex ToEndpointIndex(balancer::EndpointId id);
 
+// A client requests a new connection.
 balancer::Event ToRequestArrived(SlotId session, const ConnectRequest& request);
+// A connection from before this process started is established again at `endpoint`.
 balancer::Event ToConnectionResumed(SlotId session, const ConnectRequest& request, EndpointIndex endpoint);
+// `endpoint` accepted the request of `session`.
 balancer::Event ToAttemptEstablished(SlotId session, EndpointIndex endpoint);
-// `report`: the metrics that followed the endpoint's answer, where it reports its load so.
+// An attempt, or the session that it established, has ended. `report`: the metrics that followed the
+// endpoint's answer, where it reports its load so.
 balancer::Event ToAttemptEnded(SlotId session, EndpointIndex endpoint, AttemptEnd end, RequestState state,
                                std::string_view report);
+// The endpoint reported the present load of `session`, in the unit of ConnectRequest::load.
 balancer::Event ToLoadReported(SlotId session, double load);
+// `endpoint` answered a client's line after `latency`.
 balancer::Event ToMessageLatencyReported(EndpointIndex endpoint, Micros latency);
+// A probe has ended. `report`: the metrics in its answer.
 balancer::Event ToProbeCompleted(EndpointIndex endpoint, bool succeeded, std::string_view report);
+// The client of `session` has ended its connection.
 balancer::Event ToClientDisconnected(SlotId session);
 // What the rest of the fleet knows of an endpoint: see FleetClient::EndpointHint.
 balancer::Event ToFleetHint(EndpointIndex endpoint, double unreported_in_flight, double slow_start_tokens,
                             bool eject);
+// The watch on the endpoint list has failed.
 balancer::Event ToEndpointUpdateFailed();
-// All endpoints of `update` must be in `table`. `zones`: the names of the balancer's zones, by number.
+// A new endpoint list, or changes to it. All endpoints of `update` must be in `table`. `zones`: the names of
+// the balancer's zones, by number.
 balancer::Event ToEndpointUpdate(const EndpointUpdate& update, EndpointSource source,
                                  const EndpointTable& table, const Clock& clock,
                                  std::vector<std::string>& zones);
--- a/src/proxy/downstream.cpp
+++ b/src/proxy/downstream.cpp
@@ -31,7 +31,7 @@
 // The start of what a client sent, made printable for the log.
 std::string Printable(std::string_view input) {
   std::string text(input.substr(0, 120));
-  for (char& c : text) c = c < ' ' || c > '~' ? '.' : c;
+  for (char& symbol : text) symbol = symbol < ' ' || symbol > '~' ? '.' : symbol;
   return text;
 }
 
--- a/src/proxy/downstream.h
+++ b/src/proxy/downstream.h
@@ -50,11 +50,15 @@
   // All references must outlive the object. `descriptor_limit`: descriptors that the whole process may use.
   Downstream(EventLoop& loop, DownstreamEvents& events, Counters& counters, std::size_t descriptor_limit);
 
-  // As those of Listener.
+  // The listening socket: see the methods of Listener. Listen and AdoptListener throw.
   void Listen(const Address& address) { listener_.Listen(address); }
+  // Takes over a listening socket of the platform's.
   void AdoptListener(int fd) { listener_.Adopt(fd); }
+  // Accepts no further clients.
   void StopListening() { listener_.Stop(); }
+  // Whether the listening socket is the platform's.
   bool IsInherited() const { return listener_.IsInherited(); }
+  // The local port of the listening socket.
   int Port() const { return listener_.Port(); }
 
   // What health checks (PING) are answered from now on: PONG or ERR.
--- a/src/proxy/drain_schedule.cpp
+++ b/src/proxy/drain_schedule.cpp
@@ -15,7 +15,7 @@
 
 Step Schedule::Advance(Micros now, std::size_t established) {
   if (!draining_) return {};
-  const Micros begin = draining_since_ + timing_.hold;
+  const Micros begin = draining_since_ + timing_.migrate_after;
   if (now < begin) return {0, begin};
   const Micros end = begin + timing_.spread;
   if (now >= end) return {established, now + timing_.step};
--- a/src/proxy/drain_schedule.h
+++ b/src/proxy/drain_schedule.h
@@ -21,7 +21,7 @@
 
 // The times of a drain, in microseconds.
 struct Timing {
-  Micros hold{400'000};  // From the call until the first migration.
+  Micros migrate_after{400'000};  // From the call until the first migration.
   Micros spread{
       2'200'000};       // The connections open at the first migration are migrated evenly over this time.
   Micros step{50'000};  // Between two steps.
@@ -54,6 +54,7 @@
 // State of the operators' drain: active, or draining since some time. Used by one thread.
 class Schedule {
  public:
+  // A schedule that is active. `timing` holds for all its drains.
   explicit Schedule(const Timing& timing = {}) : timing_(timing) {}
 
   // Begins to drain at `now`. No effect while draining: the times of the first call stay.
--- a/src/proxy/endpoint_table.cpp
+++ b/src/proxy/endpoint_table.cpp
@@ -25,8 +25,9 @@
 }
 
 std::size_t EndpointTable::ListedCount() const {
-  return static_cast<std::size_t>(std::count_if(
-      entries_.begin(), entries_.end(), [](const Entry& e) { return e.state != EndpointState::kGone; }));
+  return static_cast<std::size_t>(std::count_if(entries_.begin(), entries_.end(), [](const Entry& entry) {
+    return entry.state != EndpointState::kGone;
+  }));
 }
 
 EndpointIndex EndpointTable::FindOrAdd(const std::string& id) {
--- a/src/proxy/endpoint_updater.cpp
+++ b/src/proxy/endpoint_updater.cpp
@@ -21,7 +21,7 @@
       .Word("complete", update.complete)
       .Word("changes", !update.complete)
       .Field("entries", update.entries.size());
-  balancer_.HandleEvent(ToEndpointUpdate(update, source, upstream_.endpoints(), loop_.clock, zones_));
+  balancer_.HandleEvent(ToEndpointUpdate(update, source, upstream_.Endpoints(), loop_.clock, zones_));
 }
 
 void EndpointUpdater::OnEndpointUpdate(const EndpointUpdate& update) {
--- a/src/proxy/forwarder.h
+++ b/src/proxy/forwarder.h
@@ -35,8 +35,9 @@
   // Forwards what the endpoint has sent to the client, and reports loads and latencies to the balancer: any
   // session may have been erased afterwards. No effect if the session has been erased.
   void ForwardToClient(SlotId session_id, Extent extent);
-  // All output to one side is written: reads from the other side again.
+  // All output to the client is written: reads from the endpoint again.
   void OnClientWritable(SlotId session_id);
+  // All output to the endpoint is written: reads from the client again.
   void OnEndpointWritable(SlotId session_id);
 
  private:
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -30,7 +30,7 @@
   throw std::system_error(errno, std::generic_category(), operation);
 }
 
-[[noreturn]] void RefuseDescriptor(int fd, std::string_view reason) {
+[[noreturn]] void ThrowInvalidDescriptor(int fd, std::string_view reason) {
   throw ConfigError("PROXY_ACCEPT_FD: descriptor " + std::to_string(fd) + " " + std::string(reason));
 }
 
@@ -54,8 +54,8 @@
 void Listener::Listen(const Address& address) {
   UniqueFd socket_fd(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!socket_fd) ThrowSystemError("socket");
-  const int on = 1;  // A restarted proxy gets its address again although old connections linger there.
-  setsockopt(socket_fd.Get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+  const int enabled = 1;  // A restarted proxy gets its address again although old connections linger there.
+  setsockopt(socket_fd.Get(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
   const auto* raw = reinterpret_cast<const sockaddr*>(&address.raw);
   if (bind(socket_fd.Get(), raw, sizeof address.raw) != 0) ThrowSystemError("bind");
   if (listen(socket_fd.Get(), SOMAXCONN) != 0) ThrowSystemError("listen");
@@ -65,14 +65,14 @@
 
 void Listener::Adopt(int fd) {
   struct stat status {};
-  if (fstat(fd, &status) != 0) RefuseDescriptor(fd, "is not open");
-  if (!S_ISSOCK(status.st_mode)) RefuseDescriptor(fd, "is not a socket");
-  if (SocketOption(fd, SO_DOMAIN) != AF_INET) RefuseDescriptor(fd, "is not an IPv4 socket");
-  if (SocketOption(fd, SO_TYPE) != SOCK_STREAM) RefuseDescriptor(fd, "is not a TCP socket");
-  if (SocketOption(fd, SO_ACCEPTCONN) != 1) RefuseDescriptor(fd, "does not listen");
+  if (fstat(fd, &status) != 0) ThrowInvalidDescriptor(fd, "is not open");
+  if (!S_ISSOCK(status.st_mode)) ThrowInvalidDescriptor(fd, "is not a socket");
+  if (SocketOption(fd, SO_DOMAIN) != AF_INET) ThrowInvalidDescriptor(fd, "is not an IPv4 socket");
+  if (SocketOption(fd, SO_TYPE) != SOCK_STREAM) ThrowInvalidDescriptor(fd, "is not a TCP socket");
+  if (SocketOption(fd, SO_ACCEPTCONN) != 1) ThrowInvalidDescriptor(fd, "does not listen");
   // Programs that this process might start must not keep the socket open.
   if (fcntl(fd, F_SETFD, FD_CLOEXEC) != 0 || fcntl(fd, F_SETFL, fcntl(fd, F_GETFL) | O_NONBLOCK) != 0) {
-    RefuseDescriptor(fd, "can't be made non-blocking");
+    ThrowInvalidDescriptor(fd, "can't be made non-blocking");
   }
   socket_.Reset(fd);
   inherited_ = true;
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -13,18 +13,17 @@
 }  // namespace
 
 Proxy::Proxy(EventLoop& loop, const Config& config, UsageMeter* meter, FleetClient* fleet)
-    : loop_(loop),
-      config_(config),
+    : config_(config),
       pushed_(config.site.module.list_mode == balancer::ListMode::kPushed),
       sessions_(loop, meter, fleet),
       controller_({loop, config_.site, counters_, sessions_, downstream_, upstream_, discovery_, balancer_,
                    fleet_, resumption_, forwarder_}),
       balancer_(loop, config.site.module, controller_),
       upstream_(loop, controller_, counters_, UpstreamTimeouts(config.site)),
-      fleet_(loop, fleet, config.site.module.slow_start_duration, upstream_.endpoints(), sessions_, balancer_,
+      fleet_(loop, fleet, config.site.module.slow_start_duration, upstream_.Endpoints(), sessions_, balancer_,
              controller_),
       resumption_(loop, upstream_),
-      latency_reporter_(loop, config.site.module, upstream_.endpoints(), balancer_),
+      latency_reporter_(loop, config.site.module, upstream_.Endpoints(), balancer_),
       forwarder_(loop, sessions_, downstream_, upstream_, balancer_, latency_reporter_),
       endpoint_updater_(loop, config.site, upstream_, fleet_, balancer_),
       discovery_(loop, endpoint_updater_, counters_, config.discovery, config.discovery_text,
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -52,26 +52,27 @@
   // A changed configuration could not be read, for `reason`; the present one stays in force.
   void OnReloadFailed(std::string_view reason);
 
-  // The operators' drain and its end: see OperatorDrain. No effect when repeated.
+  // Begins the operators' drain: see OperatorDrain. No effect while draining.
   void StartDrain();
+  // Ends the operators' drain.
   void Activate();
 
   // Whether the proxy serves and the front load balancer may send clients here.
   bool Ready() const;
   // The local port of the listening socket.
   int Port() const { return downstream_.Port(); }
+  // What was counted since the start.
   const Counters& Counts() const { return counters_; }
   // The classes' names, in the order of the counters by class.
   const std::vector<std::string>& ClassNames() const { return config_.site.class_names; }
   // The number of requests that were accepted and have not ended, established sessions included.
   std::size_t SessionCount() const { return sessions_.Size(); }
   // The number of endpoints listed now, ready or draining.
-  std::size_t EndpointCount() const { return upstream_.endpoints().ListedCount(); }
+  std::size_t EndpointCount() const { return upstream_.Endpoints().ListedCount(); }
   // The number of endpoints that outlier detection has ejected now.
   std::size_t EjectedCount() const { return balancer_.EjectedCount(); }
 
  private:
-  EventLoop& loop_;
   const Config config_;  // As the proxy was started.
   Counters counters_;
   const bool pushed_;  // Endpoint updates come without the balancer's asking for them.
--- a/src/proxy/session.h
+++ b/src/proxy/session.h
@@ -22,6 +22,7 @@
 class SessionTimeoutHandler {
  public:
   virtual ~SessionTimeoutHandler() = default;
+  // The timer of this session has expired.
   virtual void OnSessionTimeout(SlotId session) = 0;
 };
 
@@ -39,6 +40,7 @@
 // must answer by then. kHalfClosed: the endpoint must end by then.
 class Session {
  public:
+  // See above.
   enum class State : std::uint8_t { kPending, kEstablished, kHalfClosed };
 
   // Made by SessionTable only. `handler` must outlive the session.
@@ -47,8 +49,11 @@
         connection_id(client_id),
         timer(timers, [&handler, slot] { handler.OnSessionTimeout(slot); }) {}
 
-  State state() const { return state_; }
+  // The state; two of the values have a question of their own.
+  State CurrentState() const { return state_; }
+  // Whether the client still waits for its answer.
   bool IsPending() const { return state_ == State::kPending; }
+  // Whether both sides may send.
   bool IsEstablished() const { return state_ == State::kEstablished; }
   // Whether the client asked for the endpoint that already has its connection.
   bool IsResumed() const { return !resume_endpoint.empty(); }
--- a/src/proxy/session_controller.cpp
+++ b/src/proxy/session_controller.cpp
@@ -105,7 +105,7 @@
 
 void SessionController::OnClientEnd(SlotId session_id, ConnectionEnd end) {
   Session* session = parts_.sessions.Find(session_id);
-  if (session == nullptr || session->state() == Session::State::kHalfClosed) return;
+  if (session == nullptr || session->CurrentState() == Session::State::kHalfClosed) return;
   ++parts_.counters.client_left;
   if (session->IsPending()) {
     EndPending(*session, end);
@@ -175,7 +175,7 @@
   LogLine(Level::kDebug, "leg")
       .Field("number", session->attempt_count)
       .Field("of", session_id.Packed())
-      .Field("host", parts_.upstream.endpoints().IdOf(endpoint));
+      .Field("host", parts_.upstream.Endpoints().IdOf(endpoint));
 }
 
 void SessionController::CancelAttempt(SlotId session_id, std::uint32_t attempt_number) {
@@ -287,7 +287,7 @@
   LogLine(Level::kDebug, "leg ended")
       .Field("number", session->attempt_count)
       .Field("of", session_id.Packed())
-      .Field("host", parts_.upstream.endpoints().IdOf(endpoint))
+      .Field("host", parts_.upstream.Endpoints().IdOf(endpoint))
       .Field("how", static_cast<int>(end));
   if (session->IsResumed()) {
     if (!parts_.resumption.RetryAfter(*session, end)) {
@@ -318,11 +318,11 @@
   AttemptEnd attempt_end = session->announced_end;
   if (attempt_end == AttemptEnd::kServed) ++parts_.counters.served;
   if (attempt_end == AttemptEnd::kMigrated) ++parts_.counters.host_moved;
-  const bool client_left = session->state() == Session::State::kHalfClosed;
+  const bool client_left = session->CurrentState() == Session::State::kHalfClosed;
   if (attempt_end == AttemptEnd::kBroken && client_left) attempt_end = AttemptEnd::kAbandoned;
   if (attempt_end == AttemptEnd::kBroken) {
     ++parts_.counters.legs_cut;
-    LogLine(Level::kDebug, "cut").Field("host", parts_.upstream.endpoints().IdOf(session->endpoint));
+    LogLine(Level::kDebug, "cut").Field("host", parts_.upstream.Endpoints().IdOf(session->endpoint));
     if (end == ConnectionEnd::kReset) parts_.downstream.Reset(session->client);
   }
   EndEstablished(*session, attempt_end, {});
@@ -330,7 +330,7 @@
 
 void SessionController::OnProbeCompleted(EndpointIndex endpoint, bool succeeded, std::string_view report) {
   LogLine(Level::kDebug, "probe")
-      .Field("host", parts_.upstream.endpoints().IdOf(endpoint))
+      .Field("host", parts_.upstream.Endpoints().IdOf(endpoint))
       .Word("ok", succeeded)
       .Field("report", report);
   parts_.balancer.HandleEvent(ToProbeCompleted(endpoint, succeeded, report));
@@ -350,7 +350,7 @@
 void SessionController::OnSessionTimeout(SlotId session_id) {
   Session* session = parts_.sessions.Find(session_id);
   if (session == nullptr) return;
-  switch (session->state()) {
+  switch (session->CurrentState()) {
     case Session::State::kPending:
       if (!parts_.resumption.RetryNow(*session)) {
         Answer(session_id, kErrorLine, FleetClient::ConnectionOutcome::kFailed);
@@ -363,7 +363,7 @@
       // A machine that vanished sends nothing, and its connections would stay open for ever.
       ++parts_.counters.silent;
       LogLine(Level::kInfo, "silent host, its client is moved")
-          .Field("host", parts_.upstream.endpoints().IdOf(session->endpoint));
+          .Field("host", parts_.upstream.Endpoints().IdOf(session->endpoint));
       EndEstablished(*session, AttemptEnd::kBroken, kMoveLine);
       return;
   }
--- a/src/proxy/session_controller.h
+++ b/src/proxy/session_controller.h
@@ -46,6 +46,7 @@
     Forwarder& forwarder;
   };
 
+  // Uses none of `parts` yet.
   explicit SessionController(const Parts& parts) : parts_(parts) {}
 
   // Migrates `count` of the established sessions: those that were answered most recently, whose clients will
--- a/src/proxy/session_resumption.cpp
+++ b/src/proxy/session_resumption.cpp
@@ -31,7 +31,7 @@
 }
 
 void SessionResumption::Try(Session& session) {
-  const auto endpoint = upstream_.endpoints().Find(session.resume_endpoint);
+  const auto endpoint = upstream_.Endpoints().Find(session.resume_endpoint);
   if (!endpoint) {
     session.timer.Set(loop_.Now() + kRetryInterval);
     return;
--- a/src/proxy/session_table.h
+++ b/src/proxy/session_table.h
@@ -45,7 +45,9 @@
 
   // The number of sessions in any state.
   std::size_t Size() const { return sessions_.Size(); }
+  // The number of sessions in kEstablished.
   std::size_t EstablishedCount();
+  // The sessions in kPending.
   std::vector<SlotId> PendingIds();
   // At most `count` established sessions that reserve a unit of `quota`.
   std::vector<SlotId> EstablishedUnderQuota(std::uint32_t quota, std::size_t count);
--- a/src/proxy/upstream.cpp
+++ b/src/proxy/upstream.cpp
@@ -193,9 +193,9 @@
 }
 
 std::size_t Upstream::IdleProbeCount() const {
-  return static_cast<std::size_t>(
-      std::count_if(per_endpoint_.begin(), per_endpoint_.end(),
-                    [](const EndpointConnections& e) { return static_cast<bool>(e.idle_probe); }));
+  return static_cast<std::size_t>(std::count_if(
+      per_endpoint_.begin(), per_endpoint_.end(),
+      [](const EndpointConnections& endpoint) { return static_cast<bool>(endpoint.idle_probe); }));
 }
 
 // Keeps the connection for the endpoint's next probe, unless there are enough.
--- a/src/proxy/upstream.h
+++ b/src/proxy/upstream.h
@@ -81,7 +81,7 @@
   Upstream(EventLoop& loop, UpstreamEvents& events, Counters& counters, const Timeouts& timeouts);
 
   // The endpoints, as updated so far.
-  const EndpointTable& endpoints() const { return endpoints_; }
+  const EndpointTable& Endpoints() const { return endpoints_; }
   // Takes over an update of the endpoint list.
   void ApplyUpdate(const EndpointUpdate& update);
 
@@ -108,9 +108,9 @@
   // connection between two probes). Any state ends with the connection.
   enum class State : std::uint8_t { kPending, kEstablished, kIdle };
   struct Connection {
-    Connection(SlotId slot, Upstream& upstream, EndpointIndex to, Kind of_kind)
+    Connection(SlotId slot, Upstream& upstream, EndpointIndex target, Kind of_kind)
         : id(slot),
-          endpoint(to),
+          endpoint(target),
           kind(of_kind),
           tcp(upstream.loop_, upstream, slot),
           timer(upstream.loop_.timers, [&upstream, slot] { upstream.OnTimeout(slot); }) {}
--- a/tests/endpoint/discovery_client_test.cpp
+++ b/tests/endpoint/discovery_client_test.cpp
@@ -111,7 +111,7 @@
   const auto [mode, relays] = GENERATE(table<std::string, int>(
       {{"subscribe", 1}, {"subscribe", 2}, {"subscribe", 100}, {"subscribe", 300}, {"automatic", 300}}));
   INFO(mode << ", " << relays << " relays");
-  LoopbackFixture fixture({"s-1"}, 0, relays, -1, mode);
+  LoopbackFixture fixture({"s-1"}, {.fleet_size = relays, .discovery_mode = mode});
   // A first call may be spread over seconds; its first word is what the time counts from.
   while (!fixture.DiscoveryCallCount()) fixture.Play("wait 50");
   fixture.Play("discovery send {\"revision\":1,\"members\":[]}");
--- a/tests/proxy/drain_test.cpp
+++ b/tests/proxy/drain_test.cpp
@@ -106,7 +106,7 @@
 
 class InheritedListenerFixture : public LoopbackFixture {
  public:
-  InheritedListenerFixture() : LoopbackFixture({"s-1"}, 0, 1, Held()) {}
+  InheritedListenerFixture() : LoopbackFixture({"s-1"}, {.accept_fd = Held()}) {}
   ~InheritedListenerFixture() { close(held_); }
   static int Held() {  // The relay's copy.
     const int fd = ListeningSocket();
--- a/tests/proxy/endings_test.cpp
+++ b/tests/proxy/endings_test.cpp
@@ -51,7 +51,7 @@
   const std::string place = GENERATE("queue", "between attempts", "connecting", "budget");
   INFO(way << ", " << behind << ", " << place);
   FleetClientRecorder fleet;
-  LoopbackFixture fixture({"s-1"}, 0, 1, -1, "subscribe", &fleet);
+  LoopbackFixture fixture({"s-1"}, {.fleet = &fleet});
   if (place == "queue") fixture.Play(kDrained);
   if (place == "budget") {
     fleet.slow_start_sends = 0;
@@ -419,7 +419,7 @@
 
 // Bad callers are closed to make room: their unread bytes must not cost anybody an answer.
 TEST_CASE("beside a thousand that send much and go, every client is answered, and so are those that stay") {
-  LoopbackFixture fixture({"s-1"}, 96);
+  LoopbackFixture fixture({"s-1"}, {.descriptor_limit = 96});
   for (int k = 0; k < 1000; ++k) {
     const std::string n = std::to_string(k);
     fixture.Play("turns " + std::string(k % 100 == 99 ? "3" : "0"));
--- a/tests/proxy/fleet_client_test.cpp
+++ b/tests/proxy/fleet_client_test.cpp
@@ -12,7 +12,7 @@
 
 TEST_CASE("every connection is told to the fleet once, with its end") {
   FleetClientRecorder fleet;
-  LoopbackFixture fixture({"s-1"}, 0, 1, -1, "subscribe", &fleet);
+  LoopbackFixture fixture({"s-1"}, {.fleet = &fleet});
   fixture.Play(R"(
     a send OPEN 1 k c=watch,t=wetland,d=2000
     s-1 expect OPEN 1 k c=watch,t=wetland*
@@ -39,7 +39,7 @@
 TEST_CASE("a connection beyond its group's quota is declined at once, with advice, and not sent on") {
   FleetClientRecorder fleet;
   fleet.quota = 1;
-  LoopbackFixture fixture({"s-1"}, 0, 1, -1, "subscribe", &fleet);
+  LoopbackFixture fixture({"s-1"}, {.fleet = &fleet});
   fixture.Play(R"(
     a send OPEN 1 k c=watch,t=wetland,d=2000
     s-1 expect OPEN 1 k*
@@ -65,7 +65,7 @@
 TEST_CASE("a further attempt that the fleet's budget does not allow ends in the final answer at once") {
   FleetClientRecorder fleet;
   fleet.retries = 0;
-  LoopbackFixture fixture({"s-1", "s-2"}, 0, 1, -1, "subscribe", &fleet);
+  LoopbackFixture fixture({"s-1", "s-2"}, {.fleet = &fleet});
   fixture.Play(
       "s-1 down\ns-2 down\na send OPEN 1 k c=watch,d=2000\nwait 100\nwait 300\nwait 300\na expect BUSY*\n");
   CHECK(fixture.Counts().legs_held_back == 1);
@@ -75,7 +75,7 @@
 TEST_CASE("a look that the fleet's budget does not allow tells the module nothing, and placement goes on") {
   FleetClientRecorder fleet;
   fleet.probes = 0;
-  LoopbackFixture fixture({"s-1"}, 0, 1, -1, "subscribe", &fleet);
+  LoopbackFixture fixture({"s-1"}, {.fleet = &fleet});
   fixture.Play(R"(
     a send OPEN 1 k c=watch,d=2000
     wait 100
@@ -88,7 +88,7 @@
 
 TEST_CASE("hosts that the others found failing are left alone") {
   FleetClientRecorder fleet;
-  LoopbackFixture fixture({"s-1", "s-2"}, 0, 1, -1, "subscribe", &fleet);
+  LoopbackFixture fixture({"s-1", "s-2"}, {.fleet = &fleet});
   fleet.hints = {{"s-1", 0, -1, true}, {"s-unknown", 3, 3, true}};
   fixture.Play(R"(
     wait 260
--- /dev/null
+++ b/tests/proxy/loopback_commands.cpp
@@ -0,0 +1,317 @@
+// The commands of the scripts that LoopbackFixture plays.
+#include <fcntl.h>
+#include <sys/socket.h>
+
+#include <algorithm>
+#include <catch2/catch.hpp>
+#include <cerrno>
+#include <sstream>
+#include <utility>
+
+#include "proxy/loopback_fixture.h"
+
+namespace stoatrun {
+namespace {
+
+// Replaces \r and \n, each written as two characters.
+std::string Unescape(std::string text) {
+  for (const auto& [from, to] : {std::pair("\\r", "\r"), std::pair("\\n", "\n")}) {
+    for (std::size_t at = 0; (at = text.find(from, at)) != std::string::npos;) text.replace(at, 2, to);
+  }
+  return text;
+}
+
+}  // namespace
+
+// ---- the fixture itself ----
+
+const std::map<std::string_view, LoopbackFixture::Handler>& LoopbackFixture::FixtureCommands() {
+  static const std::map<std::string_view, Handler> commands{
+      {"wait", &LoopbackFixture::Wait},
+      {"turns", &LoopbackFixture::SetTurns},
+      {"turn", &LoopbackFixture::PlayTurn},
+      {"crowd", &LoopbackFixture::ConnectCrowd},
+      {"quiet", &LoopbackFixture::CheckQuiet},
+      {"drain", &LoopbackFixture::BeginShutdown},
+      {"drain-call", &LoopbackFixture::StartDrain},
+      {"activate", &LoopbackFixture::Activate},
+      {"exhaust", &LoopbackFixture::ExhaustDescriptors},
+      {"stopped", &LoopbackFixture::AwaitStopped},
+      {"reload", &LoopbackFixture::Reload},
+  };
+  return commands;
+}
+
+// In small steps, so that every timer runs at its own time.
+void LoopbackFixture::Wait(const Step& step) {
+  for (int remaining = std::stoi(step.verb); remaining > 0; remaining -= 5) {
+    loop_.clock.Advance(std::chrono::milliseconds(std::min(remaining, 5)));
+    Turns(3);
+  }
+}
+
+void LoopbackFixture::SetTurns(const Step& step) { turns_after_step_ = std::stoi(step.verb); }
+
+void LoopbackFixture::PlayTurn(const Step& /*step*/) { Turn(); }
+
+void LoopbackFixture::ConnectCrowd(const Step& step) {
+  for (int k = std::stoi(step.verb); k > 0; --k) FindOrConnectPeer("crowd" + std::to_string(k));
+  Turns(5);
+}
+
+void LoopbackFixture::CheckQuiet(const Step& step) {
+  const auto connected = std::count_if(clients_.begin(), clients_.end(), [](const auto& client) {
+    client.second->Read();
+    return client.first.starts_with("crowd") && !client.second->ended;
+  });
+  CHECK(connected == std::stoi(step.verb));
+}
+
+void LoopbackFixture::BeginShutdown(const Step& /*step*/) { proxy_->BeginGracefulShutdown(); }
+
+void LoopbackFixture::StartDrain(const Step& /*step*/) {
+  proxy_->StartDrain();
+  Turns(3);
+}
+
+void LoopbackFixture::Activate(const Step& /*step*/) {
+  proxy_->Activate();
+  Turns(3);
+}
+
+// No descriptor is left when the client's connection is to be accepted.
+void LoopbackFixture::ExhaustDescriptors(const Step& step) {
+  FindOrConnectPeer(step.verb);
+  std::vector<UniqueFd> taken;
+  for (int fd = 0; (fd = open("/dev/null", O_RDONLY | O_CLOEXEC)) >= 0;) taken.emplace_back(fd);
+  if (step.argument.empty()) {
+    Turns(5);
+  } else {
+    PlayStep(ParseStep(step.argument));
+  }
+}
+
+void LoopbackFixture::AwaitStopped(const Step& /*step*/) {
+  REQUIRE(Until([&] { return loop_.Stopped(); }));
+}
+
+void LoopbackFixture::Reload(const Step& step) {
+  proxy_->Reload(ConfigWith(discoveries_.at(step.verb)));
+  Turns(5);
+}
+
+// ---- endpoints ----
+
+const std::map<std::string_view, LoopbackFixture::ServerHandler>& LoopbackFixture::EndpointCommands() {
+  static const std::map<std::string_view, ServerHandler> commands{
+      {"down", &LoopbackFixture::TakeDown},         {"full", &LoopbackFixture::FillQueue},
+      {"break", &LoopbackFixture::EndUnidentified}, {"idle-end", &LoopbackFixture::EndUnidentified},
+      {"load", &LoopbackFixture::SetLoad},          {"legs", &LoopbackFixture::CheckAttempts},
+  };
+  return commands;
+}
+
+void LoopbackFixture::TakeDown(LoopbackServer& endpoint, const Step& /*step*/) { endpoint.listener.Reset(); }
+
+void LoopbackFixture::FillQueue(LoopbackServer& endpoint, const Step& /*step*/) { endpoint.FillQueue(); }
+
+void LoopbackFixture::EndUnidentified(LoopbackServer& endpoint, const Step& step) {
+  const CloseMode mode = step.verb == "break" ? CloseMode::kReset : CloseMode::kOrderly;
+  if (mode == CloseMode::kReset) endpoint.AcceptAll();
+  for (auto& peer : endpoint.unidentified) peer->Close(mode);
+  endpoint.unidentified.clear();
+}
+
+void LoopbackFixture::SetLoad(LoopbackServer& endpoint, const Step& step) { endpoint.load = step.argument; }
+
+void LoopbackFixture::CheckAttempts(LoopbackServer& endpoint, const Step& step) {
+  REQUIRE(endpoint.connections.size() == std::stoul(step.argument));
+}
+
+// ---- discovery ----
+
+const std::map<std::string_view, LoopbackFixture::ServerHandler>& LoopbackFixture::DiscoveryCommands() {
+  static const std::map<std::string_view, ServerHandler> commands{
+      {"refuse", &LoopbackFixture::SetDiscoveryMode},
+      {"serve", &LoopbackFixture::SetDiscoveryMode},
+      {"mute", &LoopbackFixture::SetDiscoveryMode},
+      {"send", &LoopbackFixture::SendChunk},
+      {"raw", &LoopbackFixture::SendChunk},
+      {"plain", &LoopbackFixture::SendPlain},
+      {"watches", &LoopbackFixture::AwaitWatches},
+      {"asked", &LoopbackFixture::CheckWatchRequest},
+      {"expect-end", &LoopbackFixture::AwaitWatchEnd},
+      {"close", &LoopbackFixture::CloseWatch},
+  };
+  return commands;
+}
+
+LoopbackPeer& LoopbackFixture::LastWatch(LoopbackServer& discovery) {
+  REQUIRE(Until([&] { return !discovery.connections.empty(); }));
+  return *discovery.connections.back();
+}
+
+void LoopbackFixture::SetDiscoveryMode(LoopbackServer& /*discovery*/, const Step& step) {
+  discovery_refuses_ = step.verb == "refuse";
+  discovery_mute_ = step.verb == "mute";
+}
+
+void LoopbackFixture::SendChunk(LoopbackServer& discovery, const Step& step) {
+  const std::string body = step.verb == "send" ? step.argument + "\n" : Unescape(step.argument);
+  std::ostringstream chunk;
+  chunk << std::hex << body.size() << "\r\n" << body << "\r\n";
+  LastWatch(discovery).Send(chunk.str());
+}
+
+void LoopbackFixture::SendPlain(LoopbackServer& discovery, const Step& step) {
+  LastWatch(discovery).Send(Unescape(step.argument));
+}
+
+void LoopbackFixture::AwaitWatches(LoopbackServer& discovery, const Step& step) {
+  LastWatch(discovery);
+  REQUIRE(Until([&] { return discovery.connections.size() >= std::stoul(step.argument); }));
+}
+
+void LoopbackFixture::CheckWatchRequest(LoopbackServer& discovery, const Step& step) {
+  REQUIRE(LastWatch(discovery).input.find(step.argument) != std::string::npos);
+}
+
+void LoopbackFixture::AwaitWatchEnd(LoopbackServer& discovery, const Step& /*step*/) {
+  LoopbackPeer& watch = LastWatch(discovery);
+  REQUIRE(Until([&] {
+    watch.Read();
+    return watch.ended;
+  }));
+}
+
+void LoopbackFixture::CloseWatch(LoopbackServer& discovery, const Step& /*step*/) {
+  LastWatch(discovery).Close(CloseMode::kOrderly);
+}
+
+// ---- clients, and attempts at endpoints ----
+
+const std::map<std::string_view, LoopbackFixture::PeerHandler>& LoopbackFixture::PeerCommands() {
+  static const std::map<std::string_view, PeerHandler> commands{
+      {"send", &LoopbackFixture::SendLine},
+      {"both", &LoopbackFixture::SendTwoLines},
+      {"raw", &LoopbackFixture::SendRaw},
+      {"expect", &LoopbackFixture::ExpectLine},
+      {"answered", &LoopbackFixture::ExpectAnswer},
+      {"expect-end", &LoopbackFixture::ExpectEnd},
+      {"expect-reset", &LoopbackFixture::ExpectEnd},
+      {"pour", &LoopbackFixture::Pour},
+      {"flood", &LoopbackFixture::Flood},
+      {"expect-flood", &LoopbackFixture::ExpectFlood},
+      {"expect-moved", &LoopbackFixture::ExpectMigrated},
+      {"half", &LoopbackFixture::HalfClose},
+      {"close", &LoopbackFixture::Close},
+      {"reset", &LoopbackFixture::Close},
+  };
+  return commands;
+}
+
+void LoopbackFixture::SendLine(LoopbackPeer& peer, const Step& step) { peer.Send(step.argument + "\r\n"); }
+
+void LoopbackFixture::SendTwoLines(LoopbackPeer& peer, const Step& step) {
+  const std::size_t mark = step.argument.find(" | ");
+  peer.Send(step.argument.substr(0, mark) + "\r\n" + step.argument.substr(mark + 3) + "\r\n");
+}
+
+void LoopbackFixture::SendRaw(LoopbackPeer& peer, const Step& step) { peer.Send(step.argument); }
+
+void LoopbackFixture::ExpectLineOf(LoopbackPeer& peer, const std::string& pattern) {
+  const bool came = Until([&] {
+    peer.Read();
+    return peer.HasLineOrEnded();
+  });
+  INFO("came: " << peer.input);
+  REQUIRE(came);
+  const std::string line = peer.input.substr(0, peer.input.find("\r\n"));
+  peer.input.erase(0, line.size() + 2);
+  if (!pattern.empty() && pattern.back() == '*') {
+    REQUIRE(line.substr(0, pattern.size() - 1) == pattern.substr(0, pattern.size() - 1));
+  } else {
+    REQUIRE(line == pattern);
+  }
+}
+
+void LoopbackFixture::ExpectLine(LoopbackPeer& peer, const Step& step) { ExpectLineOf(peer, step.argument); }
+
+void LoopbackFixture::ExpectAnswer(LoopbackPeer& peer, const Step& /*step*/) {
+  Until([&] {
+    peer.Read();
+    return peer.HasLineOrEnded();
+  });
+  REQUIRE(peer.input.find("\r\n") != std::string::npos);
+  ExpectLineOf(peer, "*");
+}
+
+void LoopbackFixture::ExpectEnd(LoopbackPeer& peer, const Step& step) {
+  REQUIRE(Until([&] {
+    peer.Read();
+    return peer.ended;
+  }));
+  CHECK(peer.input.empty());
+  CHECK(peer.reset == (step.verb == "expect-reset"));
+}
+
+// The peer reads only when all is sent: a reset on the way would cost the answer.
+void LoopbackFixture::Pour(LoopbackPeer& peer, const Step& step) {
+  const std::string bytes(1 << 16, 'k');
+  std::size_t remaining = std::stoul(step.argument);
+  REQUIRE(Until([&] {
+    const ssize_t n = send(peer.socket.Get(), bytes.data(), std::min(remaining, bytes.size()), MSG_NOSIGNAL);
+    REQUIRE((n > 0 || errno == EAGAIN));
+    if (n > 0) remaining -= static_cast<std::size_t>(n);
+    return remaining == 0;
+  }));
+  peer.HalfClose();
+}
+
+// Sends complete lines, so that the reader can tell what is missing.
+void LoopbackFixture::Flood(LoopbackPeer& peer, const Step& step) {
+  constexpr int kMaxTries = 50;
+  std::string text(999, '.');
+  for (std::size_t k = 0; k < std::stoul(step.argument); ++k) {
+    text.replace(0, 8, std::to_string(10'000'000 + k));
+    const std::string line = text + '\n';
+    for (int tries = 0; tries < kMaxTries; ++tries) {
+      const ssize_t n = send(peer.socket.Get(), line.data(), line.size(), MSG_NOSIGNAL);
+      if (n > 0) {
+        flood_ += line.substr(0, static_cast<std::size_t>(n));
+        break;
+      }
+      Turn();
+    }
+  }
+  REQUIRE_FALSE(flood_.empty());
+}
+
+void LoopbackFixture::ExpectFlood(LoopbackPeer& peer, const Step& /*step*/) {
+  Until([&] {
+    peer.Read();
+    return peer.input.size() >= flood_.size() || peer.ended;
+  });
+  CHECK(peer.input.size() == flood_.size());
+  CHECK((peer.input == flood_));
+  peer.input.clear();
+}
+
+void LoopbackFixture::ExpectMigrated(LoopbackPeer& peer, const Step& /*step*/) {
+  REQUIRE(Until([&] {
+    peer.Read();
+    return peer.ended;
+  }));
+  const std::size_t size = peer.input.rfind("MOVE\r\n");
+  REQUIRE(size + 6 == peer.input.size());
+  CHECK(peer.input.substr(0, size) == flood_.substr(0, size));
+  CHECK((size > TcpConnection::kHighWater && flood_[size - 1] == '\n'));
+}
+
+void LoopbackFixture::HalfClose(LoopbackPeer& peer, const Step& /*step*/) { peer.HalfClose(); }
+
+void LoopbackFixture::Close(LoopbackPeer& peer, const Step& step) {
+  peer.Close(step.verb == "reset" ? CloseMode::kReset : CloseMode::kOrderly);
+}
+
+}  // namespace stoatrun
--- a/tests/proxy/loopback_fixture.h
+++ b/tests/proxy/loopback_fixture.h
@@ -1,33 +1,35 @@
-// The one helper of the network tests: a relay on real loopback sockets under a clock that only `wait` moves,
-// with toy clients, sync servers and discovery, played from a script of one step a line:
+// A proxy on real loopback sockets under a clock that only `wait` advances, with clients, endpoints and
+// discovery of the test's, played from a script of one step a line:
 //
 // clang-format off
 //   a send TEXT           client a (connected at its first step) sends a line; `raw` sends without its end
 //   a both LINE | LINE    sends two lines in one write
-//   a expect TEXT         its next line; a * at the end takes any rest
+//   a expect TEXT         its next line; a * at the end matches any rest
 //   a answered            any one line of an answer comes
-//   a expect-end | expect-reset         how it ends
-//   a half | close | reset              ends its sending; closes; breaks
-//   a pour N              sends N bytes of one line that never ends, then its end
-//   a flood N             sends N numbered lines; `s-1 expect-flood` takes them all
-//   a expect-moved        as many whole ones of them as came before, then MOVE and the end
-//   crowd N | quiet N     N callers connect and say nothing; so many of them are still there
-//   exhaust a [STEP]      client a connects while no descriptor is left, then STEP is played so
-//   s-1 ...               the same for the first leg at host s-1 (s-1#2: the second); `s-1 legs N`: so many
-//   s-1 break | idle-end                resets the connections that said nothing yet; closes those of probes
+//   a expect-end | expect-reset         how its connection ends
+//   a half | close | reset              ends its sending; closes; resets
+//   a pour N              sends N bytes of one line that never ends, then ends its sending
+//   a flood N             sends N numbered lines; `s-1 expect-flood` receives them all
+//   a expect-moved        as many complete ones of them as came before, then MOVE and the end
+//   crowd N | quiet N     N clients connect and send nothing; so many of them are still connected
+//   exhaust a [STEP]      client a connects while no descriptor is left, then STEP is played in that state
+//   s-1 ...               the same for the first attempt at endpoint s-1 (s-1#2: the second)
+//   s-1 legs N            so many attempts were made there
+//   s-1 break | idle-end                resets the connections without a request; closes those of probes
 //   turns N | turn                      so many turns of the loop follow each step (3); one turn
-//   s-1 down | full | load X            refuses connections; lets them wait unanswered; what its probes tell
+//   s-1 down | full | load X            refuses connections; lets them wait unanswered; what its probes report
 //   discovery send JSON | close | refuse | serve    a line of the watch; ends it; answers 503; serves again
-//   discovery raw TEXT    a part of a line; \n in it is an end of line
-//   discovery mute | plain TEXT         takes calls and answers nothing; sends TEXT as it is, \r and \n read
-//   discovery watches N | asked TEXT | expect-end   of the watches held there; likewise for discovery2
-//   reload discovery2     takes up a configuration that names it
-//   wait MS | drain | stopped           drain: SIGTERM's planned end
+//   discovery raw TEXT    a part of a line; \n in it is a line end
+//   discovery mute | plain TEXT         accepts calls and answers nothing; sends TEXT as it is, but for \r and \n
+//   discovery watches N | asked TEXT | expect-end   of the watches open there; likewise for discovery2
+//   reload discovery2     applies a configuration that names it
+//   wait MS | drain | stopped           drain: the graceful shutdown of SIGTERM
 //   drain-call | activate               the operators' calls at the second address
 // clang-format on
 #ifndef STOATRUN_TESTS_PROXY_LOOPBACK_FIXTURE_H_
 #define STOATRUN_TESTS_PROXY_LOOPBACK_FIXTURE_H_
 
+#include <chrono>
 #include <cstddef>
 #include <map>
 #include <memory>
@@ -36,82 +38,142 @@
 #include <vector>
 
 #include "base/event_loop.h"
+#include "base/fleet_client.h"
+#include "proxy/loopback_peer.h"
 #include "proxy/proxy.h"
 
 namespace stoatrun {
 
+// What distinguishes one test's proxy from another's.
+struct LoopbackOptions {
+  int descriptor_limit = 0;                  // As configured; 0: not configured.
+  int fleet_size = 1;                        // Proxies in the fleet, this one included.
+  int accept_fd = -1;                        // A listening socket that the proxy inherits; -1: it binds one.
+  std::string discovery_mode = "subscribe";  // How endpoint lists come, as settings name it.
+  FleetClient* fleet = nullptr;              // The rest of the fleet.
+};
+
+// A test fixture, see above.
 class LoopbackFixture {
  public:
-  // `descriptors`: what the relay is told that it may hold; 0: not told. `relays`: of its fleet, itself
-  // included.
-  // `accept_fd`: a listening socket that the relay is handed, as the platform hands one down; -1: it binds.
-  // `discovery`: how lists come, as the settings say it. `fellows`: the rest of the fleet, if there is one.
-  explicit LoopbackFixture(const std::vector<std::string>& hosts, int descriptors = 0, int relays = 1,
-                           int accept_fd = -1, std::string discovery = "subscribe",
-                           FleetClient* peers = nullptr);
+  explicit LoopbackFixture(const std::vector<std::string>& endpoints, LoopbackOptions options = {});
   ~LoopbackFixture();
   LoopbackFixture(const LoopbackFixture&) = delete;
   LoopbackFixture& operator=(const LoopbackFixture&) = delete;
 
-  void Play(std::string_view script);  // Fails the test at the first step that does not hold.
+  // Plays a script. Fails the test at the first step that does not hold.
+  void Play(std::string_view script);
+  // The proxy's counters.
   const Counters& Counts() const { return proxy_->Counts(); }
+  // The proxy itself.
   const Proxy& ProxyUnderTest() const { return *proxy_; }
-  std::size_t DiscoveryCallCount() const {
-    return discoveries_.at("discovery").attempts.size();
-  }  // Calls that it took.
+  // The number of calls that discovery has accepted.
+  std::size_t DiscoveryCallCount() const { return discoveries_.at("discovery").connections.size(); }
 
  private:
-  struct Peer {  // One socket of the toy side.
-    int fd = -1;
-    std::string in;
-    bool ended = false, reset = false;
-    void Read();
-    void Send(std::string_view text) const;
-    void Close(bool hard);
-  };
-  struct Server {  // A toy host or discovery.
-    int fd = -1;
-    int port = 0;
-    std::vector<std::unique_ptr<Peer>> fresh, attempts;
-    std::vector<int> waiting;  // Connections that fill its queue: no more come up.
-    std::string load = "0.2";  // What its probes tell.
+  // One line of a script, split into its words.
+  struct Step {
+    std::string line;
+    std::string subject;   // Who acts, or the whole command.
+    std::string verb;      // What it does, or the command's argument.
+    std::string argument;  // The rest of the line.
   };
+  // How a peer of the test's must end.
+  using Handler = void (LoopbackFixture::*)(const Step&);
+  using PeerHandler = void (LoopbackFixture::*)(LoopbackPeer&, const Step&);
+  using ServerHandler = void (LoopbackFixture::*)(LoopbackServer&, const Step&);
+  static const std::map<std::string_view, Handler>& FixtureCommands();
+  static const std::map<std::string_view, ServerHandler>& EndpointCommands();
+  static const std::map<std::string_view, PeerHandler>& PeerCommands();
+  static const std::map<std::string_view, ServerHandler>& DiscoveryCommands();
 
-  void Step(const std::string& line);
+  static Step ParseStep(const std::string& line);
+  void PlayStep(const Step& step);
+
+  // Commands of the fixture itself.
+  void Wait(const Step& step);
+  void SetTurns(const Step& step);
+  void PlayTurn(const Step& step);
+  void ConnectCrowd(const Step& step);
+  void CheckQuiet(const Step& step);
+  void BeginShutdown(const Step& step);
+  void StartDrain(const Step& step);
+  void Activate(const Step& step);
+  void ExhaustDescriptors(const Step& step);
+  void AwaitStopped(const Step& step);
+  void Reload(const Step& step);
+  // Commands of an endpoint.
+  void TakeDown(LoopbackServer& endpoint, const Step& step);
+  void FillQueue(LoopbackServer& endpoint, const Step& step);
+  void EndUnidentified(LoopbackServer& endpoint, const Step& step);
+  void SetLoad(LoopbackServer& endpoint, const Step& step);
+  void CheckAttempts(LoopbackServer& endpoint, const Step& step);
+  // Commands of discovery.
+  void SetDiscoveryMode(LoopbackServer& discovery, const Step& step);
+  void SendChunk(LoopbackServer& discovery, const Step& step);
+  void SendPlain(LoopbackServer& discovery, const Step& step);
+  void AwaitWatches(LoopbackServer& discovery, const Step& step);
+  void CheckWatchRequest(LoopbackServer& discovery, const Step& step);
+  void AwaitWatchEnd(LoopbackServer& discovery, const Step& step);
+  void CloseWatch(LoopbackServer& discovery, const Step& step);
+  // Commands of a client, or of an attempt at an endpoint.
+  void SendLine(LoopbackPeer& peer, const Step& step);
+  void SendTwoLines(LoopbackPeer& peer, const Step& step);
+  void SendRaw(LoopbackPeer& peer, const Step& step);
+  void ExpectLine(LoopbackPeer& peer, const Step& step);
+  void ExpectAnswer(LoopbackPeer& peer, const Step& step);
+  void ExpectEnd(LoopbackPeer& peer, const Step& step);
+  void Pour(LoopbackPeer& peer, const Step& step);
+  void Flood(LoopbackPeer& peer, const Step& step);
+  void ExpectFlood(LoopbackPeer& peer, const Step& step);
+  void ExpectMigrated(LoopbackPeer& peer, const Step& step);
+  void HalfClose(LoopbackPeer& peer, const Step& step);
+  void Close(LoopbackPeer& peer, const Step& step);
+
+  // A turn of the loop, in which the test's servers serve, too.
   void Turn();
-  void TurnAfter();
-  void Serve(Server& host);
-  void ServeDiscovery(Server& discovery);
-  int descriptors_, relays_, accept_fd_;
-  std::string mode_;
-  Config ConfigWith(const Server& discovery) const;  // Which is all that a reload changes.
-  Peer& PeerOf(const std::string& who, const std::string& step);
-  void Expect(Peer& peer, const std::string& text, const std::string& step);
-  template <typename F>
-  bool Until(F&& holds);
-
-  static void Listen(Server& s);
+  void Turns(int count);
+  void ServeDiscovery(LoopbackServer& discovery);
+  // The configuration that names `discovery`, which is all that a reload changes.
+  Config ConfigWith(const LoopbackServer& discovery) const;
+  LoopbackPeer& FindOrConnectPeer(const std::string& name);
+  LoopbackPeer& LastWatch(LoopbackServer& discovery);
+  void ExpectLineOf(LoopbackPeer& peer, const std::string& pattern);
+  // Turns the loop until the condition holds; false: it doesn't for seconds of real time.
+  template <typename Condition>
+  bool Until(Condition&& holds) {
+    const auto end = std::chrono::steady_clock::now() + kPatience;
+    while (!holds()) {
+      if (std::chrono::steady_clock::now() > end) return false;
+      Turn();
+    }
+    return true;
+  }
+
+  // For loopback sockets, in real time: only a failure waits so long.
+  static constexpr auto kPatience = std::chrono::seconds(5);
 
+  const LoopbackOptions options_;
   EventLoop loop_{Clock::Mode::kManual};
-  std::map<std::string, Server> hosts_;
-  std::map<std::string, Server> discoveries_;  // discovery, and discovery2 that a reload may name.
+  std::map<std::string, LoopbackServer> endpoints_;
+  std::map<std::string, LoopbackServer> discoveries_;  // discovery, and discovery2 for reloads.
   bool discovery_refuses_ = false, discovery_mute_ = false;
-  std::string flood_;
-  int turns_ = 3;  // After a step.
-  std::map<std::string, std::unique_ptr<Peer>> clients_;
+  std::string flood_;  // What the last flood sent.
+  int turns_after_step_ = 3;
+  std::map<std::string, std::unique_ptr<LoopbackPeer>> clients_;
   std::unique_ptr<Proxy> proxy_;
 };
 
-// Plays a script in a fixture of the hosts s-1 and s-2 of its own.
+// Plays a script with the endpoints s-1 and s-2.
 inline void Play(std::string_view script) { LoopbackFixture({"s-1", "s-2"}).Play(script); }
 
-// A fixture of one host: a lone one makes the landing certain.
+// One endpoint: the balancer has no choice.
 class SingleEndpointFixture : public LoopbackFixture {
  public:
   SingleEndpointFixture() : LoopbackFixture({"s-1"}) {}
 };
 
-// A client that stands there.
+// Client a gets an established session there.
 inline constexpr const char* kEstablishSession = R"(
   a send OPEN 1 k c=watch,d=2000
   s-1 expect OPEN 1 k c=watch,d=*
--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -104,7 +104,7 @@
 class FewDescriptorsFixture
     : public LoopbackFixture {  // 96 descriptors: at most 16 clients, and 16 callers at the least.
  public:
-  FewDescriptorsFixture() : LoopbackFixture({"s-1"}, 96) {}
+  FewDescriptorsFixture() : LoopbackFixture({"s-1"}, {.descriptor_limit = 96}) {}
 };
 
 // Hundreds that say nothing once took every descriptor: clients were turned away and attempts could not
@@ -377,7 +377,7 @@
 // Its other host is as empty, but every host that holds some of a group pays for it.
 TEST_CASE("clients of one group go to one host, whichever relay they meet") {
   for (int relay = 0; relay < 2; ++relay) {
-    LoopbackFixture fixture({"s-1", "s-2"}, 0, 2);
+    LoopbackFixture fixture({"s-1", "s-2"}, {.fleet_size = 2});
     for (int k = 1; k <= 4; ++k) {
       const std::string n = std::to_string(k);
       fixture.Play("h" + n + " send OPEN h" + n + " k c=watch,d=2000,g=herons\ns-2#" + n + " expect OPEN h*");
@@ -389,7 +389,7 @@
 // The module asks for no pushed list, so the relay once never held a watch: it served for the whole day by
 // the list that it was started with.
 TEST_CASE("where lists are pushed the relay holds the watch by itself, and makes it anew") {
-  LoopbackFixture fixture({"s-1"}, 0, 100, -1, "automatic");
+  LoopbackFixture fixture({"s-1"}, {.fleet_size = 100, .discovery_mode = "automatic"});
   fixture.Play("discovery watches 1\ndiscovery asked after=1 ");  // At once: the agent is this machine's own.
   SECTION("ended") { fixture.Play("discovery close\nwait 100\ndiscovery watches 2"); }
   SECTION("silent") { fixture.Play("wait 3700\ndiscovery watches 2"); }
@@ -436,7 +436,7 @@
 
 // Discovery serves calls in turn: a hundred relays that lose their watches together overran it for good.
 TEST_CASE("one relay of a hundred begins its watch within a spread and comes again late") {
-  LoopbackFixture fixture({"s-1"}, 0, 100);
+  LoopbackFixture fixture({"s-1"}, {.fleet_size = 100});
   fixture.Play("wait 4000\ndiscovery watches 1\ndiscovery refuse\ndiscovery close\nwait 1000");
   CHECK(fixture.Counts().watches_failed == 1);
   fixture.Play("wait 2500\ndiscovery watches 2\ndiscovery serve\nwait 6000\ndiscovery watches 3");
