--- a/tests/proxy/client_disconnect_test.cpp
+++ b/tests/proxy/client_disconnect_test.cpp
@@ -1,4 +1,6 @@
 // Clients that disconnect while something is owed to them or to others: docs/design/endings.md.
+#include <fmt/format.h>
+
 #include <catch2/catch.hpp>
 #include <string>
 
@@ -77,26 +79,24 @@
   CHECK(ProxyUnderTest().SessionCount() == 0);
 }
 
-// Bad callers are closed to make room: their unread bytes must not cost anybody an answer.
+// Clients with malformed requests are evicted: their unread bytes must not cost anybody an answer.
 TEST_CASE(
     "beside a thousand that send much and disconnect, every client is answered, and so are those that stay") {
   LoopbackFixture fixture({"s-1"}, {.descriptor_limit = 96});
   for (int k = 0; k < 1000; ++k) {
-    const std::string n = std::to_string(k);
-    fixture.Play("turns " + std::string(k % 100 == 99 ? "3" : "0"));
-    if (k % 100 == 50) fixture.Play("good" + n + " send OPEN g" + n + " k c=watch,d=2000");
+    fixture.Play(k % 100 == 99 ? "turns 3" : "turns 0");
+    if (k % 100 == 50) fixture.Play(fmt::format("good{0} send OPEN g{0} k c=watch,d=2000", k));
     if (k % 3 == 0) {
-      fixture.Play("stay" + n + " raw " + std::string(k % 2 == 0 ? 2000 : 30'000, 'k'));
+      fixture.Play(fmt::format("stay{} raw {}", k, std::string(k % 2 == 0 ? 2000 : 30'000, 'k')));
     } else {
-      fixture.Play("bad" + n + " raw " + std::string(9000, 'k') + "\nbad" + n +
-                   (k % 3 == 1 ? " close" : " reset"));
+      const char* end = k % 3 == 1 ? "close" : "reset";
+      fixture.Play(fmt::format("bad{0} raw {1}\nbad{0} {2}", k, std::string(9000, 'k'), end));
     }
   }
   fixture.Play("turns 3\nwait 2100");
   for (int k = 0; k < 1000; ++k) {
-    const std::string n = std::to_string(k);
-    if (k % 100 == 50) fixture.Play("good" + n + " answered");
-    if (k % 3 == 0) fixture.Play("stay" + n + " expect ERR\nstay" + n + " expect-end");
+    if (k % 100 == 50) fixture.Play(fmt::format("good{} answered", k));
+    if (k % 3 == 0) fixture.Play(fmt::format("stay{0} expect ERR\nstay{0} expect-end", k));
   }
 }
 
--- a/tests/proxy/endpoint_update_test.cpp
+++ b/tests/proxy/endpoint_update_test.cpp
@@ -108,9 +108,9 @@
 // the relay deaf for seconds. Another service counts its own revisions, so the whole list is asked for.
 TEST_CASE_METHOD(SingleEndpointFixture,
                  "a reload moves the watch at once and the old list stays until the new one arrives") {
-  Play("discovery send {\"revision\":41,\"members\":[]}");
-  SECTION("from a watch that stands") { Play("reload discovery2\ndiscovery expect-end"); }
-  SECTION("from a back-off") {
+  Play(R"(discovery send {"revision":41,"members":[]})");
+  SECTION("from an open watch") { Play("reload discovery2\ndiscovery expect-end"); }
+  SECTION("from a backoff") {
     Play("discovery refuse\ndiscovery close\nwait 600\nreload discovery2\ndiscovery serve");
   }
   Play("discovery2 watches 1\ndiscovery2 asked after=0 ");
--- a/tests/proxy/graceful_shutdown_test.cpp
+++ b/tests/proxy/graceful_shutdown_test.cpp
@@ -1,4 +1,5 @@
 // The graceful shutdown of the process: docs/design/endings.md.
+#include <fmt/format.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -78,28 +79,25 @@
   for (const int fd : callers) close(fd);
 }
 
-// One turn took 64 of the queue; who stood behind was reset with the listener.
+// One turn accepted 64 of the queue; the clients behind them were once reset with the listener.
 TEST_CASE_METHOD(SingleEndpointFixture, "all clients in the listen queue when accepting ends are answered") {
   Play("drain\nwait 495\nturns 0");
-  for (int k = 0; k < 400; ++k)
-    Play("q" + std::to_string(k) + " send OPEN q" + std::to_string(k) + " k c=watch,d=900");
+  for (int k = 0; k < 400; ++k) Play(fmt::format("q{0} send OPEN q{0} k c=watch,d=900", k));
   Play("turns 3\nwait 5\nwait 1800");
-  for (int k = 0; k < 400; ++k) Play("q" + std::to_string(k) + " answered");
+  for (int k = 0; k < 400; ++k) Play(fmt::format("q{} answered", k));
 }
 
-#ifndef __SANITIZE_ADDRESS__  // As the test of `exhaust` in relay_test.cpp.
+#ifndef __SANITIZE_ADDRESS__  // As the test of `exhaust` in request_test.cpp.
 TEST_CASE_METHOD(
     SingleEndpointFixture,
     "clients in the listen queue are told to retry when accepting ends and no descriptor is left") {
   Play("drain\nwait 495\nturns 0");
   for (int k = 0; k < 70; ++k) {
-    const std::string q = "q" + std::to_string(k);
-    Play(q + " send OPEN " + q + " k c=watch,d=900");
-    if (k % 2 == 0) Play(q + " send M 1 " + std::string(6000, 'x'));
+    Play(fmt::format("q{0} send OPEN q{0} k c=watch,d=900", k));
+    if (k % 2 == 0) Play(fmt::format("q{} send M 1 {}", k, std::string(6000, 'x')));
   }
   Play("exhaust z wait 5\nturns 3");
-  for (int k = 0; k < 70; ++k)
-    Play("q" + std::to_string(k) + " expect BUSY\nq" + std::to_string(k) + " expect-end");
+  for (int k = 0; k < 70; ++k) Play(fmt::format("q{0} expect BUSY\nq{0} expect-end", k));
 }
 #endif
 
--- a/tests/proxy/listener_test.cpp
+++ b/tests/proxy/listener_test.cpp
@@ -20,53 +20,43 @@
 namespace stoatrun {
 namespace {
 
-int ListeningSocket() {
-  const int fd = socket(AF_INET, SOCK_STREAM, 0);
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  REQUIRE(bind(fd, reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0);
-  REQUIRE(listen(fd, 16) == 0);
-  return fd;
+// A blocking socket that listens on any port: the proxy must make it non-blocking itself.
+UniqueFd ListeningSocket() {
+  UniqueFd listener(socket(AF_INET, SOCK_STREAM, 0));
+  const sockaddr_in address = LoopbackAddress(0);
+  REQUIRE(bind(listener.Get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
+  REQUIRE(listen(listener.Get(), 16) == 0);
+  return listener;
 }
 
-int PortOf(int fd) {
-  sockaddr_in a{};
-  socklen_t size = sizeof a;
-  getsockname(fd, reinterpret_cast<sockaddr*>(&a), &size);
-  return ntohs(a.sin_port);
+int PortOf(const UniqueFd& listener) {
+  sockaddr_in address{};
+  socklen_t size = sizeof address;
+  getsockname(listener.Get(), reinterpret_cast<sockaddr*>(&address), &size);
+  return ntohs(address.sin_port);
 }
 
-class InheritedListenerFixture : public LoopbackFixture {
+// Keeps the platform's own descriptor of the socket that the proxy inherits.
+struct PlatformSocket {
+  const UniqueFd listener = ListeningSocket();
+};
+
+class InheritedListenerFixture : protected PlatformSocket, public LoopbackFixture {
  public:
-  InheritedListenerFixture() : LoopbackFixture({"s-1"}, {.accept_fd = Held()}) {}
-  ~InheritedListenerFixture() { close(held_); }
-  static int Held() {  // The relay's copy.
-    const int fd = ListeningSocket();
-    held_ = dup(fd);
-    return fd;
-  }
-  inline static int held_ = -1;  // The platform's own copy.
+  InheritedListenerFixture() : LoopbackFixture({"s-1"}, {.accept_fd = dup(listener.Get())}) {}
 };
 
 TEST_CASE_METHOD(InheritedListenerFixture,
                  "an inherited listening socket is served, and its queue is left to the next process") {
-  CHECK(ProxyUnderTest().Port() == PortOf(held_));
+  CHECK(ProxyUnderTest().Port() == PortOf(listener));
   Play(kEstablishSession);
   Play("drain\nwait 50");
-  // After the planned end began, a client that comes waits in the queue for whoever takes it next.
-  const int late = socket(AF_INET, SOCK_STREAM, 0);
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_port = htons(static_cast<std::uint16_t>(PortOf(held_)));
-  a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  REQUIRE(connect(late, reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0);
+  // A client that comes after the graceful shutdown began waits in the queue for the next process.
+  const UniqueFd late = ConnectToLoopback(PortOf(listener));
   Play("wait 50");
-  fcntl(held_, F_SETFL, O_NONBLOCK);
-  const int taken = accept(held_, nullptr, nullptr);
-  CHECK(taken >= 0);
-  close(taken);
-  close(late);
+  fcntl(listener.Get(), F_SETFL, O_NONBLOCK);
+  const UniqueFd taken(accept(listener.Get(), nullptr, nullptr));
+  CHECK(taken);
   Play("wait 2500\na expect MOVE\na expect-end");
 }
 
@@ -155,14 +145,14 @@
   REQUIRE(write(fd, text.data(), text.size()) == static_cast<ssize_t>(text.size()));
   close(fd);
   setenv("PROXY_CONFIG", path, 1);
-  Config c = LoadConfig(LoadAt::kStart);
-  CHECK(c.management_text == "127.0.0.1:3");
-  CHECK_FALSE(c.accept_fd);
+  Config config = LoadConfig(LoadAt::kStart);
+  CHECK(config.management_text == "127.0.0.1:3");
+  CHECK_FALSE(config.accept_fd);
   setenv("PROXY_MANAGEMENT", "127.0.0.1:9", 1);
   setenv("PROXY_ACCEPT_FD", "4", 1);
-  c = LoadConfig(LoadAt::kStart);
-  CHECK(c.management_text == "127.0.0.1:9");
-  CHECK(c.accept_fd == 4);
+  config = LoadConfig(LoadAt::kStart);
+  CHECK(config.management_text == "127.0.0.1:9");
+  CHECK(config.accept_fd == 4);
   setenv("PROXY_ACCEPT_FD", "four", 1);
   CHECK_THROWS_WITH(LoadConfig(LoadAt::kStart),
                     Catch::Contains("PROXY_ACCEPT_FD") && Catch::Contains("'four'"));
--- a/tests/proxy/loopback_commands.cpp
+++ b/tests/proxy/loopback_commands.cpp
@@ -26,7 +26,7 @@
 // ---- the fixture itself ----
 
 const std::map<std::string_view, LoopbackFixture::Handler>& LoopbackFixture::FixtureCommands() {
-  static const std::map<std::string_view, Handler> commands{
+  static const std::map<std::string_view, Handler> kCommands{
       {"wait", &LoopbackFixture::Wait},
       {"turns", &LoopbackFixture::SetTurns},
       {"turn", &LoopbackFixture::PlayTurn},
@@ -39,7 +39,7 @@
       {"stopped", &LoopbackFixture::AwaitStopped},
       {"reload", &LoopbackFixture::Reload},
   };
-  return commands;
+  return kCommands;
 }
 
 // In small steps, so that every timer runs at its own time.
@@ -103,12 +103,12 @@
 // ---- endpoints ----
 
 const std::map<std::string_view, LoopbackFixture::ServerHandler>& LoopbackFixture::EndpointCommands() {
-  static const std::map<std::string_view, ServerHandler> commands{
+  static const std::map<std::string_view, ServerHandler> kCommands{
       {"down", &LoopbackFixture::TakeDown},         {"full", &LoopbackFixture::FillQueue},
       {"break", &LoopbackFixture::EndUnidentified}, {"idle-end", &LoopbackFixture::EndUnidentified},
       {"load", &LoopbackFixture::SetLoad},          {"legs", &LoopbackFixture::CheckAttempts},
   };
-  return commands;
+  return kCommands;
 }
 
 void LoopbackFixture::TakeDown(LoopbackServer& endpoint, const Step& /*step*/) { endpoint.listener.Reset(); }
@@ -131,7 +131,7 @@
 // ---- discovery ----
 
 const std::map<std::string_view, LoopbackFixture::ServerHandler>& LoopbackFixture::DiscoveryCommands() {
-  static const std::map<std::string_view, ServerHandler> commands{
+  static const std::map<std::string_view, ServerHandler> kCommands{
       {"refuse", &LoopbackFixture::SetDiscoveryMode},
       {"serve", &LoopbackFixture::SetDiscoveryMode},
       {"mute", &LoopbackFixture::SetDiscoveryMode},
@@ -143,7 +143,7 @@
       {"expect-end", &LoopbackFixture::AwaitWatchEnd},
       {"close", &LoopbackFixture::CloseWatch},
   };
-  return commands;
+  return kCommands;
 }
 
 LoopbackPeer& LoopbackFixture::LastWatch(LoopbackServer& discovery) {
@@ -191,7 +191,7 @@
 // ---- clients, and attempts at endpoints ----
 
 const std::map<std::string_view, LoopbackFixture::PeerHandler>& LoopbackFixture::PeerCommands() {
-  static const std::map<std::string_view, PeerHandler> commands{
+  static const std::map<std::string_view, PeerHandler> kCommands{
       {"send", &LoopbackFixture::SendLine},
       {"both", &LoopbackFixture::SendTwoLines},
       {"raw", &LoopbackFixture::SendRaw},
@@ -207,7 +207,7 @@
       {"close", &LoopbackFixture::Close},
       {"reset", &LoopbackFixture::Close},
   };
-  return commands;
+  return kCommands;
 }
 
 void LoopbackFixture::SendLine(LoopbackPeer& peer, const Step& step) { peer.Send(step.argument + "\r\n"); }
--- a/tests/proxy/loopback_fixture.cpp
+++ b/tests/proxy/loopback_fixture.cpp
@@ -54,7 +54,7 @@
   return config;
 }
 
-void LoopbackFixture::ServeDiscovery(LoopbackServer& discovery) {
+void LoopbackFixture::ServeDiscovery(LoopbackServer& discovery) const {
   discovery.AcceptAll();
   for (auto& peer : discovery.unidentified) {
     peer->Read();
--- a/tests/proxy/loopback_fixture.h
+++ b/tests/proxy/loopback_fixture.h
@@ -133,7 +133,7 @@
   // A turn of the loop, in which the test's servers serve, too.
   void Turn();
   void Turns(int count);
-  void ServeDiscovery(LoopbackServer& discovery);
+  void ServeDiscovery(LoopbackServer& discovery) const;
   // The configuration that names `discovery`, which is all that a reload changes.
   Config ConfigWith(const LoopbackServer& discovery) const;
   LoopbackPeer& FindOrConnectPeer(const std::string& name);
--- a/tests/proxy/loopback_peer.cpp
+++ b/tests/proxy/loopback_peer.cpp
@@ -85,7 +85,7 @@
   const sockaddr_in address = LoopbackAddress(port);
   for (int k = 0; k < 3; ++k) {
     queue_fillers.push_back(NonBlocking(UniqueFd(socket(AF_INET, SOCK_STREAM, 0))));
-    connect(queue_fillers.back().Get(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
+    (void)connect(queue_fillers.back().Get(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
   }
 }
 
--- a/tests/proxy/request_test.cpp
+++ b/tests/proxy/request_test.cpp
@@ -1,4 +1,6 @@
 // Requests of clients until they are established or answered, on loopback sockets.
+#include <fmt/format.h>
+
 #include <catch2/catch.hpp>
 #include <string>
 
@@ -99,8 +101,7 @@
 
 TEST_CASE_METHOD(FewDescriptorsFixture, "a client for which no descriptors are left is told to retry") {
   for (int k = 0; k < 16; ++k) {
-    const std::string n = std::to_string(k);
-    Play("c" + n + " send OPEN " + n + " k c=watch,d=60000,at=s-9");
+    Play(fmt::format("c{0} send OPEN {0} k c=watch,d=60000,at=s-9", k));
   }
   CHECK(Counts().no_room == 0);
   Play("z send OPEN z k c=watch,d=2000\nz expect BUSY\nz expect-end");
@@ -193,14 +194,13 @@
   CHECK(Counts().legs_not_connected == 1);
 }
 
-// Its other host is as empty, but every host that holds some of a group pays for it.
+// The other endpoint is as idle, but every endpoint that serves a part of a group has the cost of it.
 TEST_CASE("clients of one affinity group are placed at one endpoint by every proxy") {
-  for (int relay = 0; relay < 2; ++relay) {
+  for (int proxy = 0; proxy < 2; ++proxy) {
     LoopbackFixture fixture({"s-1", "s-2"}, {.fleet_size = 2});
     for (int k = 1; k <= 4; ++k) {
-      const std::string n = std::to_string(k);
-      fixture.Play("h" + n + " send OPEN h" + n + " k c=watch,d=2000,g=herons\ns-2#" + n + " expect OPEN h*");
-      fixture.Play("k" + n + " send OPEN k" + n + " k c=watch,d=2000,g=kites\ns-1#" + n + " expect OPEN k*");
+      fixture.Play(fmt::format("h{0} send OPEN h{0} k c=watch,d=2000,g=herons\ns-2#{0} expect OPEN h*", k));
+      fixture.Play(fmt::format("k{0} send OPEN k{0} k c=watch,d=2000,g=kites\ns-1#{0} expect OPEN k*", k));
     }
   }
 }
