--- a/tests/proxy/fleet_client_test.cpp
+++ b/tests/proxy/fleet_client_test.cpp
@@ -1,4 +1,4 @@
-// What the relay asks and tells the rest of the fleet, in scenarios with a fleet that answers as it is told.
+// What the proxy requests from and reports to the rest of its fleet.
 #include <catch2/catch.hpp>
 #include <string>
 #include <utility>
@@ -10,10 +10,10 @@
 namespace stoatrun {
 namespace {
 
-TEST_CASE("every connection is told to the fleet once, with its end") {
+TEST_CASE("every connection is reported to the fleet once, with its outcome") {
   FleetClientRecorder fleet;
-  World world({"s-1"}, 0, 1, -1, "subscribe", &fleet);
-  world.Play(R"(
+  LoopbackFixture fixture({"s-1"}, {.fleet = &fleet});
+  fixture.Play(R"(
     a send OPEN 1 k c=watch,t=wetland,d=2000
     s-1 expect OPEN 1 k c=watch,t=wetland*
     s-1 send UP r1
@@ -36,11 +36,11 @@
   CHECK(fleet.observed[0] == std::pair(std::string("s-1"), FleetClient::EndpointCondition::kHealthy));
 }
 
-TEST_CASE("a connection beyond its group's quota is declined at once, with advice, and not sent on") {
+TEST_CASE("a connection beyond its group's quota is rejected at once, with retry-after, and not forwarded") {
   FleetClientRecorder fleet;
   fleet.quota = 1;
-  World world({"s-1"}, 0, 1, -1, "subscribe", &fleet);
-  world.Play(R"(
+  LoopbackFixture fixture({"s-1"}, {.fleet = &fleet});
+  fixture.Play(R"(
     a send OPEN 1 k c=watch,t=wetland,d=2000
     s-1 expect OPEN 1 k*
     s-1 send UP r1
@@ -54,7 +54,7 @@
   CHECK(fleet.reserved == 1);
   // What is over the quota later, as a loan ended, is moved away.
   fleet.quota = 0;
-  world.Play(R"(
+  fixture.Play(R"(
     wait 300
     a expect MOVE
     a expect-end
@@ -62,42 +62,42 @@
   CHECK(fleet.reserved == 0);
 }
 
-TEST_CASE("a further attempt that the fleet's budget does not allow ends in the final answer at once") {
+TEST_CASE("a retry that exceeds the fleet's quota ends in the final answer at once") {
   FleetClientRecorder fleet;
   fleet.retries = 0;
-  World world({"s-1", "s-2"}, 0, 1, -1, "subscribe", &fleet);
-  world.Play(
+  LoopbackFixture fixture({"s-1", "s-2"}, {.fleet = &fleet});
+  fixture.Play(
       "s-1 down\ns-2 down\na send OPEN 1 k c=watch,d=2000\nwait 100\nwait 300\nwait 300\na expect BUSY*\n");
-  CHECK(world.Counts().attempts_denied_by_quota == 1);
+  CHECK(fixture.Counts().attempts_denied_by_quota == 1);
   CHECK(fleet.outcomes[FleetClient::ConnectionOutcome::kRejected] == 1);
 }
 
-TEST_CASE("a look that the fleet's budget does not allow tells the module nothing, and placement goes on") {
+TEST_CASE("a probe that exceeds the fleet's quota reports nothing to the balancer, and placement goes on") {
   FleetClientRecorder fleet;
   fleet.probes = 0;
-  World world({"s-1"}, 0, 1, -1, "subscribe", &fleet);
-  world.Play(R"(
+  LoopbackFixture fixture({"s-1"}, {.fleet = &fleet});
+  fixture.Play(R"(
     a send OPEN 1 k c=watch,d=2000
     wait 100
     s-1 expect OPEN 1 k*
     s-1 send UP r1
     a expect UP r1
   )");
-  CHECK(world.Counts().probes == 0);
+  CHECK(fixture.Counts().probes == 0);
 }
 
-TEST_CASE("hosts that the others found failing are left alone") {
+TEST_CASE("endpoints that others found failing are ejected") {
   FleetClientRecorder fleet;
-  World world({"s-1", "s-2"}, 0, 1, -1, "subscribe", &fleet);
+  LoopbackFixture fixture({"s-1", "s-2"}, {.fleet = &fleet});
   fleet.hints = {{"s-1", 0, -1, true}, {"s-unknown", 3, 3, true}};
-  world.Play(R"(
+  fixture.Play(R"(
     wait 260
     a send OPEN 1 k c=watch,d=2000
     s-2 expect OPEN 1 k*
     s-2 send UP r1
     a expect UP r1
   )");
-  CHECK(world.Relayed().Ejected() == 1);
+  CHECK(fixture.ProxyUnderTest().EjectedCount() == 1);
 }
 
 }  // namespace
