--- /dev/null
+++ b/src/balancer/admission.h
@@ -0,0 +1,89 @@
+// Admission control: a window of set-ups in flight, an overload guard against faults that endpoints share,
+// and load shedding while even the best endpoint is full.
+#pragma once
+
+#include "balancer/endpoint_table.h"
+#include "base/decaying_counter.h"
+
+namespace balancer {
+
+constexpr double kAdmissionLimit = 0.8;  // Above this, the best endpoint is full: no objective would be met.
+// Reconnecting clients bring no new load, unless the fleet is full and overload broke their connections.
+constexpr double kReconnectLimit = 0.95, kReconnectMaxMean = 0.65;
+constexpr Micros kPlacementMemory = std::chrono::seconds(2);  // About the age of what other replicas know.
+constexpr double kReconnectPrior = 2.0;   // Placements assumed at first: clients seldom reconnect alone.
+constexpr double kConcurrentShare = 0.5;  // Of the others' expected placements: reports show some already.
+constexpr Micros kFullMemory = std::chrono::milliseconds(200);  // How long a full fleet is not probed again.
+constexpr Micros kArrivalMemory = std::chrono::seconds(10);
+// More attempts a success than this, and a few, would keep something behind all endpoints overloaded.
+constexpr double kAttemptsPerSuccess = 2.0, kFreeAttempts = 4.0;
+constexpr Micros kFaultMemory = std::chrono::seconds(2);  // Over a set-up's time; short, to recover soon.
+// As TCP's congestion window, for set-ups: mass reconnects wait here, not in queues that outlast patience.
+constexpr double kWindowStart = 8.0, kWindowMax = 64.0, kWindowDecrease = 0.5;
+
+class Admission {
+ public:
+  Admission(Context& context, const EndpointTable& endpoints) : context_(context), endpoints_(endpoints) {}
+
+  void RecordAttempt() {
+    ++setups_in_flight_;
+    placements_.Increment(context_.now);
+  }
+  void RecordEstablished(bool is_reconnect) {
+    --setups_in_flight_;
+    window_ = std::min(kWindowMax, window_ + 1);
+    successes_.Increment(context_.now);
+    if (!is_reconnect) arrivals_.Increment(context_.now);
+  }
+  void RecordFailedSetup(Outcome outcome) {
+    --setups_in_flight_;
+    const bool timed_out = outcome == Outcome::kTimedOut;
+    if (timed_out || outcome == Outcome::kError) faults_.Increment(context_.now);
+    if (!timed_out || context_.now < window_decreased_at_ + kFaultMemory / 4) return;  // Once for a burst.
+    window_decreased_at_ = context_.now;
+    window_ = std::max(1.0, window_ * kWindowDecrease);
+  }
+  bool WindowIsOpen() const { return static_cast<double>(setups_in_flight_) < window_; }
+  double ArrivalRate() const { return arrivals_.ValueAt(context_.now) / ToSeconds(kArrivalMemory); }
+
+  double RecentPlacements() const { return placements_.ValueAt(context_.now); }
+  // Utilization that other replicas may have added to each endpoint if they made as many placements as this
+  // one.
+  double ConcurrentLoad(const RequestArrived& request, double own_placements) const {
+    double size = 0;
+    for (const EndpointRecord* endpoint : endpoints_.ready()) size += endpoint->info.size;
+    const double load = kConcurrentShare * endpoints_.LoadPerConnection(LoadBound::kExpected);
+    const double placements = own_placements + (request.is_reconnect ? kReconnectPrior : 0);
+    return load * placements * (context_.settings.replicas - 1) / std::max(1.0, size);
+  }
+  bool IsFull(const EndpointRecord& endpoint, const RequestArrived& request) const {
+    const bool keeps_load = request.is_reconnect && endpoints_.MeanUtilization() <= kReconnectMaxMean;
+    const double concurrent = ConcurrentLoad(request, keeps_load ? 0 : RecentPlacements());
+    const double limit = keeps_load ? kReconnectLimit : kAdmissionLimit;
+    return endpoint.sampled && endpoints_.Estimate(endpoint) + concurrent - limit > 0;
+  }
+  bool FleetIsFull() const { return context_.now < full_until_; }
+  void RecordFleetFull() { full_until_ = context_.now + context_.random.Jittered(kFullMemory, 0.5, 1.5); }
+  bool GuardIsActive() const { return faults_.ValueAt(context_.now) > EarnedAttempts() + kFreeAttempts; }
+
+  // When the reason to reject will be over: faults and successes decay alike, so does their excess.
+  Micros RetryAfter() const {
+    const double excess = (faults_.ValueAt(context_.now) - EarnedAttempts()) / kFreeAttempts;
+    const double guard = GuardIsActive() ? ToSeconds(kFaultMemory) * std::log(excess) : 0;
+    const Micros wait = std::max({Micros(0), full_until_ - context_.now, FromSeconds(guard)});
+    return std::min(wait, context_.settings.max_retry_after);
+  }
+
+ private:
+  double EarnedAttempts() const { return (kAttemptsPerSuccess - 1) * successes_.ValueAt(context_.now); }
+
+  Context& context_;
+  const EndpointTable& endpoints_;
+  stoatrun::DecayingCounter placements_{kPlacementMemory}, successes_{kFaultMemory}, faults_{kFaultMemory};
+  stoatrun::DecayingCounter arrivals_{kArrivalMemory};  // Without reconnects, which are no growth.
+  double window_ = kWindowStart;
+  std::size_t setups_in_flight_ = 0;
+  Micros window_decreased_at_{0}, full_until_{0};
+};
+
+}  // namespace balancer
--- /dev/null
+++ b/src/balancer/placement.h
@@ -0,0 +1,146 @@
+// Placement, which the paper leaves open: by a small pool of fresh probe answers, else by estimates.
+#pragma once
+
+#include "balancer/admission.h"
+#include "base/arg_min.h"
+
+namespace balancer {
+
+constexpr std::size_t kPoolCapacity = 12;
+constexpr int kMaxAnswerUses = 2;  // More would send this replica's clients to one endpoint.
+constexpr Micros kMaxAnswerAge = std::chrono::seconds(1);  // About a report's age on arrival.
+constexpr std::size_t kProbeChoices = 3,
+                      kTableChoices = 8;     // Endpoints compared for a probe; for a placement.
+constexpr double kZoneCrossingWeight = 5.0;  // Utilization that outweighs a zone crossing cost of one point.
+constexpr double kLastResort = 100.0;        // Cost of a tried or ejected endpoint: above any other.
+// Connections of a group share work: an endpoint that has some, or else the group's home, counts as emptier.
+constexpr double kGroupMemberBonus = 0.5, kGroupHomeBonus = 0.3;
+constexpr double kGroupLimit = 0.6;  // Above this the next endpoint in the group's order becomes its home.
+
+class Placement {
+ public:
+  Placement(Context& context, EndpointTable& endpoints) : context_(context), endpoints_(endpoints) {}
+
+  // Whether the request may be sent to the endpoint: every attempt passes here.
+  bool CanSend(const Request& request, EndpointRecord& endpoint) const {
+    if (endpoint.info.state != EndpointState::kReady || !request.CanRepeat(context_.now)) return false;
+    const bool needs_key = request.may_have_run && request.HasKey();
+    if (needs_key && !request.IsDeduplicatedAt(endpoint.info, request.ran_at->info)) return false;
+    return endpoints_.slow_start().Allows(endpoint.warm_up, endpoint.info.size, request);
+  }
+
+  void AddProbeAnswer(EndpointRecord& endpoint) {
+    const Micros oldest = context_.now - kMaxAnswerAge;
+    std::erase_if(pool_, [&](auto& answer) { return answer.endpoint == &endpoint || answer.at < oldest; });
+    if (pool_.size() >= kPoolCapacity) pool_.erase(pool_.begin());
+    pool_.push_back({&endpoint, context_.now, 0});
+  }
+  std::ptrdiff_t CountUsableAnswers(const Request& request) const {
+    return std::count_if(pool_.begin(), pool_.end(), [&](auto& answer) { return IsUsable(request, answer); });
+  }
+
+  // An endpoint in slow start with budget left here. With many replicas that is rare: it is used first.
+  EndpointRecord* FindWarmingUp(const Request& request) {
+    const std::vector<EndpointRecord*>& ready = endpoints_.ready();
+    const std::size_t start = context_.random.Below(ready.size());
+    for (std::size_t k = 0; k < ready.size(); ++k) {
+      EndpointRecord* endpoint = ready[(start + k) % ready.size()];
+      if (!endpoints_.slow_start().IsWarmingUp(endpoint->warm_up)) continue;
+      if (endpoint->smoothed < kAdmissionLimit && IsProbeable(request, *endpoint)) return endpoint;
+    }
+    return nullptr;
+  }
+  EndpointRecord* FindProbeTarget(const Request& request) {
+    if (EndpointRecord* warming_up = FindWarmingUp(request)) return warming_up;
+    EndpointRecord* home = request.awaited_probes.empty() ? request.group_home : nullptr;
+    if (home != nullptr && IsProbeable(request, *home)) return home;
+    stoatrun::ArgMin<EndpointRecord> best;
+    for (std::size_t k = 0; k < kProbeChoices; ++k) {
+      EndpointRecord& endpoint = *endpoints_.ready()[context_.random.Below(endpoints_.ready().size())];
+      if (IsProbeable(request, endpoint)) best.Offer(&endpoint, Cost(request, endpoint));
+    }
+    return best.item();
+  }
+  // The endpoint that a group's connections go to first: the emptiest that has some, else the first with
+  // capacity in an order that is the group's at every replica (weighted rendezvous hashing).
+  EndpointRecord* FindGroupHome(const Request& request) const {
+    if (!UsesGroup(request)) return nullptr;
+    const std::uint64_t group = request.info.affinity_group;
+    stoatrun::ArgMin<EndpointRecord> member, home;
+    for (EndpointRecord* endpoint : endpoints_.ready()) {
+      if (endpoint->health.IsEjected(context_.now)) continue;
+      const double estimate = endpoints_.Estimate(*endpoint);
+      if (estimate > kGroupLimit) continue;
+      if (endpoint->affinity_groups.contains(group)) member.Offer(endpoint, estimate);
+      const double rank = stoatrun::SplitMix64(group ^ endpoint->info.name_hash).Unit();
+      home.Offer(endpoint, -std::log(1 - rank) / std::max(endpoint->info.size, 1e-9));
+    }
+    return member.item() != nullptr ? member.item() : home.item();
+  }
+
+  // Null while no endpoint may take the request. Equal views must not lead to equal choices: each replica
+  // guesses at random where the others added their `concurrent` load.
+  EndpointRecord* Choose(const Request& request, double concurrent) {
+    stoatrun::ArgMin<ProbeAnswer> best;
+    for (ProbeAnswer& answer : pool_) {
+      if (!IsUsable(request, answer)) continue;
+      const double cost = Cost(request, *answer.endpoint);
+      best.Offer(&answer, cost - concurrent * std::log(1 - context_.random.Unit()));
+    }
+    if (best.item() == nullptr) return ChooseByTable(request);
+    ++best.item()->uses;
+    return best.item()->endpoint;
+  }
+
+ private:
+  struct ProbeAnswer {
+    EndpointRecord* endpoint;
+    Micros at;
+    int uses;
+  };
+
+  bool IsPreferred(const Request& request, const EndpointRecord& endpoint) const {
+    return !endpoint.health.IsEjected(context_.now) && !request.WasTried(endpoint);
+  }
+  bool IsProbeable(const Request& request, EndpointRecord& endpoint) const {
+    return !endpoint.probe_in_flight && IsPreferred(request, endpoint) && CanSend(request, endpoint);
+  }
+  bool IsUsable(const Request& request, const ProbeAnswer& answer) const {
+    if (answer.uses >= kMaxAnswerUses || context_.now > answer.at + kMaxAnswerAge) return false;
+    return IsPreferred(request, *answer.endpoint) && CanSend(request, *answer.endpoint);
+  }
+  // With more replicas than endpoints each has too little of a group to know where it is.
+  bool UsesGroup(const Request& request) const {
+    return request.info.affinity_group != 0 && (!endpoints_.HasMoreReplicas() || endpoints_.LacksLoadData());
+  }
+  double Cost(const Request& request, const EndpointRecord& endpoint) const {
+    const bool crosses_zones = endpoint.info.zone != context_.settings.zone;
+    const double crossing = crosses_zones ? kZoneCrossingWeight * context_.settings.zone_crossing_cost : 0.0;
+    const double cost = endpoints_.Estimate(endpoint) + crossing;
+    if (!UsesGroup(request)) return cost;
+    if (endpoint.affinity_groups.contains(request.info.affinity_group)) return cost - kGroupMemberBonus;
+    return &endpoint == request.group_home ? cost - kGroupHomeBonus : cost;
+  }
+  EndpointRecord* ChooseByTable(const Request& request) {
+    if (endpoints_.LacksLoadData()) {
+      EndpointRecord* home = request.group_home;
+      if (home != nullptr && !request.WasTried(*home) && CanSend(request, *home)) return home;
+      if (EndpointRecord* warming_up = FindWarmingUp(request)) return warming_up;
+    }
+    const std::vector<EndpointRecord*>& ready = endpoints_.ready();
+    const std::size_t start = context_.random.Below(ready.size());
+    stoatrun::ArgMin<EndpointRecord> best;
+    for (std::size_t k = 0; k < ready.size() && (k < kTableChoices || best.item() == nullptr); ++k) {
+      EndpointRecord& endpoint = *ready[(start + k) % ready.size()];
+      const double penalty = IsPreferred(request, endpoint) ? 0.0 : kLastResort;
+      if (CanSend(request, endpoint)) best.Offer(&endpoint, Cost(request, endpoint) + penalty);
+    }
+    return best.cost() < kLastResort || context_.now >= request.decide_by ? best.item() : nullptr;
+  }
+
+  Context& context_;
+  EndpointTable& endpoints_;
+  std::vector<ProbeAnswer> pool_;  // Oldest first.
+};
+
+}  // namespace balancer
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -9,6 +9,8 @@
 #include <utility>
 #include <vector>
 
+#include "base/split_mix64.h"
+
 namespace stoatrun::fleet {
 
 class Random {
@@ -29,10 +31,7 @@
 
 // One of many orders that a name gives, the same at every relay (SplitMix64's finish).
 inline std::uint64_t Mixed(std::uint64_t a, std::uint64_t b) {
-  std::uint64_t z = a * 0x9e3779b97f4a7c15ULL + b;
-  z = (z ^ (z >> 30U)) * 0xbf58476d1ce4e5b9ULL;
-  z = (z ^ (z >> 27U)) * 0x94d049bb133111ebULL;
-  return z ^ (z >> 31U);
+  return SplitMix64Finalize(a * kSplitMix64Increment + b);
 }
 
 }  // namespace stoatrun::fleet
