--- a/src/balancer/admission.h
+++ b/src/balancer/admission.h
@@ -21,21 +21,21 @@
 // As TCP's congestion window, for set-ups: mass reconnects wait here, not in queues that outlast patience.
 constexpr double kWindowStart = 8.0, kWindowMax = 64.0, kWindowDecrease = 0.5;
 
-class Admission {
+class Admission {  // Whether set-ups may start now, and when a rejected client should retry.
  public:
   Admission(Context& context, const EndpointTable& endpoints) : context_(context), endpoints_(endpoints) {}
 
-  void RecordAttempt() {
+  void RecordAttempt() {  // A set-up begins.
     ++setups_in_flight_;
     placements_.Increment(context_.now);
   }
-  void RecordEstablished(bool is_reconnect) {
+  void RecordEstablished(bool is_reconnect) {  // A set-up succeeded.
     --setups_in_flight_;
     window_ = std::min(kWindowMax, window_ + 1);
     successes_.Increment(context_.now);
     if (!is_reconnect) arrivals_.Increment(context_.now);
   }
-  void RecordFailedSetup(Outcome outcome) {
+  void RecordFailedSetup(Outcome outcome) {  // It ended before it was established.
     --setups_in_flight_;
     const bool timed_out = outcome == Outcome::kTimedOut;
     if (timed_out || outcome == Outcome::kError) faults_.Increment(context_.now);
@@ -43,26 +43,26 @@
     window_decreased_at_ = context_.now;
     window_ = std::max(1.0, window_ * kWindowDecrease);
   }
-  bool WindowIsOpen() const { return static_cast<double>(setups_in_flight_) < window_; }
+  bool WindowIsOpen() const { return static_cast<double>(setups_in_flight_) < window_; }  // For a set-up.
   double ArrivalRate() const { return arrivals_.ValueAt(context_.now) / ToSeconds(kArrivalMemory); }
 
-  double RecentPlacements() const { return placements_.ValueAt(context_.now); }
+  double RecentPlacements() const { return placements_.ValueAt(context_.now); }  // Of this replica.
   // Utilization that other replicas may have added to each endpoint if they made as many placements as this
   // one.
   double ConcurrentLoad(const RequestArrived& request, double own_placements) const {
     double size = 0;
-    for (const EndpointRecord* endpoint : endpoints_.ready()) size += endpoint->info.size;
+    for (const EndpointRecord* endpoint : endpoints_.Ready()) size += endpoint->info.size;
     const double load = kConcurrentShare * endpoints_.LoadPerConnection(LoadBound::kExpected);
     const double placements = own_placements + (request.is_reconnect ? kReconnectPrior : 0);
     return load * placements * (context_.settings.replicas - 1) / std::max(1.0, size);
   }
-  bool IsFull(const EndpointRecord& endpoint, const RequestArrived& request) const {
+  bool IsFull(const EndpointRecord& endpoint, const RequestArrived& request) const {  // Too full for it.
     const bool keeps_load = request.is_reconnect && endpoints_.MeanUtilization() <= kReconnectMaxMean;
     const double concurrent = ConcurrentLoad(request, keeps_load ? 0 : RecentPlacements());
     const double limit = keeps_load ? kReconnectLimit : kAdmissionLimit;
     return endpoint.sampled && endpoints_.Estimate(endpoint) + concurrent - limit > 0;
   }
-  bool FleetIsFull() const { return context_.now < full_until_; }
+  bool FleetIsFull() const { return context_.now < full_until_; }  // By a recent look at the best endpoint.
   void RecordFleetFull() { full_until_ = context_.now + context_.random.Jittered(kFullMemory, 0.5, 1.5); }
   bool GuardIsActive() const { return faults_.ValueAt(context_.now) > EarnedAttempts() + kFreeAttempts; }
 
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -31,7 +31,7 @@
     StartTimerIfNeeded();
   }
   std::size_t EjectedCount(Micros now) const {
-    return static_cast<std::size_t>(std::ranges::count_if(endpoints_.all(), [now](const auto* endpoint) {
+    return static_cast<std::size_t>(std::ranges::count_if(endpoints_.All(), [now](const auto* endpoint) {
       return endpoint->info.state != EndpointState::kGone && endpoint->health.IsEjected(now);
     }));
   }
@@ -126,16 +126,16 @@
   // grow with the endpoints; it begins with a probe for each of these, by two replicas at most.
   void SampleEndpoints() {
     if (!CanProbe() && HasReports()) return;
-    const std::size_t held = std::min(endpoints_.EstablishedCount(), endpoints_.all().size());
+    const std::size_t held = std::min(endpoints_.EstablishedCount(), endpoints_.All().size());
     const double first = std::min(1.0, 2.0 / context_.settings.replicas) * static_cast<double>(held);
     if (sample_budget_ < 0) sample_budget_ = first;
     const double earned = std::max(kMinSampleRate, SampleRate()) * ToSeconds(kTickInterval);
     sample_budget_ = std::min(sample_budget_ + earned, std::max(2.0, sample_budget_));
     const double full_charge = SamplesAreScarce() ? kFullCharge : 1.0;
     int left = kMaxProbesPerTick;
-    for (std::size_t k = 0; k < endpoints_.ready().size() && sample_budget_ >= full_charge && left > 0; ++k) {
-      sample_cursor_ = (sample_cursor_ + 1) % endpoints_.ready().size();
-      EndpointRecord& endpoint = *endpoints_.ready()[sample_cursor_];
+    for (std::size_t k = 0; k < endpoints_.Ready().size() && sample_budget_ >= full_charge && left > 0; ++k) {
+      sample_cursor_ = (sample_cursor_ + 1) % endpoints_.Ready().size();
+      EndpointRecord& endpoint = *endpoints_.Ready()[sample_cursor_];
       const double charge = endpoint.sampled && endpoint.smoothed > kAdmissionLimit ? full_charge : 1.0;
       if (sample_budget_ < charge || !IsSampleDue(endpoint, charge < 1)) continue;
       if (endpoints_.LacksLoadData()) {
@@ -162,7 +162,7 @@
     request.info = info;
     const auto rules = static_cast<std::size_t>(info.class_id);
     if (rules < context_.settings.classes.size()) request.rules = context_.settings.classes[rules];
-    if (info.load_hint) endpoints_.slow_start().RecordLoadHint(*info.load_hint);
+    if (info.load_hint) endpoints_.GetSlowStart().RecordLoadHint(*info.load_hint);
     return &request;
   }
   void Finish(Request& request) {
@@ -181,6 +181,7 @@
     Request* request = endpoint == nullptr ? nullptr : AddRequest(resumed.request);
     if (request == nullptr) return;
     request->may_have_run = request->was_established = true;
+    request->ran_at = endpoint;
     StartAttempt(*request, *endpoint);
     endpoint->established.Insert(*request);
   }
@@ -203,7 +204,7 @@
     Wait(request, FromSeconds(ToSeconds(request.rules.setup_latency_objective) * kProbeWaitShare));
   }
   void ProbeForPlacement(Request& request) {
-    if (!CanProbe() || endpoints_.ready().empty()) return;
+    if (!CanProbe() || endpoints_.Ready().empty()) return;
     const std::ptrdiff_t wanted = SamplesAreScarce() ? kAnswersWhileScarce : kAnswersPerPlacement;
     const std::ptrdiff_t usable = placement_.CountUsableAnswers(request);
     for (auto k = std::min(usable, wanted - 1); k < wanted; ++k) {  // At least one keeps the pool fresh.
@@ -237,7 +238,7 @@
     StartAttempt(request, endpoint);
     request.sent_at = context_.now;
     request.tried.push_back(&endpoint);
-    endpoints_.slow_start().Spend(endpoint.warm_up, request);
+    endpoints_.GetSlowStart().Spend(endpoint.warm_up, request);
     endpoints_.RecordPlacement(endpoint, request.info.id);
     admission_.RecordAttempt();
     Emit(SendAttempt{request.info.id, endpoint.info.id, timeout});
@@ -307,7 +308,7 @@
   void On(const TimerFired&) {}  // Due tasks run after every event.
   void Tick() {
     SampleEndpoints();
-    endpoints_.slow_start().LearnCapacity(endpoints_.LoadPerConnection(LoadBound::kUpper));
+    endpoints_.GetSlowStart().LearnCapacity(endpoints_.LoadPerConnection(LoadBound::kUpper));
     Schedule(context_.random.Jittered(kTickInterval, 0.75, 1.25), [this] { Tick(); });
   }
   void CheckRequest(RequestId id) {  // At its deadline, or when it has waited long enough.
--- a/src/balancer/endpoint_table.h
+++ b/src/balancer/endpoint_table.h
@@ -19,11 +19,11 @@
 constexpr Micros kBaseEjectionTime = std::chrono::milliseconds(500);
 constexpr int kMaxEjectionDoublings = 4;
 
-enum class FailureSource { kProbe, kAttempt };
+enum class FailureSource { kProbe, kAttempt };  // What failed at the endpoint.
 
-class EndpointHealth {
+class EndpointHealth {  // The failures of one endpoint.
  public:
-  bool IsEjected(Micros now) const { return now < ejected_until_; }
+  bool IsEjected(Micros now) const { return now < ejected_until_; }  // Used only for want of others.
   void RecordFailure(Micros now, stoatrun::SplitMix64& random, FailureSource source) {
     failed_attempt_ |= source == FailureSource::kAttempt;
     if (IsEjected(now)) return;  // One fault seen by several requests counts once.
@@ -34,7 +34,7 @@
   void RecordProbeSuccess(Micros now) {
     if (!failed_attempt_ && !IsEjected(now)) consecutive_failures_ = 0;
   }
-  void RecordEstablished() {
+  void RecordEstablished() {  // An attempt succeeded: all is forgiven.
     consecutive_failures_ = 0;
     failed_attempt_ = false;
   }
@@ -46,7 +46,7 @@
   Micros ejected_until_{0};
 };
 
-struct UtilizationSample {
+struct UtilizationSample {             // What one report says.
   double value = 0, connections = -1;  // Load over capacity; connections if reported with it, else negative.
   bool operator==(const UtilizationSample&) const = default;
 };
@@ -57,7 +57,7 @@
   double weight = 1.0;  // In connections of mean load.
 };
 
-struct EndpointRecord {
+struct EndpointRecord {  // All that is known of one endpoint.
   Endpoint info;
   std::uint64_t listed_in = 0;                            // Number of the last update that named it.
   std::size_t ready_position = stoatrun::kNotInDenseSet;  // Among those that take requests.
@@ -73,18 +73,18 @@
   std::unordered_map<std::uint64_t, int> affinity_groups;  // Own attempts and connections by group.
 };
 
-enum class LoadBound { kExpected, kUpper };
+enum class LoadBound { kExpected, kUpper };  // Which estimate of a connection's load.
 
-class EndpointTable {
+class EndpointTable {  // Samples, smooths and estimates utilization, too.
  public:
   explicit EndpointTable(Context& context) : context_(context) {}
 
-  EndpointRecord* Find(EndpointId id) { return records_.Find(id); }
-  const std::vector<EndpointRecord*>& all() const { return all_; }
-  const std::vector<EndpointRecord*>& ready() const { return ready_.items(); }
-  SlowStart& slow_start() { return slow_start_; }
+  EndpointRecord* Find(EndpointId id) { return records_.Find(id); }  // Null if it was never listed.
+  const std::vector<EndpointRecord*>& All() const { return all_; }   // Removed ones, too.
+  const std::vector<EndpointRecord*>& Ready() const { return ready_.Items(); }  // Those that take requests.
+  SlowStart& GetSlowStart() { return slow_start_; }  // The rules for endpoints of this table.
 
-  void Apply(const EndpointUpdate& update) {
+  void Apply(const EndpointUpdate& update) {  // Of any kind but kFailed.
     ++updates_;
     for (const Endpoint& info : update.entries) {
       auto [endpoint, added] = records_.FindOrAdd(info.id);
@@ -104,12 +104,12 @@
     }
   }
 
-  bool HasMoreReplicas() const { return context_.settings.replicas > ready_.size(); }
+  bool HasMoreReplicas() const { return context_.settings.replicas > ready_.size(); }  // Than endpoints.
   // Then own connections say nothing of utilization.
   bool LacksLoadData() const {
     return context_.settings.report_mode == ReportMode::kOff && HasMoreReplicas();
   }
-  std::size_t EstablishedCount() const {
+  std::size_t EstablishedCount() const {  // Own connections at all endpoints.
     std::size_t count = 0;
     for (const EndpointRecord* endpoint : all_) count += endpoint->established.size();
     return count;
@@ -146,16 +146,16 @@
     ++sampled_;
     return true;
   }
-  void ResetUtilization(EndpointRecord& endpoint) {
+  void ResetUtilization(EndpointRecord& endpoint) {  // It counts as not sampled until the next sample.
     if (!std::exchange(endpoint.sampled, false)) return;
     utilization_sum_ -= std::min(std::exchange(endpoint.smoothed, 0), kMeanCap);  // Restarted ones are empty.
     --sampled_;
   }
-  void RecordPlacement(EndpointRecord& endpoint, RequestId id) {
+  void RecordPlacement(EndpointRecord& endpoint, RequestId id) {  // Counts until a report includes it.
     ForgetPlacements(endpoint, context_.now - kReportAge - Micros(1));
     endpoint.unreported.push_back({context_.now, id});
   }
-  void RecordLoad(Request& request, double load) {
+  void RecordLoad(Request& request, double load) {  // Reported of a connection.
     if (request.load < 0) mean_load_ += (load - mean_load_) / std::min(++loads_, kLoadMemory);
     request.load = load;
     if (request.endpoint == nullptr || mean_load_ <= 0) return;
@@ -176,7 +176,7 @@
   // Utilization of size 1 by a mean connection. Reported loads lack the cost of sharing a group's work.
   double LoadPerConnection(LoadBound bound) const {
     double load = 0, sampled_size = 0, size = 0, counted_load = 0, count = 0, own = 0;
-    for (const EndpointRecord* endpoint : ready_.items()) {
+    for (const EndpointRecord* endpoint : ready_.Items()) {
       const std::size_t unreported = endpoint->sampled ? endpoint->unreported.size() : 0;
       const auto established = static_cast<double>(endpoint->established.size());
       own += std::max(0.0, established - static_cast<double>(unreported));
--- a/src/balancer/placement.h
+++ b/src/balancer/placement.h
@@ -17,7 +17,7 @@
 constexpr double kGroupMemberBonus = 0.5, kGroupHomeBonus = 0.3;
 constexpr double kGroupLimit = 0.6;  // Above this the next endpoint in the group's order becomes its home.
 
-class Placement {
+class Placement {  // Finds endpoints for attempts and for probes.
  public:
   Placement(Context& context, EndpointTable& endpoints) : context_(context), endpoints_(endpoints) {}
 
@@ -26,40 +26,40 @@
     if (endpoint.info.state != EndpointState::kReady || !request.CanRepeat(context_.now)) return false;
     const bool needs_key = request.may_have_run && request.HasKey();
     if (needs_key && !request.IsDeduplicatedAt(endpoint.info, request.ran_at->info)) return false;
-    return endpoints_.slow_start().Allows(endpoint.warm_up, endpoint.info.size, request);
+    return endpoints_.GetSlowStart().Allows(endpoint.warm_up, endpoint.info.size, request);
   }
 
-  void AddProbeAnswer(EndpointRecord& endpoint) {
+  void AddProbeAnswer(EndpointRecord& endpoint) {  // Whose sample is fresh.
     const Micros oldest = context_.now - kMaxAnswerAge;
     std::erase_if(pool_, [&](auto& answer) { return answer.endpoint == &endpoint || answer.at < oldest; });
     if (pool_.size() >= kPoolCapacity) pool_.erase(pool_.begin());
     pool_.push_back({&endpoint, context_.now, 0});
   }
-  std::ptrdiff_t CountUsableAnswers(const Request& request) const {
+  std::ptrdiff_t CountUsableAnswers(const Request& request) const {  // For this request.
     return std::count_if(pool_.begin(), pool_.end(), [&](auto& answer) { return IsUsable(request, answer); });
   }
 
   // An endpoint in slow start with budget left here. With many replicas that is rare: it is used first.
   EndpointRecord* FindWarmingUp(const Request& request) {
-    const std::vector<EndpointRecord*>& ready = endpoints_.ready();
+    const std::vector<EndpointRecord*>& ready = endpoints_.Ready();
     const std::size_t start = context_.random.Below(ready.size());
     for (std::size_t k = 0; k < ready.size(); ++k) {
       EndpointRecord* endpoint = ready[(start + k) % ready.size()];
-      if (!endpoints_.slow_start().IsWarmingUp(endpoint->warm_up)) continue;
+      if (!endpoints_.GetSlowStart().IsWarmingUp(endpoint->warm_up)) continue;
       if (endpoint->smoothed < kAdmissionLimit && IsProbeable(request, *endpoint)) return endpoint;
     }
     return nullptr;
   }
-  EndpointRecord* FindProbeTarget(const Request& request) {
+  EndpointRecord* FindProbeTarget(const Request& request) {  // The best of a few: it may well be chosen.
     if (EndpointRecord* warming_up = FindWarmingUp(request)) return warming_up;
     EndpointRecord* home = request.awaited_probes.empty() ? request.group_home : nullptr;
     if (home != nullptr && IsProbeable(request, *home)) return home;
     stoatrun::ArgMin<EndpointRecord> best;
     for (std::size_t k = 0; k < kProbeChoices; ++k) {
-      EndpointRecord& endpoint = *endpoints_.ready()[context_.random.Below(endpoints_.ready().size())];
+      EndpointRecord& endpoint = *endpoints_.Ready()[context_.random.Below(endpoints_.Ready().size())];
       if (IsProbeable(request, endpoint)) best.Offer(&endpoint, Cost(request, endpoint));
     }
-    return best.item();
+    return best.Best();
   }
   // The endpoint that a group's connections go to first: the emptiest that has some, else the first with
   // capacity in an order that is the group's at every replica (weighted rendezvous hashing).
@@ -67,7 +67,7 @@
     if (!UsesGroup(request)) return nullptr;
     const std::uint64_t group = request.info.affinity_group;
     stoatrun::ArgMin<EndpointRecord> member, home;
-    for (EndpointRecord* endpoint : endpoints_.ready()) {
+    for (EndpointRecord* endpoint : endpoints_.Ready()) {
       if (endpoint->health.IsEjected(context_.now)) continue;
       const double estimate = endpoints_.Estimate(*endpoint);
       if (estimate > kGroupLimit) continue;
@@ -75,7 +75,7 @@
       const double rank = stoatrun::SplitMix64(group ^ endpoint->info.name_hash).Unit();
       home.Offer(endpoint, -std::log(1 - rank) / std::max(endpoint->info.size, 1e-9));
     }
-    return member.item() != nullptr ? member.item() : home.item();
+    return member.Best() != nullptr ? member.Best() : home.Best();
   }
 
   // Null while no endpoint may take the request. Equal views must not lead to equal choices: each replica
@@ -87,9 +87,9 @@
       const double cost = Cost(request, *answer.endpoint);
       best.Offer(&answer, cost - concurrent * std::log(1 - context_.random.Unit()));
     }
-    if (best.item() == nullptr) return ChooseByTable(request);
-    ++best.item()->uses;
-    return best.item()->endpoint;
+    if (best.Best() == nullptr) return ChooseByTable(request);
+    ++best.Best()->uses;
+    return best.Best()->endpoint;
   }
 
  private:
@@ -127,15 +127,15 @@
       if (home != nullptr && !request.WasTried(*home) && CanSend(request, *home)) return home;
       if (EndpointRecord* warming_up = FindWarmingUp(request)) return warming_up;
     }
-    const std::vector<EndpointRecord*>& ready = endpoints_.ready();
+    const std::vector<EndpointRecord*>& ready = endpoints_.Ready();
     const std::size_t start = context_.random.Below(ready.size());
     stoatrun::ArgMin<EndpointRecord> best;
-    for (std::size_t k = 0; k < ready.size() && (k < kTableChoices || best.item() == nullptr); ++k) {
+    for (std::size_t k = 0; k < ready.size() && (k < kTableChoices || best.Best() == nullptr); ++k) {
       EndpointRecord& endpoint = *ready[(start + k) % ready.size()];
       const double penalty = IsPreferred(request, endpoint) ? 0.0 : kLastResort;
       if (CanSend(request, endpoint)) best.Offer(&endpoint, Cost(request, endpoint) + penalty);
     }
-    return best.cost() < kLastResort || context_.now >= request.decide_by ? best.item() : nullptr;
+    return best.LowestCost() < kLastResort || context_.now >= request.decide_by ? best.Best() : nullptr;
   }
 
   Context& context_;
--- a/src/balancer/rebalancing.h
+++ b/src/balancer/rebalancing.h
@@ -16,8 +16,8 @@
 constexpr double kOverloaded = 0.95, kReliefTarget = 0.8;
 constexpr Micros kSettleTime = std::chrono::seconds(3);  // Until samples show a migration.
 
-struct MigrationCandidate {
-  double key, weight;  // Weights are loads where known: a count of the heaviest would overshoot.
+struct MigrationCandidate {  // In ascending order of keys.
+  double key, weight;        // Weights are loads where known: a count of the heaviest would overshoot.
   Request* request;
 };
 
@@ -29,7 +29,7 @@
   const bool overloaded = utilization > kOverloaded;
   std::vector<MigrationCandidate> candidates;
   double total_weight = 0, total_load = 0;
-  for (Request* request : endpoint.established.items()) {
+  for (Request* request : endpoint.established.Items()) {
     const double load = request->load >= 0 ? request->load : request->info.load_hint.value_or(-1);
     // Idle first: by load, else at random. On an overloaded endpoint the heaviest: the fewest migrations.
     const double key = load < 0 ? context.random.Unit() : overloaded ? -load : load;
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -20,7 +20,7 @@
   Micros now{0};
 };
 
-struct Request {
+struct Request {  // From its arrival until no attempt of it is in flight.
   RequestArrived info;
   ClassSettings rules;
   bool finished = false;  // Has its final answer, is migrated, or its client is gone.
@@ -36,13 +36,13 @@
   std::vector<const EndpointRecord*> tried, awaited_probes;
 
   bool IsEstablished() const { return established_position != stoatrun::kNotInDenseSet; }
-  bool IsSettingUp() const { return attempt_in_flight && !finished && !IsEstablished(); }
+  bool IsSettingUp() const { return attempt_in_flight && !finished && !IsEstablished(); }  // Its attempt.
   bool WasTried(const EndpointRecord& at) const { return std::ranges::find(tried, &at) != tried.end(); }
-  bool CanAttempt(const Context& context) const {
+  bool CanAttempt(const Context& context) const {  // Within its limits.
     const bool in_limits = attempts < context.settings.max_attempts && context.now < info.deadline;
     return !finished && !attempt_in_flight && in_limits;
   }
-  bool HasKey() const { return rules.idempotency == Idempotency::kIdempotencyKey; }
+  bool HasKey() const { return rules.idempotency == Idempotency::kIdempotencyKey; }  // For deduplication.
   bool CanRepeat(Micros now) const {  // Harmlessly, although an earlier attempt may have run.
     if (!may_have_run || rules.idempotency == Idempotency::kIdempotent) return true;
     return HasKey() && now < ran_since + rules.deduplication_window;
@@ -57,7 +57,7 @@
     if (rules.idempotency == Idempotency::kIdempotent || (!may_have_run && !attempt_in_flight)) return true;
     return HasKey() && rules.deduplication_scope == DeduplicationScope::kAll;
   }
-  Micros AttemptTimeout(const Context& context) const {
+  Micros AttemptTimeout(const Context& context) const {  // Of the next attempt.
     const Micros left = info.deadline - context.now;
     if (attempts + 1 >= context.settings.max_attempts) return left;
     const Micros share = FromSeconds(ToSeconds(left) * kFirstTimeoutShare);
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -18,24 +18,23 @@
   bool managed_by_fleet = false;  // The tokens come with FleetHint.
 };
 
-class SlowStart {
+class SlowStart {  // The rules; the state of an endpoint is its WarmUp.
  public:
   explicit SlowStart(Context& context) : context_(context) {}
 
-  void Begin(WarmUp& warm_up,
-             Micros started_at) {  // Random tokens: the replicas' first sends must not coincide.
+  void Begin(WarmUp& warm_up, Micros started_at) {  // At random: the replicas' first sends must not coincide.
     warm_up = {started_at, context_.now, context_.random.Unit(), warm_up.managed_by_fleet};
   }
-  bool IsWarmingUp(const WarmUp& warm_up) const {
+  bool IsWarmingUp(const WarmUp& warm_up) const {  // Whether the budget applies.
     const Micros end = warm_up.started_at + context_.settings.slow_start_duration;
     return warm_up.started_at.count() > 0 && context_.now < end;
   }
-  bool Allows(WarmUp& warm_up, double size, const Request& request) const {
+  bool Allows(WarmUp& warm_up, double size, const Request& request) const {  // Whether tokens suffice.
     if (!IsWarmingUp(warm_up)) return true;
     Refill(warm_up, size);
     return warm_up.tokens >= std::min(1.0, Cost(request));
   }
-  void Spend(WarmUp& warm_up, const Request& request) const {
+  void Spend(WarmUp& warm_up, const Request& request) const {  // For an attempt.
     if (IsWarmingUp(warm_up)) warm_up.tokens -= Cost(request);
   }
   void RecordLoadHint(double hint) { mean_hint_ = mean_hint_ <= 0 ? hint : 0.98 * mean_hint_ + 0.02 * hint; }
--- a/src/base/arg_min.h
+++ b/src/base/arg_min.h
@@ -12,19 +12,19 @@
  public:
   // Considers `item`, which is not null, at `cost`.
   void Offer(Item* item, double cost) {
-    if (cost < cost_) {
-      item_ = item;
-      cost_ = cost;
+    if (cost < lowest_cost_) {
+      best_ = item;
+      lowest_cost_ = cost;
     }
   }
   // The item of the lowest cost; null while none has been offered.
-  Item* item() const { return item_; }
+  Item* Best() const { return best_; }
   // The lowest cost; infinite while none has been offered.
-  double cost() const { return cost_; }
+  double LowestCost() const { return lowest_cost_; }
 
  private:
-  Item* item_ = nullptr;
-  double cost_ = std::numeric_limits<double>::infinity();
+  Item* best_ = nullptr;
+  double lowest_cost_ = std::numeric_limits<double>::infinity();
 };
 
 }  // namespace stoatrun
--- a/src/base/dense_set.h
+++ b/src/base/dense_set.h
@@ -16,7 +16,7 @@
 template <typename T, std::size_t T::*kPosition>
 class DenseSet {
  public:
-  const std::vector<T*>& items() const { return items_; }
+  const std::vector<T*>& Items() const { return items_; }
   std::size_t size() const { return items_.size(); }
   bool empty() const { return items_.empty(); }
 
--- /dev/null
+++ b/tests/balancer/admission_test.cpp
@@ -0,0 +1,154 @@
+// Admission control: rejections, the set-up window and the overload guard.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cstdint>
+#include <vector>
+
+#include "balancer/balancer_fixture.h"
+
+namespace balancer {
+namespace {
+
+TEST(Admission, RejectsAtOnceWhenTheBestEndpointIsFull) {
+  BalancerFixture fixture;
+  fixture.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2)});
+  const auto probes = ActionsOfType<ProbeEndpoint>(fixture.SendRequest(1));
+  std::vector<Action> actions;
+  for (const ProbeEndpoint& probe : probes)
+    actions = fixture.ReportLoad(static_cast<std::uint64_t>(probe.endpoint), 1.3);
+  EXPECT_EQ(ActionsOfType<RejectRequest>(actions).size(), 1U);
+  EXPECT_TRUE(ActionsOfType<SendAttempt>(actions).empty());
+  // The next one is rejected on the same knowledge, without probes.
+  const auto next = fixture.SendRequest(2);
+  EXPECT_EQ(ActionsOfType<RejectRequest>(next).size(), 1U);
+  EXPECT_TRUE(ActionsOfType<ProbeEndpoint>(next).empty());
+}
+
+// A rejection is sent at once; its Retry-After keeps the client from returning too early.
+TEST(Admission, RetryAfterIsWhenTheReasonWillBeOver) {
+  Settings set = DefaultSettings();
+  for (const Micros longest : {Milliseconds(0), Milliseconds(200), Milliseconds(2000)}) {
+    set.max_retry_after = longest;
+    BalancerFixture fixture(set);
+    fixture.UpdateEndpoints({ReadyEndpoint(1)});
+    fixture.SendRequest(1);
+    const auto rejected = ActionsOfType<RejectRequest>(fixture.ReportLoad(1, 0.99));
+    ASSERT_EQ(rejected.size(), 1U);
+    EXPECT_LE(rejected[0].retry_after, std::min(longest, Milliseconds(300)));
+    EXPECT_GE(rejected[0].retry_after, std::min(longest, Milliseconds(100)));
+    if (longest < Milliseconds(2000)) continue;
+    fixture.AdvanceTime(rejected[0].retry_after - Milliseconds(1));
+    EXPECT_EQ(ActionsOfType<RejectRequest>(fixture.SendRequest(2)).size(),
+              1U);  // Too early: rejected without probes.
+    fixture.AdvanceTime(Milliseconds(2));
+    EXPECT_TRUE(ActionsOfType<RejectRequest>(fixture.SendRequest(3)).empty());  // Probed again.
+  }
+}
+
+TEST(Admission, CountsConcurrentPlacementsOfOtherReplicas) {
+  // Ten endpoints at 0.7 with one own connection each; the nine other replicas are assumed to have as many,
+  // so that one more on each endpoint by all replicas adds 0.7. One arrival a second is admitted, a burst is
+  // rejected at equal utilization.
+  for (const bool rush : {false, true}) {
+    Settings settings = DefaultSettings();
+    settings.replicas = 10;
+    BalancerFixture fixture(settings);
+    std::vector<Endpoint> list;
+    for (std::uint64_t k = 1; k <= 10; ++k) list.push_back(ReadyEndpoint(k));
+    fixture.UpdateEndpoints(list);
+    for (std::uint64_t k = 1; k <= 10; ++k) fixture.ResumeConnection(1000 + k, k);
+    std::size_t rejected = 0;
+    for (std::uint64_t id = 1; id <= 8; ++id) {
+      for (std::uint64_t k = 1; k <= 10; ++k) fixture.ReportLoad(k, 0.7);
+      const auto actions = fixture.RequestAndAdvance(id, Milliseconds(40));
+      rejected += ActionsOfType<RejectRequest>(actions).size();
+      for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(actions))
+        fixture.Handle(AttemptEstablished{attempt.id, attempt.endpoint});
+      if (!rush) fixture.AdvanceTime(Milliseconds(3000));
+    }
+    EXPECT_EQ(rejected > 0, rush);
+  }
+}
+
+// A draining gateway migrates its clients all at once. Samples still count them at their endpoints: counting
+// them again, with concurrent placements besides, rejected most of them despite free capacity.
+TEST(Admission, ReconnectingClientsFindTheCapacityTheyLeft) {
+  for (const bool back : {false, true}) {
+    Settings settings = DefaultSettings();
+    settings.replicas = 10;
+    BalancerFixture fixture(settings);
+    std::vector<Endpoint> list;
+    for (std::uint64_t k = 1; k <= 10; ++k) list.push_back(ReadyEndpoint(k));
+    fixture.UpdateEndpoints(list);
+    std::size_t rejected = 0, sent = 0;
+    for (std::uint64_t id = 1; id <= 25; ++id) {
+      RequestArrived request;
+      request.id = RequestId(id);
+      request.deadline = fixture.now + Milliseconds(2000);
+      request.is_reconnect = back;
+      auto actions = fixture.Handle(request);
+      for (std::uint64_t k = 1; k <= 10; ++k) {
+        const auto placed = fixture.ReportLoad(k, 0.6, 12.0);
+        actions.insert(actions.end(), placed.begin(), placed.end());
+      }
+      fixture.AdvanceTime(Milliseconds(10));
+      rejected += ActionsOfType<RejectRequest>(actions).size();
+      for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(actions)) {
+        ++sent;
+        fixture.Handle(AttemptEstablished{attempt.id, attempt.endpoint});
+      }
+    }
+    EXPECT_EQ(rejected > 0, !back);
+    EXPECT_EQ(sent == 25, back);
+  }
+}
+
+TEST(Admission, FaultsEverywhereStopAttempts) {
+  Settings settings = DefaultSettings();
+  settings.probes_allowed = false;
+  BalancerFixture fixture(settings);
+  std::vector<Endpoint> list;
+  for (std::uint64_t k = 1; k <= 50; ++k) list.push_back(ReadyEndpoint(k));
+  fixture.UpdateEndpoints(list);
+  std::size_t attempts = 0;
+  for (std::uint64_t id = 1; id <= 100; ++id) {
+    auto actions = fixture.SendRequest(id);
+    while (!ActionsOfType<SendAttempt>(actions).empty()) {
+      ++attempts;
+      actions = fixture.Handle(AttemptEnded{
+          RequestId(id), ActionsOfType<SendAttempt>(actions)[0].endpoint, Outcome::kError, false, {}});
+    }
+    EXPECT_EQ(ActionsOfType<RejectRequest>(actions).size(), 1U);
+  }
+  EXPECT_LE(attempts, 10U);  // 400 without the guard.
+}
+
+TEST(Admission, MassReconnectWaitsForTheSetupWindow) {
+  Settings settings = DefaultSettings();
+  settings.probes_allowed = false;
+  BalancerFixture fixture(settings);
+  std::vector<Endpoint> list;
+  for (std::uint64_t k = 1; k <= 50; ++k) list.push_back(ReadyEndpoint(k));
+  fixture.UpdateEndpoints(list);
+  std::vector<SendAttempt> out;
+  for (std::uint64_t id = 1; id <= 200; ++id) {
+    for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(fixture.SendRequest(id)))
+      out.push_back(attempt);
+  }
+  ASSERT_EQ(out.size(), 8U);
+  // All in time: the window grows by one for each, and those that wait follow.
+  for (const SendAttempt& attempt : out) fixture.Handle(AttemptEstablished{attempt.id, attempt.endpoint});
+  EXPECT_EQ(ActionsOfType<SendAttempt>(fixture.AdvanceTime(Milliseconds(200))).size(), 16U);
+  // A timeout halves it.
+  BalancerFixture slow(settings);
+  slow.UpdateEndpoints(list);
+  const auto first = ActionsOfType<SendAttempt>(slow.SendRequest(1));
+  slow.EndAttempt(1, static_cast<std::uint64_t>(first[0].endpoint), Outcome::kTimedOut);
+  std::size_t more = 0;
+  for (std::uint64_t id = 2; id <= 200; ++id) more += ActionsOfType<SendAttempt>(slow.SendRequest(id)).size();
+  EXPECT_EQ(more, 3U);  // A window of four, including the retry.
+}
+
+}  // namespace
+}  // namespace balancer
--- a/tests/balancer/balancer_fixture.h
+++ b/tests/balancer/balancer_fixture.h
@@ -1,139 +1,186 @@
-// A fake clock and a list of actions around one Balancer.
+// A Balancer with a fake clock: events in, actions out, timers fired when they are due. And the settings,
+// endpoints and steps that several test files share.
 #ifndef STOATRUN_TESTS_BALANCER_BALANCER_FIXTURE_H_
 #define STOATRUN_TESTS_BALANCER_BALANCER_FIXTURE_H_
 
+#include <algorithm>
+#include <cstddef>
 #include <cstdint>
 #include <optional>
-#include <string>
 #include <utility>
+#include <variant>
 #include <vector>
 
 #include "balancer/balancer.h"
 
 namespace balancer {
 
-constexpr Micros Ms(std::int64_t n) { return Micros(n * 1000); }
-constexpr RequestId Rq(std::uint64_t n) { return RequestId(n); }
-constexpr EndpointId Sv(std::uint64_t n) { return EndpointId(n); }
-
-inline Settings PlainSettings() {
-  Settings s;
-  s.seed = 7;
-  s.report_mode = ReportMode::kOnProbe;
-  s.probes_allowed = true;
-  s.cancel_allowed = true;
-  s.max_attempts = 4;
-  ClassSettings c;
-  c.setup_latency_objective = Ms(300);
-  c.idempotency = Idempotency::kIdempotent;
-  c.message_latency_objective = Ms(100);
-  s.classes = {c};
-  s.slow_start_share = 0.3;
-  s.slow_start_duration = Ms(9000);
-  s.slow_start_overload_factor = 4;
-  s.slow_start_window = Ms(1000);
-  return s;
+constexpr Micros Milliseconds(std::int64_t count) { return Micros(count * 1000); }
+
+// One replica of a fleet whose endpoints report load with probe answers.
+inline Settings DefaultSettings() {
+  Settings settings;
+  settings.seed = 7;
+  settings.report_mode = ReportMode::kOnProbe;
+  settings.probes_allowed = true;
+  settings.cancel_allowed = true;
+  settings.max_attempts = 4;
+  ClassSettings rules;
+  rules.setup_latency_objective = Milliseconds(300);
+  rules.idempotency = Idempotency::kIdempotent;
+  rules.message_latency_objective = Milliseconds(100);
+  settings.classes = {rules};
+  settings.slow_start_share = 0.3;
+  settings.slow_start_duration = Milliseconds(9000);
+  settings.slow_start_overload_factor = 4;
+  settings.slow_start_window = Milliseconds(1000);
+  return settings;
+}
+
+inline Endpoint ReadyEndpoint(std::uint64_t id, std::uint32_t zone = 0, std::uint64_t cell = 0) {
+  Endpoint endpoint;
+  endpoint.id = EndpointId(id);
+  endpoint.zone = ZoneId(zone);
+  endpoint.cell = CellId(cell);
+  return endpoint;
 }
 
-inline Endpoint Ready(std::uint64_t id, std::uint32_t zone = 0, std::uint64_t cell = 0) {
-  Endpoint e;
-  e.id = Sv(id);
-  e.zone = ZoneId(zone);
-  e.cell = CellId(cell);
-  return e;
+inline Endpoint NamedEndpoint(std::uint64_t id, std::uint64_t name, double size = 1.0) {
+  Endpoint endpoint = ReadyEndpoint(id);
+  endpoint.name_hash = name;
+  endpoint.size = size;
+  return endpoint;
 }
 
-class Harness {
+// The actions of one type, in order.
+template <typename ActionType>
+std::vector<ActionType> ActionsOfType(const std::vector<Action>& actions) {
+  std::vector<ActionType> found;
+  for (const Action& action : actions) {
+    if (const auto* typed = std::get_if<ActionType>(&action)) found.push_back(*typed);
+  }
+  return found;
+}
+
+class BalancerFixture {
  public:
-  explicit Harness(const Settings& settings = PlainSettings()) : balancer_(settings) {}
+  explicit BalancerFixture(const Settings& settings = DefaultSettings()) : balancer_(settings) {}
 
-  std::vector<Action> Give(const Event& event) {
+  std::vector<Action> Handle(const Event& event) {
     std::vector<Action> actions;
     balancer_.Handle(now, event, actions);
-    Note(actions);
+    for (const StartTimer& timer : ActionsOfType<StartTimer>(actions)) timers_.push_back(now + timer.delay);
     return actions;
   }
-  std::size_t Avoided() const { return balancer_.EjectedCount(now); }
-  std::vector<Action> List(std::vector<Endpoint> entries,
-                           EndpointUpdate::Kind kind = EndpointUpdate::Kind::kCached) {
-    return Give(EndpointUpdate{kind, std::move(entries)});
+  std::size_t EjectedCount() const { return balancer_.EjectedCount(now); }
+  std::vector<Action> UpdateEndpoints(std::vector<Endpoint> entries,
+                                      EndpointUpdate::Kind kind = EndpointUpdate::Kind::kCached) {
+    return Handle(EndpointUpdate{kind, std::move(entries)});
   }
-  std::vector<Action> Request(std::uint64_t id, Micros patience = Ms(2000), std::optional<double> hint = {}) {
-    RequestArrived e;
-    e.id = Rq(id);
-    e.deadline = now + patience;
-    e.load_hint = hint;
-    return Give(e);
+  std::vector<Action> SendRequest(std::uint64_t id, Micros patience = Milliseconds(2000),
+                                  std::optional<double> hint = {}) {
+    RequestArrived request;
+    request.id = RequestId(id);
+    request.deadline = now + patience;
+    request.load_hint = hint;
+    return Handle(request);
   }
-  void Resume(std::uint64_t id, std::uint64_t server, std::optional<double> hint = {}) {
-    ConnectionResumed e;
-    e.request.id = Rq(id);
-    e.request.load_hint = hint;
-    e.endpoint = Sv(server);
-    Give(e);
+  void ResumeConnection(std::uint64_t id, std::uint64_t endpoint, std::optional<double> hint = {}) {
+    ConnectionResumed resumed;
+    resumed.request.id = RequestId(id);
+    resumed.request.load_hint = hint;
+    resumed.endpoint = EndpointId(endpoint);
+    Handle(resumed);
   }
-  std::vector<Action> End(std::uint64_t id, std::uint64_t server, Outcome outcome, bool finished = false) {
-    return Give(AttemptEnded{Rq(id), Sv(server), outcome, finished, {}});
+  std::vector<Action> EndAttempt(std::uint64_t id, std::uint64_t endpoint, Outcome outcome,
+                                 bool finished = false) {
+    return Handle(AttemptEnded{RequestId(id), EndpointId(endpoint), outcome, finished, {}});
   }
-  std::vector<Action> Report(std::uint64_t server, double load, std::optional<double> count = {}) {
-    LoadReport r;
-    r.load_ratio = load;
-    r.outstanding = count;
-    return Give(ProbeCompleted{Sv(server), true, r});
+  // A probe's answer.
+  std::vector<Action> ReportLoad(std::uint64_t endpoint, double load, std::optional<double> count = {}) {
+    LoadReport report;
+    report.load_ratio = load;
+    report.outstanding = count;
+    return Handle(ProbeCompleted{EndpointId(endpoint), true, report});
   }
-  // Lets time pass; timers fire when they are due. Gives all actions of that time.
-  std::vector<Action> Pass(Micros span) {
+  // Lets time pass and fires the timers that fall due. Returns all actions of that time.
+  std::vector<Action> AdvanceTime(Micros span) {
     std::vector<Action> all;
     const Micros end = now + span;
-    for (;;) {
-      Micros next = end + Ms(1);
-      std::size_t which = 0;
-      for (std::size_t k = 0; k < timers_.size(); ++k) {
-        if (timers_[k] < next) next = timers_[which = k];
-      }
-      if (next > end) break;
-      timers_.erase(timers_.begin() + static_cast<std::ptrdiff_t>(which));
-      now = std::max(now, next);
-      const std::vector<Action> some = Give(TimerFired{});
-      all.insert(all.end(), some.begin(), some.end());
+    while (!timers_.empty()) {
+      const auto next = std::min_element(timers_.begin(), timers_.end());
+      if (*next > end) break;
+      now = std::max(now, *next);
+      timers_.erase(next);
+      const std::vector<Action> actions = Handle(TimerFired{});
+      all.insert(all.end(), actions.begin(), actions.end());
     }
     now = end;
     return all;
   }
-
-  std::vector<Action> RequestThenPass(std::uint64_t id, Micros span) {
-    std::vector<Action> a = Request(id);
-    const std::vector<Action> b = Pass(span);
-    a.insert(a.end(), b.begin(), b.end());
-    return a;
+  std::vector<Action> RequestAndAdvance(std::uint64_t id, Micros span) {
+    std::vector<Action> actions = SendRequest(id);
+    const std::vector<Action> later = AdvanceTime(span);
+    actions.insert(actions.end(), later.begin(), later.end());
+    return actions;
   }
-  std::vector<Action> EndThenPass(std::uint64_t id, std::uint64_t server, Outcome outcome, Micros span) {
-    std::vector<Action> a = End(id, server, outcome);
-    const std::vector<Action> b = Pass(span);
-    a.insert(a.end(), b.begin(), b.end());
-    return a;
+  std::vector<Action> EndAndAdvance(std::uint64_t id, std::uint64_t endpoint, Outcome outcome, Micros span) {
+    std::vector<Action> actions = EndAttempt(id, endpoint, outcome);
+    const std::vector<Action> later = AdvanceTime(span);
+    actions.insert(actions.end(), later.begin(), later.end());
+    return actions;
   }
 
   Micros now{1'000'000};
 
  private:
-  void Note(const std::vector<Action>& actions) {
-    for (const Action& a : actions) {
-      if (const auto* t = std::get_if<StartTimer>(&a)) timers_.push_back(now + t->delay);
-    }
-  }
-
   Balancer balancer_;
   std::vector<Micros> timers_;
 };
 
-template <typename A>
-std::vector<A> Of(const std::vector<Action>& actions) {
-  std::vector<A> found;
-  for (const Action& a : actions) {
-    if (const auto* x = std::get_if<A>(&a)) found.push_back(*x);
+// One class, whose requests are placed without probes.
+inline Settings NoProbeSettings(Idempotency idempotency,
+                                DeduplicationScope group = DeduplicationScope::kAll) {
+  Settings settings = DefaultSettings();
+  settings.probes_allowed = false;
+  settings.classes[0].idempotency = idempotency;
+  settings.classes[0].deduplication_scope = group;
+  settings.classes[0].deduplication_window = Milliseconds(800);
+  return settings;
+}
+
+// Sends a request of a group and answers its probes with `loads`, that of endpoint 1 first. Returns where it
+// was established; 0: nowhere.
+inline EndpointId PlaceRequest(BalancerFixture& fixture, std::uint64_t id, std::uint64_t group,
+                               const std::vector<double>& loads) {
+  RequestArrived request;
+  request.id = RequestId(id);
+  request.affinity_group = group;
+  request.deadline = fixture.now + Milliseconds(2000);
+  std::vector<Action> actions = fixture.Handle(request);
+  for (std::size_t k = 0; k < actions.size(); ++k) {
+    const auto* probe = std::get_if<ProbeEndpoint>(&actions[k]);
+    if (probe == nullptr) continue;
+    const auto endpoint = static_cast<std::uint64_t>(probe->endpoint);
+    const std::vector<Action> more = fixture.ReportLoad(endpoint, loads[endpoint - 1]);
+    actions.insert(actions.end(), more.begin(), more.end());
   }
-  return found;
+  const std::vector<Action> later = fixture.AdvanceTime(Milliseconds(40));
+  actions.insert(actions.end(), later.begin(), later.end());
+  const auto sent = ActionsOfType<SendAttempt>(actions);
+  if (sent.empty()) return EndpointId(0);
+  fixture.Handle(AttemptEstablished{RequestId(id), sent[0].endpoint});
+  return sent[0].endpoint;
+}
+
+// One of many replicas of a fleet whose endpoints report no load and can't be probed.
+inline Settings NoLoadDataSettings(std::uint64_t seed) {
+  Settings settings = DefaultSettings();
+  settings.seed = seed;
+  settings.replicas = 300;
+  settings.report_mode = ReportMode::kOff;
+  settings.probes_allowed = false;
+  return settings;
 }
 
 }  // namespace balancer
--- a/tests/balancer/large_fleet_test.cpp
+++ b/tests/balancer/large_fleet_test.cpp
@@ -1,7 +1,8 @@
-// A hundred replicas side by side that share nothing: what is harmless at one and harmful when all do it.
+// A hundred replicas that share nothing: what is harmless at one may be harmful when all do it.
 #include <gtest/gtest.h>
 
 #include <algorithm>
+#include <cstdint>
 #include <map>
 #include <memory>
 #include <variant>
@@ -12,81 +13,81 @@
 namespace balancer {
 namespace {
 
-constexpr std::size_t kGateways = 100;
+constexpr std::size_t kReplicas = 100;
 
-// What a server tells: load over capacity, connections.
-struct Told {
+// An endpoint's reported load over capacity and connections.
+struct ReportedLoad {
   double load, count;
 };
 
 class Fleet {
  public:
-  explicit Fleet(const std::vector<Endpoint>& list, std::map<std::uint64_t, Told> told)
-      : told_(std::move(told)) {
-    for (std::size_t k = 0; k < kGateways; ++k) {
-      Settings s = PlainSettings();
-      s.seed = 1000 + k;
-      s.replicas = kGateways;
-      all_.push_back(std::make_unique<Harness>(s));
-      all_.back()->now = Ms(10'000);
-      all_.back()->List(list);
+  explicit Fleet(const std::vector<Endpoint>& list, std::map<std::uint64_t, ReportedLoad> reports)
+      : reports_(std::move(reports)) {
+    for (std::size_t k = 0; k < kReplicas; ++k) {
+      Settings settings = DefaultSettings();
+      settings.seed = 1000 + k;
+      settings.replicas = kReplicas;
+      all_.push_back(std::make_unique<BalancerFixture>(settings));
+      all_.back()->now = Milliseconds(10'000);
+      all_.back()->UpdateEndpoints(list);
     }
   }
-  void Pass(Micros span) {
-    for (auto& g : all_) Play(*g, g->Pass(span));
+  void AdvanceTime(Micros span) {
+    for (auto& replica : all_) Play(*replica, replica->AdvanceTime(span));
   }
-  // A client that comes back to each gateway.
-  void RetryAfter(std::uint64_t id) {
-    for (std::size_t k = 0; k < kGateways; ++k) {
-      RequestArrived e;
-      e.id = Rq(id);
-      e.deadline = all_[k]->now + Ms(2000);
-      e.is_reconnect = true;
-      Play(*all_[k], all_[k]->Give(e));
+  // A client reconnects to each replica.
+  void ReconnectClients(std::uint64_t id) {
+    for (std::size_t k = 0; k < kReplicas; ++k) {
+      RequestArrived request;
+      request.id = RequestId(id);
+      request.deadline = all_[k]->now + Milliseconds(2000);
+      request.is_reconnect = true;
+      Play(*all_[k], all_[k]->Handle(request));
     }
   }
-  void List(const std::vector<Endpoint>& list) {
-    for (auto& g : all_) Play(*g, g->List(list, EndpointUpdate::Kind::kFull));
+  void UpdateEndpoints(const std::vector<Endpoint>& list) {
+    for (auto& replica : all_) Play(*replica, replica->UpdateEndpoints(list, EndpointUpdate::Kind::kFull));
   }
-  int SentTo(std::uint64_t server) const {
-    const auto at = sent_.find(Sv(server));
+  int SentTo(std::uint64_t endpoint) const {
+    const auto at = sent_.find(EndpointId(endpoint));
     return at == sent_.end() ? 0 : at->second;
   }
-  int refused = 0;
+  int rejected = 0;
 
  private:
-  void Play(Harness& g, std::vector<Action> actions) {
+  void Play(BalancerFixture& replica, std::vector<Action> actions) {
     for (std::size_t k = 0; k < actions.size(); ++k) {
       std::vector<Action> more;
-      if (const auto* p = std::get_if<ProbeEndpoint>(&actions[k])) {
-        const Told& t = told_.at(static_cast<std::uint64_t>(p->endpoint));
-        more = g.Report(static_cast<std::uint64_t>(p->endpoint), t.load, t.count);
-      } else if (const auto* s = std::get_if<SendAttempt>(&actions[k])) {
-        ++sent_[s->endpoint];
-        more = g.Give(AttemptEstablished{s->id, s->endpoint});
+      if (const auto* probe = std::get_if<ProbeEndpoint>(&actions[k])) {
+        const ReportedLoad& report = reports_.at(static_cast<std::uint64_t>(probe->endpoint));
+        more = replica.ReportLoad(static_cast<std::uint64_t>(probe->endpoint), report.load, report.count);
+      } else if (const auto* attempt = std::get_if<SendAttempt>(&actions[k])) {
+        ++sent_[attempt->endpoint];
+        more = replica.Handle(AttemptEstablished{attempt->id, attempt->endpoint});
       } else if (std::holds_alternative<RejectRequest>(actions[k])) {
-        ++refused;
+        ++rejected;
       }
       actions.insert(actions.end(), more.begin(), more.end());
     }
   }
 
-  std::vector<std::unique_ptr<Harness>> all_;
-  std::map<std::uint64_t, Told> told_;
+  std::vector<std::unique_ptr<BalancerFixture>> all_;
+  std::map<std::uint64_t, ReportedLoad> reports_;
   std::map<EndpointId, int> sent_;
 };
 
-// Clients of a lost server come back to all replicas at once. Each sees the same reports; when each took the
-// least utilised server that one was asked for twice what it can do before it had told anything new.
-TEST(Fleet, EqualViewsDoNotLeadToEqualChoices) {
+// Clients of a lost endpoint reconnect to all replicas at once. All see the same reports; when each chose the
+// least utilized endpoint, that one was asked for twice its capacity before its next report.
+TEST(LargeFleet, EqualViewsDoNotLeadToEqualChoices) {
   std::vector<Endpoint> list;
-  std::map<std::uint64_t, Told> told;
+  std::map<std::uint64_t, ReportedLoad> reports;
   for (std::uint64_t id = 1; id <= 4; ++id) {
-    list.push_back(Ready(id));
-    told[id] = {0.25 + 0.05 * static_cast<double>(id), 20};
+    list.push_back(ReadyEndpoint(id));
+    reports[id] = {0.25 + 0.05 * static_cast<double>(id), 20};
   }
-  Fleet fleet(list, told);
-  fleet.RetryAfter(1);
+  Fleet fleet(list, reports);
+  fleet.ReconnectClients(1);
   int most = 0, all = 0;
   for (std::uint64_t id = 1; id <= 4; ++id) {
     most = std::max(most, fleet.SentTo(id));
@@ -96,102 +97,105 @@
   EXPECT_LE(most, all / 2);
 }
 
-// A hundred that each see room for a few more would fill a server many times over.
-TEST(Fleet, AFleetNearlyFullTakesNoHerd) {
+// A hundred replicas that each see capacity for a few more would fill an endpoint many times over.
+TEST(LargeFleet, NearlyFullFleetRejectsConcurrentPlacements) {
   std::vector<Endpoint> list;
-  std::map<std::uint64_t, Told> told;
+  std::map<std::uint64_t, ReportedLoad> reports;
   for (std::uint64_t id = 1; id <= 4; ++id) {
-    list.push_back(Ready(id));
-    told[id] = {0.75, 20};
+    list.push_back(ReadyEndpoint(id));
+    reports[id] = {0.75, 20};
   }
-  Fleet fleet(list, told);
-  fleet.RetryAfter(1);
-  EXPECT_GE(fleet.refused, 90);
+  Fleet fleet(list, reports);
+  fleet.ReconnectClients(1);
+  EXPECT_GE(fleet.rejected, 90);
 }
 
-// Each gateway has a hundredth of a cold server's budget. Looked at like any other server it was used by few:
-// new servers stayed empty through their warm-up while the old ones were full.
-TEST(Fleet, AColdServersBudgetIsUsedWhileTheOthersAreFull) {
+// Each replica has a hundredth of the slow start budget. Probed like any other endpoint, new endpoints were
+// used by few replicas and stayed empty through their slow start while the old ones were full.
+TEST(LargeFleet, SlowStartBudgetIsUsedWhileOtherEndpointsAreFull) {
   std::vector<Endpoint> list;
-  std::map<std::uint64_t, Told> told;
+  std::map<std::uint64_t, ReportedLoad> reports;
   for (std::uint64_t id = 1; id <= 12; ++id) {
-    list.push_back(Ready(id));
-    told[id] = {0.9, 27};
+    list.push_back(ReadyEndpoint(id));
+    reports[id] = {0.9, 27};
   }
-  told[13] = {0.1, 3};
-  Fleet fleet(list, told);
-  for (int k = 0; k < 4; ++k) {  // They learn what a full server carries.
-    fleet.RetryAfter(static_cast<std::uint64_t>(10 + k));
-    fleet.Pass(Ms(1500));
+  reports[13] = {0.1, 3};
+  Fleet fleet(list, reports);
+  for (int k = 0; k < 4; ++k) {  // The replicas learn the capacity of an endpoint.
+    fleet.ReconnectClients(static_cast<std::uint64_t>(10 + k));
+    fleet.AdvanceTime(Milliseconds(1500));
   }
-  Endpoint cold = Ready(13);
-  cold.started_at = Ms(16'000);
-  list.push_back(cold);
-  fleet.List(list);
+  Endpoint warming_up = ReadyEndpoint(13);
+  warming_up.started_at = Milliseconds(16'000);
+  list.push_back(warming_up);
+  fleet.UpdateEndpoints(list);
   for (int k = 0; k < 9; ++k) {
     const int before = fleet.SentTo(13);
-    fleet.RetryAfter(static_cast<std::uint64_t>(100 + k));
-    fleet.Pass(Ms(1000));
-    EXPECT_LE(fleet.SentTo(13) - before, 4 * (0.3 + 0.7 * k / 9) * 30);  // What would make it fall.
+    fleet.ReconnectClients(static_cast<std::uint64_t>(100 + k));
+    fleet.AdvanceTime(Milliseconds(1000));
+    EXPECT_LE(fleet.SentTo(13) - before, 4 * (0.3 + 0.7 * k / 9) * 30);  // More would overload it.
   }
   EXPECT_GE(fleet.SentTo(13), 40);
 }
 
-// What it told before its restart kept a cold server from being looked at first.
-TEST(Fleet, ARestartedServerIsOpenThoughItWasFull) {
+// The utilization from before its restart kept an endpoint in slow start from being probed first.
+TEST(LargeFleet, RestartedEndpointIsProbedFirstAlthoughItWasFull) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    Settings s = PlainSettings();
-    s.seed = seed;
-    Harness h(s);
+    Settings settings = DefaultSettings();
+    settings.seed = seed;
+    BalancerFixture fixture(settings);
     std::vector<Endpoint> list;
-    for (std::uint64_t id = 1; id <= 12; ++id) list.push_back(Ready(id));
-    h.List(list);
-    for (std::uint64_t id = 1; id <= 12; ++id) h.Report(id, 0.9, 27);
-    h.Pass(Ms(1000));
-    list[6].started_at = h.now;
-    h.List({list[6]}, EndpointUpdate::Kind::kChanges);
-    h.Pass(Ms(1000));
-    const auto actions = h.Request(1);
-    const auto first = std::find_if(actions.begin(), actions.end(),
-                                    [](const Action& a) { return std::holds_alternative<ProbeEndpoint>(a); });
+    for (std::uint64_t id = 1; id <= 12; ++id) list.push_back(ReadyEndpoint(id));
+    fixture.UpdateEndpoints(list);
+    for (std::uint64_t id = 1; id <= 12; ++id) fixture.ReportLoad(id, 0.9, 27);
+    fixture.AdvanceTime(Milliseconds(1000));
+    list[6].started_at = fixture.now;
+    fixture.UpdateEndpoints({list[6]}, EndpointUpdate::Kind::kChanges);
+    fixture.AdvanceTime(Milliseconds(1000));
+    const auto actions = fixture.SendRequest(1);
+    const auto first = std::find_if(actions.begin(), actions.end(), [](const Action& action) {
+      return std::holds_alternative<ProbeEndpoint>(action);
+    });
     ASSERT_NE(first, actions.end());
-    EXPECT_EQ(std::get<ProbeEndpoint>(*first).endpoint, Sv(7)) << "seed " << seed;
+    EXPECT_EQ(std::get<ProbeEndpoint>(*first).endpoint, EndpointId(7)) << "seed " << seed;
   }
 }
 
-// Looked at by each gateway that holds a client there, a server answered the same question a hundred times.
-TEST(Fleet, ProbesDoNotGrowWithTheGatewaysThatStartTogether) {
+// Probed by each replica that has a connection there, an endpoint answered the same question a hundred times.
+TEST(LargeFleet, ProbesDoNotGrowWithReplicasThatStartTogether) {
   int probes = 0;
-  for (std::size_t k = 0; k < kGateways; ++k) {
-    Settings s = PlainSettings();
-    s.replicas = kGateways;
-    s.seed = k;
-    Harness h(s);
-    h.List({Ready(1), Ready(2), Ready(3), Ready(4)});
-    for (std::uint64_t id = 1; id <= 4; ++id) h.Resume(id, id);
-    for (const Action& a : h.Pass(Ms(500))) probes += std::holds_alternative<ProbeEndpoint>(a) ? 1 : 0;
-    for (const Action& a : h.Request(9)) probes += std::holds_alternative<ProbeEndpoint>(a) ? 1 : 0;
+  for (std::size_t k = 0; k < kReplicas; ++k) {
+    Settings settings = DefaultSettings();
+    settings.replicas = kReplicas;
+    settings.seed = k;
+    BalancerFixture fixture(settings);
+    fixture.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2), ReadyEndpoint(3), ReadyEndpoint(4)});
+    for (std::uint64_t id = 1; id <= 4; ++id) fixture.ResumeConnection(id, id);
+    for (const Action& action : fixture.AdvanceTime(Milliseconds(500)))
+      probes += std::holds_alternative<ProbeEndpoint>(action) ? 1 : 0;
+    for (const Action& action : fixture.SendRequest(9))
+      probes += std::holds_alternative<ProbeEndpoint>(action) ? 1 : 0;
   }
-  EXPECT_LE(probes, 320);  // Three for each landing; each gateway looked at all four besides.
+  EXPECT_LE(probes, 320);  // Three for each placement; without the limit four samples more by each replica.
 }
 
-// Nothing but its own samples tells a gateway without arrivals what its client stands on. One look in five
-// seconds left clients for ten on servers that answered nobody in time.
-TEST(Fleet, AGatewayWithoutArrivalsLooksOftenerAtAFullServer) {
+// A replica without arrivals knows the state of its endpoints by samples only. One sample in five seconds
+// left clients for ten seconds on endpoints that answered nobody in time.
+TEST(LargeFleet, ReplicaWithoutArrivalsSamplesAFullEndpointMoreOften) {
   const auto probes_of = [](double load) {
-    Settings s = PlainSettings();
-    s.replicas = kGateways;
-    Harness h(s);
-    h.List({Ready(1), Ready(2)});
-    h.Resume(1, 1);
-    h.Report(2, load);
-    h.Report(1, load);  // As full as the other: no move is asked for.
+    Settings settings = DefaultSettings();
+    settings.replicas = kReplicas;
+    BalancerFixture fixture(settings);
+    fixture.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2)});
+    fixture.ResumeConnection(1, 1);
+    fixture.ReportLoad(2, load);
+    fixture.ReportLoad(1, load);  // As full as the other: nothing migrates.
     int probes = 0;
     for (int k = 0; k < 100; ++k) {
-      for (const Action& a : h.Pass(Ms(100))) {
-        if (!std::holds_alternative<ProbeEndpoint>(a)) continue;
+      for (const Action& action : fixture.AdvanceTime(Milliseconds(100))) {
+        if (!std::holds_alternative<ProbeEndpoint>(action)) continue;
         ++probes;
-        h.Report(1, load);
+        fixture.ReportLoad(1, load);
       }
     }
     return probes;
--- /dev/null
+++ b/tests/balancer/retry_policy_test.cpp
@@ -0,0 +1,165 @@
+// One final answer for each request, and no retry that might take effect twice.
+#include <gtest/gtest.h>
+
+#include <cstdint>
+#include <vector>
+
+#include "balancer/balancer_fixture.h"
+
+namespace balancer {
+namespace {
+
+std::size_t CountAnswers(const std::vector<Action>& actions) {
+  return ActionsOfType<RejectRequest>(actions).size() + ActionsOfType<FailRequest>(actions).size();
+}
+
+TEST(FinalAnswer, WithoutEndpointsComesAtTheDeadline) {
+  BalancerFixture fixture;
+  fixture.UpdateEndpoints({});
+  EXPECT_EQ(CountAnswers(fixture.SendRequest(1, Milliseconds(500))), 0U);
+  EXPECT_EQ(CountAnswers(fixture.AdvanceTime(Milliseconds(499))), 0U);
+  EXPECT_EQ(CountAnswers(fixture.AdvanceTime(Milliseconds(20))), 1U);
+  EXPECT_EQ(CountAnswers(fixture.AdvanceTime(Milliseconds(5000))), 0U);
+}
+
+TEST(FinalAnswer, WaitingRequestIsSentToAnEndpointThatAppears) {
+  BalancerFixture fixture(NoProbeSettings(Idempotency::kIdempotent));
+  fixture.UpdateEndpoints({});
+  fixture.SendRequest(1);
+  fixture.UpdateEndpoints({ReadyEndpoint(5)}, EndpointUpdate::Kind::kChanges);
+  EXPECT_EQ(ActionsOfType<SendAttempt>(fixture.AdvanceTime(Milliseconds(400))).size(), 1U);
+}
+
+TEST(FinalAnswer, AttemptInFlightAtTheDeadlineIsCancelledAndAnsweredOnce) {
+  BalancerFixture fixture(NoProbeSettings(Idempotency::kIdempotent));
+  fixture.UpdateEndpoints({ReadyEndpoint(5)});
+  ASSERT_EQ(ActionsOfType<SendAttempt>(fixture.SendRequest(1, Milliseconds(500))).size(), 1U);
+  const auto actions = fixture.AdvanceTime(Milliseconds(520));
+  EXPECT_EQ(CountAnswers(actions), 1U);
+  EXPECT_EQ(ActionsOfType<CancelAttempt>(actions).size(), 1U);
+  const auto late = fixture.EndAndAdvance(1, 5, Outcome::kTimedOut, Milliseconds(2000));
+  EXPECT_EQ(CountAnswers(late), 0U);
+  EXPECT_TRUE(ActionsOfType<SendAttempt>(late).empty());
+}
+
+TEST(FinalAnswer, ComesAtTheAttemptLimit) {
+  Settings settings = NoProbeSettings(Idempotency::kIdempotent);
+  settings.max_attempts = 2;
+  BalancerFixture fixture(settings);
+  fixture.UpdateEndpoints({ReadyEndpoint(5), ReadyEndpoint(6), ReadyEndpoint(7)});
+  const auto first = ActionsOfType<SendAttempt>(fixture.SendRequest(1));
+  ASSERT_EQ(first.size(), 1U);
+  const auto second = ActionsOfType<SendAttempt>(
+      fixture.Handle(AttemptEnded{RequestId(1), first[0].endpoint, Outcome::kRejected, false, {}}));
+  ASSERT_EQ(second.size(), 1U);
+  EXPECT_NE(second[0].endpoint, first[0].endpoint);  // Other endpoints first.
+  EXPECT_EQ(CountAnswers(fixture.Handle(
+                AttemptEnded{RequestId(1), second[0].endpoint, Outcome::kRejected, false, {}})),
+            1U);
+}
+
+TEST(FinalAnswer, NoneForAServedOrDisconnectedClient) {
+  BalancerFixture fixture(NoProbeSettings(Idempotency::kIdempotent));
+  fixture.UpdateEndpoints({ReadyEndpoint(5)});
+  fixture.SendRequest(1, Milliseconds(500));
+  fixture.EndAttempt(1, 5, Outcome::kServed, true);
+  fixture.SendRequest(2, Milliseconds(500));
+  fixture.Handle(ClientDisconnected{RequestId(2)});
+  EXPECT_EQ(CountAnswers(fixture.AdvanceTime(Milliseconds(1000))), 0U);
+}
+
+TEST(FinalAnswer, NoneForAnEstablishedConnection) {
+  BalancerFixture fixture(NoProbeSettings(Idempotency::kIdempotent));
+  fixture.UpdateEndpoints({ReadyEndpoint(5)});
+  fixture.SendRequest(1, Milliseconds(500));
+  fixture.Handle(AttemptEstablished{RequestId(1), EndpointId(5)});
+  EXPECT_EQ(CountAnswers(fixture.AdvanceTime(Milliseconds(3000))), 0U);
+}
+
+TEST(FinalAnswer, AttemptTimeoutLeavesTimeForARetry) {
+  BalancerFixture fixture(NoProbeSettings(Idempotency::kIdempotent));
+  fixture.UpdateEndpoints({ReadyEndpoint(5)});
+  const auto sent = ActionsOfType<SendAttempt>(fixture.SendRequest(1, Milliseconds(2000)));
+  ASSERT_EQ(sent.size(), 1U);
+  EXPECT_GE(sent[0].timeout, Milliseconds(300));
+  EXPECT_LE(sent[0].timeout, Milliseconds(1700));
+}
+
+TEST(Idempotency, NotIdempotentIsRetriedOnlyIfItNeverRan) {
+  for (const Outcome outcome : {Outcome::kRejected, Outcome::kNotConnected}) {
+    BalancerFixture fixture(NoProbeSettings(Idempotency::kNotIdempotent));
+    fixture.UpdateEndpoints({ReadyEndpoint(5), ReadyEndpoint(6)});
+    const auto first = ActionsOfType<SendAttempt>(fixture.SendRequest(1));
+    EXPECT_EQ(ActionsOfType<SendAttempt>(
+                  fixture.Handle(AttemptEnded{RequestId(1), first[0].endpoint, outcome, false, {}}))
+                  .size(),
+              1U);
+  }
+  for (const Outcome outcome : {Outcome::kError, Outcome::kTimedOut, Outcome::kConnectionLost,
+                                Outcome::kCancelled, Outcome::kUnknown}) {
+    BalancerFixture fixture(NoProbeSettings(Idempotency::kNotIdempotent));
+    fixture.UpdateEndpoints({ReadyEndpoint(5), ReadyEndpoint(6)});
+    const auto first = ActionsOfType<SendAttempt>(fixture.SendRequest(1));
+    const auto actions = fixture.Handle(AttemptEnded{RequestId(1), first[0].endpoint, outcome, false, {}});
+    EXPECT_TRUE(ActionsOfType<SendAttempt>(actions).empty());
+    EXPECT_TRUE(ActionsOfType<RejectRequest>(actions).empty());  // A rejection would call a retry harmless.
+    EXPECT_EQ(ActionsOfType<FailRequest>(actions).size(), 1U);
+  }
+}
+
+TEST(Idempotency, NotIdempotentInFlightAtTheDeadlineFailsAndUnsentIsRejected) {
+  BalancerFixture fixture(NoProbeSettings(Idempotency::kNotIdempotent));
+  fixture.UpdateEndpoints({});
+  fixture.SendRequest(1, Milliseconds(100));
+  EXPECT_EQ(ActionsOfType<RejectRequest>(fixture.AdvanceTime(Milliseconds(120))).size(), 1U);
+  fixture.UpdateEndpoints({ReadyEndpoint(5)}, EndpointUpdate::Kind::kFull);
+  fixture.SendRequest(2, Milliseconds(100));
+  EXPECT_EQ(ActionsOfType<FailRequest>(fixture.AdvanceTime(Milliseconds(120))).size(), 1U);
+}
+
+TEST(Idempotency, KeyedRetryStaysInItsDeduplicationScope) {
+  for (const DeduplicationScope group : {DeduplicationScope::kZone, DeduplicationScope::kCell}) {
+    BalancerFixture fixture(NoProbeSettings(Idempotency::kIdempotencyKey, group));
+    // Endpoints 5 and 6 share zone and cell, the others share neither with them.
+    fixture.UpdateEndpoints(
+        {ReadyEndpoint(5, 0, 1), ReadyEndpoint(6, 0, 1), ReadyEndpoint(7, 1, 2), ReadyEndpoint(8, 1, 2)});
+    const auto first = ActionsOfType<SendAttempt>(fixture.SendRequest(1));
+    const std::uint64_t at = static_cast<std::uint64_t>(first[0].endpoint);
+    const auto next =
+        ActionsOfType<SendAttempt>(fixture.EndAndAdvance(1, at, Outcome::kTimedOut, Milliseconds(600)));
+    ASSERT_EQ(next.size(), 1U);
+    EXPECT_EQ(at <= 6, static_cast<std::uint64_t>(next[0].endpoint) <= 6);
+  }
+}
+
+TEST(Idempotency, KeyedIsNotRetriedAfterItsDeduplicationWindow) {
+  BalancerFixture fixture(NoProbeSettings(Idempotency::kIdempotencyKey, DeduplicationScope::kCell));
+  fixture.UpdateEndpoints({ReadyEndpoint(5), ReadyEndpoint(6)});
+  const auto first = ActionsOfType<SendAttempt>(fixture.SendRequest(1, Milliseconds(3000)));
+  fixture.now += Milliseconds(801);  // Measured from the send, not from the outcome.
+  const auto actions =
+      fixture.Handle(AttemptEnded{RequestId(1), first[0].endpoint, Outcome::kTimedOut, false, {}});
+  EXPECT_TRUE(ActionsOfType<SendAttempt>(actions).empty());
+  EXPECT_EQ(ActionsOfType<FailRequest>(actions).size(), 1U);
+}
+
+TEST(Idempotency, KeyedThatMayHaveRunIsRejectedOnlyInAScopeOfAll) {
+  for (const DeduplicationScope group : {DeduplicationScope::kAll, DeduplicationScope::kCell}) {
+    BalancerFixture fixture(NoProbeSettings(Idempotency::kIdempotencyKey, group));
+    fixture.UpdateEndpoints({ReadyEndpoint(5)});
+    fixture.SendRequest(1, Milliseconds(400));
+    const auto actions = fixture.AdvanceTime(Milliseconds(420));
+    EXPECT_EQ(ActionsOfType<RejectRequest>(actions).size(), group == DeduplicationScope::kAll ? 1U : 0U);
+    EXPECT_EQ(CountAnswers(actions), 1U);
+  }
+}
+
+TEST(Idempotency, NeverTwoAttemptsInFlight) {
+  BalancerFixture fixture(NoProbeSettings(Idempotency::kIdempotent));
+  fixture.UpdateEndpoints({ReadyEndpoint(5), ReadyEndpoint(6)});
+  ASSERT_EQ(ActionsOfType<SendAttempt>(fixture.SendRequest(1)).size(), 1U);
+  EXPECT_TRUE(ActionsOfType<SendAttempt>(fixture.AdvanceTime(Milliseconds(1900))).empty());
+}
+
+}  // namespace
+}  // namespace balancer
--- a/tests/example/example.cpp
+++ b/tests/example/example.cpp
@@ -23,7 +23,7 @@
   RequestArrived request;
   request.id = RequestId(7);
   request.deadline = now + Micros(1'800'000);
-  balancer.Handle(now, request, actions);  // Asks both servers for their load.
+  balancer.Handle(now, request, actions);  // Probes both endpoints.
   balancer.Handle(now, ProbeCompleted{EndpointId(1), true, LoadReport{.load_ratio = 0.7}}, actions);
   balancer.Handle(now, ProbeCompleted{EndpointId(2), true, LoadReport{.load_ratio = 0.4}}, actions);
   for (const Action& action : actions) {
