--- a/src/balancer/admission.h
+++ b/src/balancer/admission.h
@@ -52,7 +52,7 @@
   double ConcurrentLoad(const RequestArrived& request, double own_placements) const {
     double size = 0;
     for (const EndpointRecord* endpoint : endpoints_.Ready()) size += endpoint->info.size;
-    const double load = kConcurrentShare * endpoints_.LoadPerConnection(LoadBound::kExpected);
+    const double load = kConcurrentShare * endpoints_.LoadPerConnection();
     const double placements = own_placements + (request.is_reconnect ? kReconnectPrior : 0);
     return load * placements * (context_.settings.replicas - 1) / std::max(1.0, size);
   }
--- a/src/balancer/endpoint_table.h
+++ b/src/balancer/endpoint_table.h
@@ -170,11 +170,11 @@
     const double unsampled = slow_start_.IsWarmingUp(endpoint.warm_up) ? 0.0 : MeanUtilization();
     double weight = endpoint.unreported_by_others;
     for (const UnreportedPlacement& placed : endpoint.unreported) weight += placed.weight;
-    const double load = LoadPerConnection(LoadBound::kExpected) / std::max(endpoint.info.size, 1e-9);
+    const double load = weight == 0 ? 0 : LoadPerConnection() / std::max(endpoint.info.size, 1e-9);
     return (endpoint.sampled ? endpoint.smoothed : unsampled) + weight * load;
   }
   // Utilization of size 1 by a mean connection. Reported loads lack the cost of sharing a group's work.
-  double LoadPerConnection(LoadBound bound) const {
+  double LoadPerConnection(LoadBound bound = LoadBound::kExpected) const {
     double load = 0, sampled_size = 0, size = 0, counted_load = 0, count = 0, own = 0;
     for (const EndpointRecord* endpoint : ready_.Items()) {
       const std::size_t unreported = endpoint->sampled ? endpoint->unreported.size() : 0;
--- a/tests/balancer/admission_test.cpp
+++ b/tests/balancer/admission_test.cpp
@@ -15,8 +15,9 @@
   fixture.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2)});
   const auto probes = ActionsOfType<ProbeEndpoint>(fixture.SendRequest(1));
   std::vector<Action> actions;
-  for (const ProbeEndpoint& probe : probes)
+  for (const ProbeEndpoint& probe : probes) {
     actions = fixture.ReportLoad(static_cast<std::uint64_t>(probe.endpoint), 1.3);
+  }
   EXPECT_EQ(ActionsOfType<RejectRequest>(actions).size(), 1U);
   EXPECT_TRUE(ActionsOfType<SendAttempt>(actions).empty());
   // The next one is rejected on the same knowledge, without probes.
@@ -63,8 +64,9 @@
       for (std::uint64_t k = 1; k <= 10; ++k) fixture.ReportLoad(k, 0.7);
       const auto actions = fixture.RequestAndAdvance(id, Milliseconds(40));
       rejected += ActionsOfType<RejectRequest>(actions).size();
-      for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(actions))
+      for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(actions)) {
         fixture.Handle(AttemptEstablished{attempt.id, attempt.endpoint});
+      }
       if (!rush) fixture.AdvanceTime(Milliseconds(3000));
     }
     EXPECT_EQ(rejected > 0, rush);
@@ -133,8 +135,9 @@
   fixture.UpdateEndpoints(list);
   std::vector<SendAttempt> out;
   for (std::uint64_t id = 1; id <= 200; ++id) {
-    for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(fixture.SendRequest(id)))
+    for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(fixture.SendRequest(id))) {
       out.push_back(attempt);
+    }
   }
   ASSERT_EQ(out.size(), 8U);
   // All in time: the window grows by one for each, and those that wait follow.
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -36,8 +36,9 @@
     for (std::uint64_t id = 1; id <= 100; ++id) {
       for (const Action& action : fixture.RequestAndAdvance(id, Milliseconds(30))) {
         trace.push_back(action.index());
-        if (const auto* found_action = std::get_if<SendAttempt>(&action))
+        if (const auto* found_action = std::get_if<SendAttempt>(&action)) {
           trace.push_back(static_cast<std::uint64_t>(found_action->endpoint));
+        }
         if (const auto* probe = std::get_if<ProbeEndpoint>(&action)) {
           trace.push_back(static_cast<std::uint64_t>(probe->endpoint));
           fixture.ReportLoad(static_cast<std::uint64_t>(probe->endpoint), 0.1 * static_cast<double>(id % 10));
--- a/tests/balancer/endpoint_table_test.cpp
+++ b/tests/balancer/endpoint_table_test.cpp
@@ -16,13 +16,15 @@
   gone.state = EndpointState::kGone;
   fixture.UpdateEndpoints({draining, gone}, EndpointUpdate::Kind::kChanges);
   for (std::uint64_t id = 1; id <= 50; ++id) {
-    for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(fixture.SendRequest(id)))
+    for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(fixture.SendRequest(id))) {
       EXPECT_TRUE(attempt.endpoint == EndpointId(7) || attempt.endpoint == EndpointId(8));
+    }
   }
   fixture.UpdateEndpoints({ReadyEndpoint(8)}, EndpointUpdate::Kind::kFull);  // 7 is absent from a full list.
   for (std::uint64_t id = 51; id <= 100; ++id) {
-    for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(fixture.SendRequest(id)))
+    for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(fixture.SendRequest(id))) {
       EXPECT_EQ(attempt.endpoint, EndpointId(8));
+    }
   }
 }
 
--- a/tests/balancer/fleet_hint_test.cpp
+++ b/tests/balancer/fleet_hint_test.cpp
@@ -39,8 +39,9 @@
   warming_up.started_at = fixture.now - Milliseconds(10);
   fixture.UpdateEndpoints({warming_up, NamedEndpoint(2, 12)});
   fixture.Handle(FleetHint{EndpointId(1), 0, 0, false});
-  for (std::uint64_t k = 1; k <= 3; ++k)
+  for (std::uint64_t k = 1; k <= 3; ++k) {
     EXPECT_EQ(PlaceRequest(fixture, k, 0, {0.0, 0.5}), EndpointId(2)) << k;
+  }
   fixture.Handle(FleetHint{EndpointId(1), 0, 2, false});
   EXPECT_EQ(PlaceRequest(fixture, 10, 0, {0.0, 0.5}), EndpointId(1));
   EXPECT_EQ(PlaceRequest(fixture, 11, 0, {0.0, 0.5}), EndpointId(1));
--- a/tests/balancer/large_fleet_test.cpp
+++ b/tests/balancer/large_fleet_test.cpp
@@ -121,19 +121,20 @@
   }
   reports[13] = {0.1, 3};
   Fleet fleet(list, reports);
-  for (int k = 0; k < 4; ++k) {  // The replicas learn the capacity of an endpoint.
-    fleet.ReconnectClients(static_cast<std::uint64_t>(10 + k));
+  for (std::uint64_t k = 0; k < 4; ++k) {  // The replicas learn the capacity of an endpoint.
+    fleet.ReconnectClients(10 + k);
     fleet.AdvanceTime(Milliseconds(1500));
   }
   Endpoint warming_up = ReadyEndpoint(13);
   warming_up.started_at = Milliseconds(16'000);
   list.push_back(warming_up);
   fleet.UpdateEndpoints(list);
-  for (int k = 0; k < 9; ++k) {
+  for (std::uint64_t second = 0; second < 9; ++second) {
     const int before = fleet.SentTo(13);
-    fleet.ReconnectClients(static_cast<std::uint64_t>(100 + k));
+    fleet.ReconnectClients(100 + second);
     fleet.AdvanceTime(Milliseconds(1000));
-    EXPECT_LE(fleet.SentTo(13) - before, 4 * (0.3 + 0.7 * k / 9) * 30);  // More would overload it.
+    const double ramp = 0.3 + 0.7 * static_cast<double>(second) / 9;
+    EXPECT_LE(fleet.SentTo(13) - before, 4 * ramp * 30);  // More would overload it.
   }
   EXPECT_GE(fleet.SentTo(13), 40);
 }
@@ -163,7 +164,7 @@
 
 // Probed by each replica that has a connection there, an endpoint answered the same question a hundred times.
 TEST(LargeFleet, ProbesDoNotGrowWithReplicasThatStartTogether) {
-  int probes = 0;
+  std::size_t probes = 0;
   for (std::size_t k = 0; k < kReplicas; ++k) {
     Settings settings = DefaultSettings();
     settings.replicas = kReplicas;
@@ -171,12 +172,10 @@
     BalancerFixture fixture(settings);
     fixture.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2), ReadyEndpoint(3), ReadyEndpoint(4)});
     for (std::uint64_t id = 1; id <= 4; ++id) fixture.ResumeConnection(id, id);
-    for (const Action& action : fixture.AdvanceTime(Milliseconds(500)))
-      probes += std::holds_alternative<ProbeEndpoint>(action) ? 1 : 0;
-    for (const Action& action : fixture.SendRequest(9))
-      probes += std::holds_alternative<ProbeEndpoint>(action) ? 1 : 0;
+    probes += ActionsOfType<ProbeEndpoint>(fixture.AdvanceTime(Milliseconds(500))).size();
+    probes += ActionsOfType<ProbeEndpoint>(fixture.SendRequest(9)).size();
   }
-  EXPECT_LE(probes, 320);  // Three for each placement; without the limit four samples more by each replica.
+  EXPECT_LE(probes, 320U);  // Three for each placement; without the limit four samples more by each replica.
 }
 
 // A replica without arrivals knows the state of its endpoints by samples only. One sample in five seconds
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -18,8 +18,9 @@
   const auto first = ActionsOfType<SendAttempt>(fixture.SendRequest(1));
   fixture.Handle(AttemptEnded{RequestId(1), first[0].endpoint, Outcome::kNotConnected, false, {}});
   for (std::uint64_t id = 2; id <= 20; ++id) {
-    for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(fixture.SendRequest(id)))
+    for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(fixture.SendRequest(id))) {
       EXPECT_NE(attempt.endpoint, first[0].endpoint);
+    }
   }
 }
 
--- a/tests/balancer/placement_test.cpp
+++ b/tests/balancer/placement_test.cpp
@@ -126,8 +126,9 @@
       BalancerFixture fixture(NoLoadDataSettings(replica));
       fixture.UpdateEndpoints(
           {NamedEndpoint(1, 11), NamedEndpoint(2, 12), NamedEndpoint(3, 13), NamedEndpoint(4, 14)});
-      for (std::uint64_t k = 1; k <= 3; ++k)
+      for (std::uint64_t k = 1; k <= 3; ++k) {
         homes.insert(static_cast<std::uint64_t>(PlaceRequest(fixture, k, group, {})));
+      }
     }
     EXPECT_EQ(homes.size(), 1U) << group;
   }
@@ -144,8 +145,9 @@
   EXPECT_TRUE(ActionsOfType<MigrateConnection>(fixture.AdvanceTime(Milliseconds(5000))).empty());
   fixture.Handle(MessageLatencyReported{home, Milliseconds(500)});
   EXPECT_NE(PlaceRequest(fixture, 7, 77, {}), home);
-  for (std::uint64_t k = 1; k <= 6; ++k)
+  for (std::uint64_t k = 1; k <= 6; ++k) {
     fixture.Handle(AttemptEnded{RequestId(k), home, Outcome::kServed, true, {}});
+  }
   fixture.Handle(AttemptEnded{RequestId(7), EndpointId(1), Outcome::kServed, true, {}});
   fixture.AdvanceTime(Milliseconds(8000));
   EXPECT_EQ(PlaceRequest(fixture, 8, 77, {}), home);
--- a/tests/balancer/probing_test.cpp
+++ b/tests/balancer/probing_test.cpp
@@ -40,8 +40,9 @@
   std::size_t late = 0;
   for (int tick = 0; tick < 12; ++tick) {  // Three seconds, all reports empty.
     const auto probes = ActionsOfType<ProbeEndpoint>(fixture.AdvanceTime(Milliseconds(250)));
-    for (const ProbeEndpoint& probe : probes)
+    for (const ProbeEndpoint& probe : probes) {
       fixture.Handle(ProbeCompleted{probe.endpoint, true, std::nullopt});
+    }
     if (tick >= 6) late += probes.size();
   }
   EXPECT_GE(late, 6U);   // All three are still probed, ...
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -124,7 +124,7 @@
     fixture.UpdateEndpoints(
         {ReadyEndpoint(5, 0, 1), ReadyEndpoint(6, 0, 1), ReadyEndpoint(7, 1, 2), ReadyEndpoint(8, 1, 2)});
     const auto first = ActionsOfType<SendAttempt>(fixture.SendRequest(1));
-    const std::uint64_t at = static_cast<std::uint64_t>(first[0].endpoint);
+    const auto at = static_cast<std::uint64_t>(first[0].endpoint);
     const auto next =
         ActionsOfType<SendAttempt>(fixture.EndAndAdvance(1, at, Outcome::kTimedOut, Milliseconds(600)));
     ASSERT_EQ(next.size(), 1U);
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -123,8 +123,9 @@
     warming_up.started_at = fixture.now;
     fixture.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2), warming_up});
     for (std::uint64_t id = 1; id <= 30; ++id) {
-      for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(fixture.SendRequest(id)))
+      for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(fixture.SendRequest(id))) {
         sent += attempt.endpoint == EndpointId(9) ? 1 : 0;
+      }
       fixture.AdvanceTime(Milliseconds(20));
     }
   }
@@ -144,8 +145,9 @@
       replicas_.emplace_back(std::make_unique<BalancerFixture>(settings));
       replicas_.back()->UpdateEndpoints(endpoints);
       replicas_.back()->ResumeConnection(1, 1 + k % 8);
-      for (std::uint64_t endpoint = 1; reports && endpoint <= 8; ++endpoint)
+      for (std::uint64_t endpoint = 1; reports && endpoint <= 8; ++endpoint) {
         replicas_.back()->ReportLoad(endpoint, 0.5);
+      }
       replicas_.back()->AdvanceTime(Milliseconds(2000));
     }
     endpoints.push_back(NamedEndpoint(9, 19));
@@ -165,8 +167,9 @@
     for (std::size_t k = 0; k < replicas_.size(); ++k) {
       replicas_[k]->AdvanceTime(pause);
       if (reports_) replicas_[k]->ReportLoad(1 + k % 8, 0.5);
-      if ((k + round_) % n == 0)
+      if ((k + round_) % n == 0) {
         sent += PlaceRequest(*replicas_[k], 1 + round_, group_, loads_) == EndpointId(9) ? 1 : 0;
+      }
     }
     return sent;
   }
@@ -214,8 +217,9 @@
   fixture.ReportLoad(1, 0.7);  // Of which ten of forty connections are a fiftieth each.
   fixture.AdvanceTime(Milliseconds(1000));
   std::size_t sent = 0;
-  for (std::uint64_t k = 100; k < 125; ++k)
+  for (std::uint64_t k = 100; k < 125; ++k) {
     sent += PlaceRequest(fixture, k, 0, {0.7, 0.05}) == EndpointId(2) ? 1 : 0;
+  }
   EXPECT_GE(sent, 3U);
   EXPECT_LE(sent, 16U);
 }
