--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -126,8 +126,8 @@
   // grow with the endpoints; it begins with a probe for each of these, by two replicas at most.
   void SampleEndpoints() {
     if (!CanProbe() && HasReports()) return;
-    const std::size_t held = std::min(endpoints_.EstablishedCount(), endpoints_.All().size());
-    const double first = std::min(1.0, 2.0 / context_.settings.replicas) * static_cast<double>(held);
+    const std::size_t targets = std::min(endpoints_.EstablishedCount(), endpoints_.All().size());
+    const double first = std::min(1.0, 2.0 / context_.settings.replicas) * static_cast<double>(targets);
     if (sample_budget_ < 0) sample_budget_ = first;
     const double earned = std::max(kMinSampleRate, SampleRate()) * ToSeconds(kTickInterval);
     sample_budget_ = std::min(sample_budget_ + earned, std::max(2.0, sample_budget_));
--- a/src/balancer/endpoint_table.h
+++ b/src/balancer/endpoint_table.h
@@ -136,7 +136,7 @@
     const bool is_new = !endpoint.sampled || sample != endpoint.latest;
     Micros reported = is_new ? endpoint.sampled_at - kReportDelay : Micros(0);
     if (sample.connections < 0 && loads_ <= 0) reported = context_.now;
-    ForgetPlacements(endpoint, std::max(reported, context_.now - kReportAge));
+    ErasePlacements(endpoint, std::max(reported, context_.now - kReportAge));
     ResetUtilization(endpoint);
     endpoint.latest = sample;
     endpoint.smoothed = kLatestWeight * sample.value + (1 - kLatestWeight) * previous;
@@ -152,7 +152,7 @@
     --sampled_;
   }
   void RecordPlacement(EndpointRecord& endpoint, RequestId id) {  // Counts until a report includes it.
-    ForgetPlacements(endpoint, context_.now - kReportAge - Micros(1));
+    ErasePlacements(endpoint, context_.now - kReportAge - Micros(1));
     endpoint.unreported.push_back({context_.now, id});
   }
   void RecordLoad(Request& request, double load) {  // Reported of a connection.
@@ -203,7 +203,7 @@
     if (state == EndpointState::kReady) ready_.Insert(endpoint);
     if (state != EndpointState::kReady && ready_.Erase(endpoint)) ResetUtilization(endpoint);
   }
-  static void ForgetPlacements(EndpointRecord& endpoint, Micros until) {
+  static void ErasePlacements(EndpointRecord& endpoint, Micros until) {
     std::erase_if(endpoint.unreported, [&](const auto& placed) { return placed.at <= until; });
   }
 
--- a/tests/balancer/admission_test.cpp
+++ b/tests/balancer/admission_test.cpp
@@ -75,7 +75,7 @@
 
 // A draining gateway migrates its clients all at once. Samples still count them at their endpoints: counting
 // them again, with concurrent placements besides, rejected most of them despite free capacity.
-TEST(Admission, ReconnectingClientsFindTheCapacityTheyLeft) {
+TEST(Admission, ReconnectingClientsFindFreeCapacity) {
   for (const bool back : {false, true}) {
     Settings settings = DefaultSettings();
     settings.replicas = 10;
--- a/tests/balancer/endpoint_table_test.cpp
+++ b/tests/balancer/endpoint_table_test.cpp
@@ -11,10 +11,10 @@
 TEST(EndpointTable, DrainingRemovedAndAbsentEndpointsGetNoAttempts) {
   BalancerFixture fixture(NoProbeSettings(Idempotency::kIdempotent));
   fixture.UpdateEndpoints({ReadyEndpoint(5), ReadyEndpoint(6), ReadyEndpoint(7), ReadyEndpoint(8)});
-  Endpoint draining = ReadyEndpoint(5), gone = ReadyEndpoint(6);
+  Endpoint draining = ReadyEndpoint(5), removed = ReadyEndpoint(6);
   draining.state = EndpointState::kDraining;
-  gone.state = EndpointState::kGone;
-  fixture.UpdateEndpoints({draining, gone}, EndpointUpdate::Kind::kChanges);
+  removed.state = EndpointState::kGone;
+  fixture.UpdateEndpoints({draining, removed}, EndpointUpdate::Kind::kChanges);
   for (std::uint64_t id = 1; id <= 50; ++id) {
     for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(fixture.SendRequest(id))) {
       EXPECT_TRUE(attempt.endpoint == EndpointId(7) || attempt.endpoint == EndpointId(8));
--- a/tests/balancer/placement_test.cpp
+++ b/tests/balancer/placement_test.cpp
@@ -85,11 +85,11 @@
     BalancerFixture fixture;
     fixture.UpdateEndpoints(
         {NamedEndpoint(1, 11), NamedEndpoint(2, 12), NamedEndpoint(3, 13), NamedEndpoint(4, 14)});
-    ConnectionResumed standing;
-    standing.request.id = RequestId(1);
-    standing.request.affinity_group = 77;
-    standing.endpoint = EndpointId(3);
-    fixture.Handle(standing);
+    ConnectionResumed resumed;
+    resumed.request.id = RequestId(1);
+    resumed.request.affinity_group = 77;
+    resumed.endpoint = EndpointId(3);
+    fixture.Handle(resumed);
     const EndpointId target = PlaceRequest(fixture, 2, 77, {0.3, 0.3, member_load, 0.3});
     EXPECT_EQ(target == EndpointId(3), member_load < 0.6) << member_load;
   }
@@ -175,11 +175,11 @@
     BalancerFixture fixture(settings);
     fixture.UpdateEndpoints(
         {NamedEndpoint(1, 11), NamedEndpoint(2, 12), NamedEndpoint(3, 13), NamedEndpoint(4, 14)});
-    ConnectionResumed standing;
-    standing.request.id = RequestId(1);
-    standing.request.affinity_group = 77;
-    standing.endpoint = EndpointId(3);
-    fixture.Handle(standing);
+    ConnectionResumed resumed;
+    resumed.request.id = RequestId(1);
+    resumed.request.affinity_group = 77;
+    resumed.endpoint = EndpointId(3);
+    fixture.Handle(resumed);
     fixture.Handle(LoadReported{RequestId(1), 10'000.0});
     EXPECT_EQ(PlaceRequest(fixture, 2, 77, {0.3, 0.3, 0.55, 0.3}) == EndpointId(3), replicas == 4)
         << replicas;
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -71,9 +71,9 @@
 TEST(SlowStart, RestartBeginsSlowStart) {
   SlowStartFleet fleet;
   fleet.Run(40, Milliseconds(10000), 3);
-  Endpoint again = ReadyEndpoint(3);
-  again.started_at = fleet.fixture.now;
-  fleet.fixture.UpdateEndpoints({again}, EndpointUpdate::Kind::kChanges);
+  Endpoint restarted = ReadyEndpoint(3);
+  restarted.started_at = fleet.fixture.now;
+  fleet.fixture.UpdateEndpoints({restarted}, EndpointUpdate::Kind::kChanges);
   // 20 connections on each: 33 fill one, and a third of four times that would overload it.
   EXPECT_LE(fleet.Run(200, Milliseconds(1000), 3).size(), 20U);
 }
@@ -161,7 +161,7 @@
     }
   }
   // After `pause` every `n`-th replica gets a request of the group. Returns how many go to the new endpoint.
-  std::size_t Ask(Micros pause, std::size_t n) {
+  std::size_t SendGroupRequests(Micros pause, std::size_t n) {
     std::size_t sent = 0;
     ++round_;
     for (std::size_t k = 0; k < replicas_.size(); ++k) {
@@ -186,7 +186,7 @@
 TEST(SlowStartInLargeFleet, WithoutLoadDataCapacityIsLearnedFromOtherEndpoints) {
   LargeFleet fleet(false);
   std::size_t sent = 0;
-  for (int k = 0; k < 30; ++k) sent += fleet.Ask(Milliseconds(160), 10);
+  for (int k = 0; k < 30; ++k) sent += fleet.SendGroupRequests(Milliseconds(160), 10);
   EXPECT_GE(sent, 16U);  // Half of its capacity, as each of the others carries 37.
 }
 
@@ -195,7 +195,7 @@
   for (const bool reports : {false, true}) {
     LargeFleet fleet(reports);
     const double carried = 300.0 / 8, present = 0.3 + 0.7 * 5 / 9, allowed = 4 * present * carried;
-    const auto sent = static_cast<double>(fleet.Ask(Milliseconds(5000), 1));
+    const auto sent = static_cast<double>(fleet.SendGroupRequests(Milliseconds(5000), 1));
     EXPECT_LE(sent, allowed + 3 * std::sqrt(allowed) + 3) << reports;
     EXPECT_GE(sent, 1) << reports;
   }
