--- a/bench/ledger_bench.cpp
+++ b/bench/ledger_bench.cpp
@@ -33,7 +33,7 @@
   const AccountsSetup setup = MakeAccountsSetup(groups);
   Accounts accounts(setup, Micros(0), std::chrono::seconds(kHour));
   std::int64_t now = 0;
-  for (auto _ : state) {
+  for ([[maybe_unused]] const auto iteration : state) {
     const auto& group = setup.groups[static_cast<std::size_t>(now) % setup.groups.size()];
     UsageHandle handle = accounts.Begin(Micros(++now), group.name, 1);
     accounts.End(Micros(++now), handle);
@@ -47,11 +47,13 @@
   Accounts accounts(setup, Micros(0), std::chrono::seconds(kHour));
   std::int64_t now = 0;
   for (const auto& group : setup.groups) {
-    for (std::size_t class_index = 0; class_index < 3; ++class_index)
+    for (std::size_t class_index = 0; class_index < 3; ++class_index) {
       accounts.Begin(Micros(++now), group.name, class_index);
+    }
   }
-  for (auto _ : state)
+  for ([[maybe_unused]] const auto iteration : state) {
     benchmark::DoNotOptimize(accounts.TakePostings(Micros(now += 1000), Accounts::CurrentPeriod::kContinues));
+  }
 }
 BENCHMARK(Checkpoint)->Name("BM_Checkpoint")->Arg(4)->Arg(100);
 
@@ -80,7 +82,7 @@
   posting.connection_time_us = std::int64_t{900'000'000} * groups;
   for (int k = 0; k < periods; ++k) {
     posting.number = static_cast<std::uint64_t>(k) + 1;
-    posting.period_start_s = kHour + 3600 * k;
+    posting.period_start_s = kHour + std::int64_t{3600} * k;
     posting.wall_us = posting.period_start_s * 1'000'000;
     posting.period_ended = true;
     store.Apply(posting, {});
@@ -96,7 +98,7 @@
     FillLedger(store, static_cast<int>(state.range(0)), static_cast<int>(state.range(1)));
   }
   std::int64_t wall = kHour * 1'000'000;
-  for (auto _ : state) {
+  for ([[maybe_unused]] const auto iteration : state) {
     Store store(setup);
     store.BeginRun(++wall, kHour);
     benchmark::DoNotOptimize(store.State());
@@ -113,7 +115,7 @@
 
 // The file after a million connections in 24 periods and 20 groups, posted every 5 s.
 void MillionConnections(benchmark::State& state) {
-  for (auto _ : state) {
+  for ([[maybe_unused]] const auto iteration : state) {
     const Folder folder;
     Store store({folder.path, "n0", "b", nullptr, true, 5000});
     const AccountsSetup setup = MakeAccountsSetup(20);
@@ -176,7 +178,7 @@
   std::uint64_t seq = 0;
   wire::Record record = MakeUseRecord(relay);
   for (int period = 0; period < periods; ++period) {
-    record.mutable_use()->set_period_start_s(kHour + 3600 * period);
+    record.mutable_use()->set_period_start_s(kHour + std::int64_t{3600} * period);
     for (int group = 0; group < groups; ++group) {
       record.mutable_use()->set_group(fmt::format("group-{:03}", group));
       FillIn(record, ++seq);
--- a/src/base/usage_meter.h
+++ b/src/base/usage_meter.h
@@ -21,8 +21,8 @@
 class UsageMeter {
  public:
   virtual ~UsageMeter() = default;
-  // A connection is established: its client is being sent UP. `group` may be empty; `class_index` is the index
-  // of its class in the settings.
+  // A connection is established: its client is being sent UP. `group` may be empty; `class_index` is the
+  // index of its class in the settings.
   virtual UsageHandle Begin(std::string_view group, std::size_t class_index) = 0;
   // The connection has ended. A handle that is not open is ignored; an open one is marked as ended.
   virtual void End(UsageHandle& handle) = 0;
--- a/src/cli/ledger.cpp
+++ b/src/cli/ledger.cpp
@@ -175,8 +175,8 @@
   const ledger::ReconcileReport r = ledger::ReconcileFiles(o.paths, threads);
   Table totals({"period", "group", "use_s", "within_s", "beyond_s", "corrected_s", "relay_records"}, 2);
   for (const auto& [key, t] : r.totals) {
-    totals.Add({When(key.period_start_s), key.group, Seconds(t.use_us), Seconds(t.within_us), Seconds(t.beyond_us),
-                std::to_string(t.corrected_s), std::to_string(t.records)});
+    totals.Add({When(key.period_start_s), key.group, Seconds(t.use_us), Seconds(t.within_us),
+                Seconds(t.beyond_us), std::to_string(t.corrected_s), std::to_string(t.records)});
   }
   Table corrections({"relay", "record", "corrects", "period", "group", "seconds", "by", "reason"}, 3);
   for (const auto& c : r.corrections) {
--- a/src/ledger/reconcile.cpp
+++ b/src/ledger/reconcile.cpp
@@ -133,8 +133,9 @@
   simdjson::dom::parser parser;
   const simdjson::padded_string text(first_line);
   element root;
-  if (parser.parse(text).get(root) != simdjson::SUCCESS)
+  if (parser.parse(text).get(root) != simdjson::SUCCESS) {
     throw ExportError(ExportErrorCode::kNotAnExport, kNoRecord);
+  }
   const auto head = [](const object& json, std::string_view number_key) -> FileHead {
     return {std::string(TextField(json, "relay")), std::string(TextField(json, "book")),
             UnsignedField(json, number_key)};
