--- a/tests/balancer/golden_actions_test.cpp
+++ b/tests/balancer/golden_actions_test.cpp
@@ -125,7 +125,7 @@
   std::vector<Endpoint> Entries() {
     std::vector<Endpoint> entries;
     for (std::uint64_t id = 1; id <= kServers; ++id) {
-      Endpoint entry = Ready(id, static_cast<std::uint32_t>(id % 2), id % 3);
+      Endpoint entry = ReadyEndpoint(id, static_cast<std::uint32_t>(id % 2), id % 3);
       entry.size = 1.0 + static_cast<double>(id % 4);
       entry.name_hash = 100 + id;
       entry.started_at = started_[id];
@@ -140,16 +140,16 @@
     for (std::uint64_t k = 0; k < 30; ++k) {
       ConnectionResumed event;
       event.request = NewRequest();
-      event.endpoint = Sv(1 + k % 4);
+      event.endpoint = EndpointId(1 + k % 4);
       attempts_[static_cast<std::uint64_t>(event.request.id)] = {1 + k % 4, true};
       Give("resumed", event);
     }
   }
   RequestArrived NewRequest() {
     RequestArrived request;
-    request.id = Rq(++last_request_);
+    request.id = RequestId(++last_request_);
     request.class_id = ClassId(static_cast<std::uint32_t>(generator_.Below(classes_)));
-    request.deadline = now_ + Ms(static_cast<std::int64_t>(100 + generator_.Below(1500)));
+    request.deadline = now_ + Milliseconds(static_cast<std::int64_t>(100 + generator_.Below(1500)));
     if (generator_.OneIn(2)) request.load_hint = 4000 * generator_.Part();
     request.is_reconnect = generator_.OneIn(4);
     request.affinity_group = generator_.OneIn(2) ? 0 : 1 + generator_.Below(5);
@@ -181,8 +181,8 @@
         return TellLoad();
       case 2:
         return Give("delay",
-                    MessageLatencyReported{Sv(AnyServer()),
-                                           Ms(static_cast<std::int64_t>(generator_.Below(hot_ ? 250 : 60)))});
+                    MessageLatencyReported{EndpointId(AnyServer()),
+                                           Milliseconds(static_cast<std::int64_t>(generator_.Below(hot_ ? 250 : 60)))});
       case 3:
         return GiveFleetHint();
       case 4:
@@ -202,7 +202,7 @@
     probes_.erase(probes_.begin());
     const bool ok = !generator_.OneIn(10);
     Give(Named(ok ? "probe answered " : "probe failed ", server),
-         ProbeCompleted{Sv(server), ok, ok ? NewReport() : std::nullopt});
+         ProbeCompleted{EndpointId(server), ok, ok ? NewReport() : std::nullopt});
   }
   void ChangeList() {
     if (subscribed_ && !watching_) return;
@@ -222,11 +222,11 @@
   void TellLoad() {  // Of an open connection, as the interface has it.
     if (attempts_.empty()) return;
     const auto [id, attempt] = AnyAttempt();
-    if (attempt.established) Give(Named("load ", id), LoadReported{Rq(id), 6000 * generator_.Part()});
+    if (attempt.established) Give(Named("load ", id), LoadReported{RequestId(id), 6000 * generator_.Part()});
   }
   void GiveFleetHint() {
     FleetHint hint;
-    hint.endpoint = Sv(AnyServer());
+    hint.endpoint = EndpointId(AnyServer());
     hint.unreported_in_flight = 4 * generator_.Part();
     hint.slow_start_tokens = generator_.OneIn(2) ? -1 : 3 * generator_.Part();
     hint.eject = generator_.OneIn(4);
@@ -234,18 +234,18 @@
   }
   void Leave() {
     const std::uint64_t id = AnyRequest();
-    Give(Named("client left ", id), ClientDisconnected{Rq(id)});
+    Give(Named("client left ", id), ClientDisconnected{RequestId(id)});
   }
   void ProgressAttempt() {
     if (attempts_.empty()) return;
     const auto [id, attempt] = AnyAttempt();
     if (!attempt.established && !generator_.OneIn(hot_ ? 2 : 4)) {
       attempts_[id].established = true;
-      return Give(Named("established ", id), AttemptEstablished{Rq(id), Sv(attempt.endpoint)});
+      return Give(Named("established ", id), AttemptEstablished{RequestId(id), EndpointId(attempt.endpoint)});
     }
     if (attempt.established && generator_.OneIn(2)) return;  // Connections last.
     attempts_.erase(id);
-    AttemptEnded event{Rq(id), Sv(attempt.endpoint), Outcome::kServed, false, NewReport()};
+    AttemptEnded event{RequestId(id), EndpointId(attempt.endpoint), Outcome::kServed, false, NewReport()};
     if (!attempt.established || generator_.OneIn(3)) {
       event.outcome = static_cast<Outcome>(1 + generator_.Below(8));
     }
@@ -272,22 +272,22 @@
 
 // Every setting other than as it stands by itself.
 Settings AllSettings() {
-  Settings s = PlainSettings();
+  Settings s = DefaultSettings();
   s.replicas = 3;
   s.zone = ZoneId(1);
   s.list_mode = ListMode::kSubscribed;
-  s.max_retry_after = Ms(2000);
+  s.max_retry_after = Milliseconds(2000);
   s.zone_crossing_cost = 0.02;
   ClassSettings keyed;
-  keyed.setup_latency_objective = Ms(500);
+  keyed.setup_latency_objective = Milliseconds(500);
   keyed.idempotency = Idempotency::kIdempotencyKey;
   keyed.deduplication_scope = DeduplicationScope::kCell;
-  keyed.deduplication_window = Ms(700);
-  keyed.message_latency_objective = Ms(80);
+  keyed.deduplication_window = Milliseconds(700);
+  keyed.message_latency_objective = Milliseconds(80);
   ClassSettings zoned = keyed;
   zoned.deduplication_scope = DeduplicationScope::kZone;
   ClassSettings unsafe;
-  unsafe.setup_latency_objective = Ms(400);
+  unsafe.setup_latency_objective = Milliseconds(400);
   s.classes.insert(s.classes.end(), {keyed, zoned, unsafe});
   return s;
 }
@@ -315,7 +315,7 @@
 }
 
 TEST(GoldenActions, AreTheSameForEveryKindOfEvent) {
-  const std::string plain = Play(PlainSettings(), 1).Run(1200);
+  const std::string plain = Play(DefaultSettings(), 1).Run(1200);
   const std::string all = Play(AllSettings(), 2).Run(1200);
   const std::string answers = Play(WithAnswers(), 3).Run(800);
   ExpectGolden("plain.txt", plain);
