--- a/src/fleet/hint_builder.h
+++ b/src/fleet/hint_builder.h
@@ -1,8 +1,7 @@
-// Between what a relay knows of its fleet and what its decisions request for. Pure, as the node is.
+// Turns what a relay knows of its fleet into the hints that its balancer takes.
 #ifndef STOATRUN_FLEET_HINT_BUILDER_H_
 #define STOATRUN_FLEET_HINT_BUILDER_H_
 
-#include <cstdint>
 #include <map>
 #include <string>
 #include <string_view>
@@ -13,17 +12,19 @@
 
 namespace stoatrun::fleet {
 
+// Deterministic and used on the node's thread; the node outlives it.
 class HintBuilder {
  public:
   explicit HintBuilder(Node& node) : node_(node) {}
 
-  // The quotas of cold sends to a endpoint and of a group's connections.
+  // The name of the quota of sends to an endpoint that warms up.
   static std::string SlowStartQuota(std::string_view endpoint) { return "cold:" + std::string(endpoint); }
+  // The name of the quota of a group's connections.
   static std::string ConnectionQuota(std::string_view group) { return "connections:" + std::string(group); }
 
-  // What is to be told of quota_templates listed endpoint; only what changed since it was told last. `cold`:
-  // endpoints that started lately and still warm up.
-  std::vector<FleetClient::EndpointHint> TakeHints(Micros now, const std::vector<std::string>& cold);
+  // The hints that changed since the last call. `warming_up`: endpoints that started recently.
+  std::vector<FleetClient::EndpointHint> TakeHints(Micros now, const std::vector<std::string>& warming_up);
+  // Sets the endpoints that may be used.
   void SetEndpoints(const std::vector<FleetClient::ListedEndpoint>& endpoints);
 
  private:
--- a/src/fleet/injected_fault.h
+++ b/src/fleet/injected_fault.h
@@ -1,32 +1,38 @@
-// Faults that the fleet's own tests plant, to see that the checker of histories can fail. The program is
-// built without STOATRUN_INJECT_FAULTS: then every question here is `false` at compile time.
+// Faults that the simulation's tests inject into the fleet's modules, to show that the history checker finds
+// them.
+//
+// The program is built without STOATRUN_INJECT_FAULTS: then IsInjected() is false at compile time.
 #ifndef STOATRUN_FLEET_INJECTED_FAULT_H_
 #define STOATRUN_FLEET_INJECTED_FAULT_H_
 
 namespace stoatrun::fleet {
 
+// One defect each that a bound of the fleet's shared state must not survive.
 enum class Fault {
   kNone,
-  kLeaseIgnoresPause,             // The borrower requests for the time when it borrows, not when it spends.
-  kLeaseCountsFromGrant,          // The borrower counts the lease from the grant's arrival.
-  kLenderIgnoresWindow,           // The lender uses units again in the moment in which the lease ends.
-  kLenderIgnoresRestart,          // A new run uses and lends its share at once.
-  kGrantTakenTwice,               // A grant that comes twice counts twice.
-  kConcurrencyLeaseEndsByClock,   // The lender of a level takes it back by its own clock alone.
-  kLentLeasesForgottenByRestart,  // A new run of a lender doesn't request who holds its units.
-  kCountWithoutIncarnation,       // Counts of a new run replace those of the former.
-  kCountAddedTwice,               // Counts that come late from a former run are added again.
-  kAgeWithoutTransit,             // The time under way is left out of an age.
-  kEvidenceNeverExpires,          // Hearsay holds for ever.
-  kOneWitnessSuffices,            // Hearsay of one takes a endpoint away.
-  kNoEjectionCap,                 // Any number of endpoints may be ejected on hearsay.
-  kRemoteEvidenceFirst,           // What others say goes before what was seen here.
+  kLeaseIgnoresPause,            // The borrower checks the time when it borrows, not when it acquires.
+  kLeaseCountsFromGrant,         // The borrower counts the lease from the grant's arrival.
+  kLenderIgnoresWindow,          // The lender reuses units at the moment at which the lease ends.
+  kLenderIgnoresRestart,         // A new incarnation uses and lends its share at once.
+  kGrantTakenTwice,              // A duplicated grant counts twice.
+  kConcurrencyLeaseEndsByClock,  // The lender of a concurrency quota takes units back by its own clock alone.
+  kLentLeasesForgottenByRestart,  // A new incarnation of a lender doesn't ask who holds its units.
+  kCountWithoutIncarnation,       // Counts of a new incarnation replace those of the former.
+  kCountAddedTwice,               // Delayed counts of a former version are added again.
+  kAgeWithoutTransit,             // The transit time is left out of an age.
+  kEvidenceNeverExpires,          // Remote evidence is valid for ever.
+  kOneWitnessSuffices,            // The evidence of one witness ejects an endpoint.
+  kNoEjectionCap,                 // Any number of endpoints may be ejected on remote evidence.
+  kRemoteEvidenceFirst,           // Remote evidence takes precedence over own observations.
 };
 
 #ifdef STOATRUN_INJECT_FAULTS
+// The fault that is injected on this thread.
 inline thread_local Fault injected_fault = Fault::kNone;
+// Whether `fault` is injected on this thread.
 inline bool IsInjected(Fault fault) { return injected_fault == fault; }
 #else
+// Whether `fault` is injected: never in this build.
 constexpr bool IsInjected(Fault /*fault*/) { return false; }
 #endif
 
--- a/src/fleet/io/codec.h
+++ b/src/fleet/io/codec.h
@@ -1,8 +1,8 @@
 // The form of the fleet's datagrams on the wire (proto/fleet.proto).
 //
-// The checksum finds what was cut short, changed on its way or meant for another fleet. It is no seal: who
-// can send from a peer's address can say anything, and the modules keep their bounds by what quota_templates
-// relay owns, not by trust.
+// The checksum detects datagrams that were truncated, changed under way or meant for another fleet. It is no
+// authentication: whoever can send from a peer's address can say anything, and the modules keep their bounds
+// by what each relay owns, not by trust. Pure functions; thread-safe.
 #ifndef STOATRUN_FLEET_IO_CODEC_H_
 #define STOATRUN_FLEET_IO_CODEC_H_
 
@@ -15,12 +15,15 @@
 
 namespace stoatrun::fleet {
 
+// The version of the wire form. It rises when the meaning of a field changes, not when a field is added.
 constexpr std::uint8_t kSchema = 1;
 
-// Why a datagram was not read.
+// Why a datagram was not decoded.
 enum class DecodeError { kNotOurs, kSchema, kChecksum, kMalformed };
 
-std::string Encode(const Datagram& d, const std::string& fleet);
+// Encodes a datagram of the fleet named `fleet`. SizeOf(datagram) bounds the result's size.
+std::string Encode(const Datagram& datagram, const std::string& fleet);
+// Decodes a datagram of the fleet named `fleet`; never throws, whatever `bytes` holds.
 std::variant<Datagram, DecodeError> Decode(std::string_view bytes, const std::string& fleet);
 
 }  // namespace stoatrun::fleet
--- a/src/fleet/io/gossip_transport.cpp
+++ b/src/fleet/io/gossip_transport.cpp
@@ -4,6 +4,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <array>
 #include <cerrno>
 #include <system_error>
@@ -13,7 +14,8 @@
 namespace stoatrun::fleet {
 namespace {
 
-constexpr int kDatagramsATurn = 64;
+constexpr int kMaxDatagramsPerTurn = 64;  // So that a flood cannot starve the loop.
+// As logged, by enumerator.
 constexpr std::array<std::string_view, 4> kStateNames{"alive", "suspected", "silent", "left"};
 
 Incarnation FirstIncarnation(const GossipTransportSetup& setup) {
@@ -41,7 +43,7 @@
 void GossipTransport::Start() {
   const int fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) throw std::system_error(errno, std::generic_category(), "fleet: socket");
-  // No address is shared: a second process of this name on this machine must be told so.
+  // No address is shared: a second process of this name on this machine must fail here.
   if (bind(fd, reinterpret_cast<const sockaddr*>(&setup_.listen.raw), sizeof setup_.listen.raw) != 0) {
     const int error = errno;
     close(fd);
@@ -77,69 +79,78 @@
 bool GossipTransport::TryAcquire(const std::string& quota) {
   loop_.clock.Read();
   Outbox out;
-  const bool spent = node_.TryAcquire(loop_.Now(), quota, out);
+  const bool acquired = node_.TryAcquire(loop_.Now(), quota, out);
   Send(out);
-  return spent;
+  return acquired;
 }
 
-void GossipTransport::OnReadable(struct ev_loop* /*loop*/, ev_io* w, int /*events*/) {
-  static_cast<GossipTransport*>(w->data)->Read();
+void GossipTransport::OnReadable(struct ev_loop* /*loop*/, ev_io* watcher, int /*events*/) {
+  static_cast<GossipTransport*>(watcher->data)->ReadAvailable();
 }
 
-void GossipTransport::Read() {
-  std::array<char, 2048>
-      buffer;  // OnIncarnationEnded the largest datagram: a longer one is cut, and its checksum fails.
-  for (int k = 0; k < kDatagramsATurn; ++k) {
+void GossipTransport::ReadAvailable() {
+  // Over the largest datagram: a longer one is cut, and its checksum fails.
+  std::array<char, 2048> buffer;
+  for (int k = 0; k < kMaxDatagramsPerTurn; ++k) {
     Address from;
-    socklen_t size = sizeof from.raw;
-    const ssize_t n =
-        recvfrom(fd_, buffer.data(), buffer.size(), 0, reinterpret_cast<sockaddr*>(&from.raw), &size);
-    if (n < 0) {
-      if (errno == EINTR || errno == ECONNREFUSED) continue;  // The latter is of a datagram that we sent.
+    socklen_t from_size = sizeof from.raw;
+    const ssize_t size =
+        recvfrom(fd_, buffer.data(), buffer.size(), 0, reinterpret_cast<sockaddr*>(&from.raw), &from_size);
+    if (size >= 0) {
+      OnBytes({buffer.data(), static_cast<std::size_t>(size)}, from);
+    } else if (errno != EINTR &&
+               errno != ECONNREFUSED) {  // The latter is of a datagram that was sent before.
       return;
     }
-    ++counts_.received;
-    counts_.bytes_in += static_cast<std::uint64_t>(n);
-    auto read = Decode({buffer.data(), static_cast<std::size_t>(n)}, setup_.settings.fleet);
-    if (const auto* why = std::get_if<DecodeError>(&read)) {
-      switch (*why) {
-        case DecodeError::kNotOurs:
-          ++counts_.not_ours;
-          break;
-        case DecodeError::kSchema:
-          ++counts_.other_schema;
-          break;
-        case DecodeError::kChecksum:
-          ++counts_.damaged;
-          break;
-        case DecodeError::kMalformed:
-          ++counts_.malformed;
-          break;
-      }
-      continue;
-    }
-    const auto& datagram = std::get<Datagram>(read);
-    const auto address = setup_.addresses.find(datagram.from);
-    if (address == setup_.addresses.end() || !(address->second == from)) {
-      ++counts_.wrong_address;
-      continue;
-    }
-    Outbox out;
-    node_.OnDatagram(loop_.Now(), datagram, out);
-    Send(out);
+  }
+}
+
+void GossipTransport::OnBytes(std::string_view bytes, const Address& from) {
+  ++counts_.received;
+  counts_.bytes_in += bytes.size();
+  const auto decoded = Decode(bytes, setup_.settings.fleet);
+  if (const auto* error = std::get_if<DecodeError>(&decoded)) {
+    CountUndecoded(*error);
+    return;
+  }
+  const auto& datagram = std::get<Datagram>(decoded);
+  const auto address = setup_.addresses.find(datagram.from);
+  if (address == setup_.addresses.end() || !(address->second == from)) {
+    ++counts_.wrong_address;
+    return;
+  }
+  Outbox out;
+  node_.OnDatagram(loop_.Now(), datagram, out);
+  Send(out);
+}
+
+void GossipTransport::CountUndecoded(DecodeError error) {
+  switch (error) {
+    case DecodeError::kNotOurs:
+      ++counts_.not_ours;
+      break;
+    case DecodeError::kSchema:
+      ++counts_.other_schema;
+      break;
+    case DecodeError::kChecksum:
+      ++counts_.damaged;
+      break;
+    case DecodeError::kMalformed:
+      ++counts_.malformed;
+      break;
   }
 }
 
 void GossipTransport::Send(const Outbox& out) {
   if (fd_ < 0) return;
-  for (const Outgoing& o : out) {
-    const auto address = setup_.addresses.find(o.to);
+  for (const Outgoing& outgoing : out) {
+    const auto address = setup_.addresses.find(outgoing.to);
     if (address == setup_.addresses.end()) continue;
-    const std::string bytes = Encode(o.datagram, setup_.settings.fleet);
-    const ssize_t n =
+    const std::string bytes = Encode(outgoing.datagram, setup_.settings.fleet);
+    const ssize_t sent =
         sendto(fd_, bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&address->second.raw),
                sizeof address->second.raw);
-    if (n < 0) {
+    if (sent < 0) {
       ++counts_.send_failed;
       continue;
     }
@@ -156,25 +167,13 @@
   tick_.Set(loop_.Now() + setup_.settings.tick);
 }
 
-// What on-call staff should see, once quota_templates time it changes.
+// Logs what on-call staff should see, once each time it changes.
 void GossipTransport::LogChanges() {
-  for (const auto& m : node_.Members().Members()) {
-    const auto [at, fresh] = logged_.try_emplace(m.member_id, MemberState::kDead);
-    if (at->second != m.state) {
-      const bool bad = m.state == MemberState::kDead;
-      if (m.state != MemberState::kSuspect && at->second != MemberState::kSuspect) {
-        LogLine(bad ? Level::kWarn : Level::kInfo, "fleet member")
-            .Field("name", m.name)
-            .Field("standing", kStateNames[static_cast<std::size_t>(m.state)])
-            .Field("generation", m.incarnation.generation);
-      } else if (bad) {
-        LogLine(Level::kWarn, "fleet member").Field("name", m.name).Field("standing", "silent");
-      }
-      at->second = m.state;
-    }
-    if (m.duplicate && !std::exchange(logged_peer_duplicate_[m.member_id], true)) {
-      LogLine(Level::kError, "fleet: two processes run under one name").Field("name", m.name);
-    }
+  for (const Membership::Member& member : node_.Members().Members()) {
+    LoggedMember& logged = logged_members_[member.member_id];
+    LogMemberState(member, logged);
+    if (member.duplicate && !std::exchange(logged.duplicate, true))
+      LogLine(Level::kError, "fleet: two processes run under one name").Field("name", member.name);
   }
   if (node_.Members().HasDuplicate() && !std::exchange(logged_duplicate_, true)) {
     LogLine(Level::kError, "fleet: another process runs under this relay's name").Field("name", setup_.name);
@@ -185,11 +184,26 @@
   }
 }
 
+// A suspicion is not logged, nor that it was refuted.
+void GossipTransport::LogMemberState(const Membership::Member& member, LoggedMember& logged) {
+  const MemberState before = std::exchange(logged.state, member.state);
+  if (before == member.state) return;
+  const bool dead = member.state == MemberState::kDead;
+  if (member.state != MemberState::kSuspect && before != MemberState::kSuspect) {
+    LogLine(dead ? Level::kWarn : Level::kInfo, "fleet member")
+        .Field("name", member.name)
+        .Field("standing", kStateNames[static_cast<std::size_t>(member.state)])
+        .Field("generation", member.incarnation.generation);
+  } else if (dead) {
+    LogLine(Level::kWarn, "fleet member").Field("name", member.name).Field("standing", "silent");
+  }
+}
+
 void GossipTransport::AddFields(LogLine& record) const {
   record.Field("fleet_received", counts_.received)
       .Field("fleet_sent", counts_.sent)
       .Field("fleet_bytes_out", counts_.bytes_out)
-      .Field("fleet_dropped", counts_.not_ours + counts_.other_schema + counts_.damaged + counts_.malformed)
+      .Field("fleet_dropped", counts_.Undecoded())
       .Field("fleet_wrong_address", counts_.wrong_address)
       .Field("fleet_strangers", node_.GetCounts().strangers);
 }
--- a/src/fleet/io/status.cpp
+++ b/src/fleet/io/status.cpp
@@ -2,21 +2,27 @@
 
 #include <fmt/format.h>
 
+#include <algorithm>
 #include <array>
 #include <cstddef>
 #include <iterator>
 #include <optional>
 #include <string_view>
+#include <utility>
 
 #include "base/log.h"
 
 namespace stoatrun::fleet {
 namespace {
 
+// The names of the page docs/operators/fleet.md, by enumerator.
 constexpr std::array<const char*, 4> kStateNames{"alive", "suspected", "silent", "left"};
 constexpr std::array<const char*, 4> kVerdictNames{"failing", "slow", "full", "fine"};
 
-// Names come from peers, too.
+const char* NameOf(MemberState state) { return kStateNames[static_cast<std::size_t>(state)]; }
+const char* NameOf(HealthVerdict verdict) { return kVerdictNames[static_cast<std::size_t>(verdict)]; }
+
+// Escaped, as names come from peers, too.
 std::string Quoted(std::string_view text) {
   fmt::memory_buffer out;
   out.push_back('"');
@@ -25,125 +31,173 @@
   return fmt::to_string(out);
 }
 
-std::int64_t Ms(Micros t) { return t.count() / 1000; }
-std::string Ms(std::optional<Micros> t) { return t ? std::to_string(Ms(*t)) : "null"; }
-std::string High(std::uint64_t n) { return n == kUnbounded ? "null" : std::to_string(n); }
-
-std::string Bounds(const ConnectionTotals& t) {
-  std::string out;
-  const auto add = [&](const char* name, const Interval& b) {
-    out += fmt::format(R"("{}":[{},{}],)", name, b.low, High(b.high));
-  };
-  add("taken", t.accepted);
-  add("served", t.served);
-  add("refused", t.rejected);
-  add("failed", t.failed);
-  add("open", t.open);
-  return out + fmt::format(R"("oldest_ms":{},"widened":{},"unheard":{},"over":{})", Ms(t.oldest), t.widened,
-                           t.unheard, t.ended);
+std::int64_t Ms(Micros time) { return time.count() / 1000; }
+std::string MsOrNull(std::optional<Micros> time) { return time ? std::to_string(Ms(*time)) : "null"; }
+std::string HighOrNull(std::uint64_t high) { return high == kUnbounded ? "null" : std::to_string(high); }
+
+std::string IntervalJson(const char* name, const Interval& interval) {
+  return fmt::format(R"("{}":[{},{}],)", name, interval.low, HighOrNull(interval.high));
 }
 
-}  // namespace
+std::string TotalsJson(const ConnectionTotals& totals) {
+  return IntervalJson("taken", totals.accepted) + IntervalJson("served", totals.served) +
+         IntervalJson("refused", totals.rejected) + IntervalJson("failed", totals.failed) +
+         IntervalJson("open", totals.open) +
+         fmt::format(R"("oldest_ms":{},"widened":{},"unheard":{},"over":{})", Ms(totals.oldest),
+                     totals.widened, totals.unheard, totals.ended);
+}
 
-std::string StatusJson(Node& node, const std::string& name, const std::vector<std::string>& class_names,
-                       Micros now, const StatusExtra& extra) {
-  std::string out;
-  auto add = std::back_inserter(out);
-  const Settings& s = node.Setup();
-  Membership& members = node.Members();
-  const auto name_of = [&](MemberId member_id) {
-    const auto* m = members.Find(member_id);
-    return member_id == s.self ? name : m != nullptr ? m->name : fmt::format("place {}", member_id);
-  };
-  fmt::format_to(add, R"({{"fleet":{},"relay":{},"place":{},"places":{},"generation":{},"incarnation":{},)",
-                 Quoted(s.fleet), Quoted(name), s.self, s.fleet_size, members.SelfIncarnation().generation,
-                 members.SelfRefutations());
-  fmt::format_to(add, R"("own_fault":{},"twins":{},"balanced":{},"members":[)", members.LocalHealthScore(),
-                 members.HasDuplicate(), node.Balanced());
-  const char* comma = "";
-  const auto sizes = node.FleetSizeMismatches();
-  for (const auto& m : members.Members()) {
-    std::uint32_t places = s.fleet_size;
-    for (const auto& [member_id, other] : sizes) places = member_id == m.member_id ? other : places;
-    fmt::format_to(add,
-                   R"({}{{"place":{},"name":{},"standing":"{}","since_ms":{},"generation":{},)"
-                   R"("incarnation":{},"lives":{},)",
-                   comma, m.member_id, Quoted(m.name),
-                   m.incarnation ? kStateNames[static_cast<std::size_t>(m.state)] : "unheard",
-                   Ms(now - m.since), m.incarnation.generation, m.refutations, m.incarnations_seen);
-    fmt::format_to(add, R"("answered_ms":{},"twins":{},"places":{}}})",
-                   Ms(m.last_ack_at ? std::optional(now - *m.last_ack_at) : std::nullopt), m.duplicate,
-                   places);
-    comma = ",";
+// Writes the sections of the object in turn.
+class StatusWriter {
+ public:
+  StatusWriter(Node& node, const std::string& name, const std::vector<std::string>& class_names, Micros now)
+      : node_(node), name_(name), class_names_(class_names), now_(now) {}
+
+  std::string Write(const StatusExtra& extra) {
+    WriteRelay();
+    WriteArray("members", node_.Members().Members(), &StatusWriter::MemberJson);
+    WriteArray("budgets", node_.Quotas().Views(now_), &StatusWriter::QuotaJson);
+    WriteLeases();
+    Append(R"("total":{{{}}},)", TotalsJson(node_.Sum(now_)));
+    WriteArray("totals", node_.Totals().Keys(), &StatusWriter::KeyJson);
+    WriteArray("parts", node_.Totals().Parts(now_), &StatusWriter::PartJson);
+    WriteArray("servers", node_.Outliers().Views(now_), &StatusWriter::EndpointJson);
+    WriteArray("distrusted", node_.Outliers().Distrusted(now_), &StatusWriter::DistrustedJson);
+    WriteIgnored(extra);
+    return std::move(out_);
   }
-  fmt::format_to(add, R"(],"budgets":[)");
-  comma = "";
-  for (const auto& v : node.Quotas().Views(now)) {
-    fmt::format_to(
-        add,
-        R"({}{{"budget":{},"units":{},"share":{},"available":{},"used":{},"lent":{},"borrowed":{},)"
-        R"("excess":{},"whole":{}}})",
-        comma, Quoted(v.quota), v.units, v.share, v.available, v.acquired, v.lent, v.borrowed, v.excess,
-        v.reconciled);
-    comma = ",";
+
+ private:
+  template <typename... Args>
+  void Append(fmt::format_string<Args...> form, Args&&... args) {
+    fmt::format_to(std::back_inserter(out_), form, std::forward<Args>(args)...);
   }
-  fmt::format_to(add, R"(],"leases":[)");
-  comma = "";
-  const auto leases = [&](const std::vector<QuotaLeases::Lease>& all, const char* way) {
-    for (const auto& l : all) {
-      fmt::format_to(add, R"({}{{"way":"{}","budget":{},"with":{},"units":{},"ends_ms":{},"ended":{}}})",
-                     comma, way, Quoted(l.quota), Quoted(name_of(l.other)), l.units, Ms(l.ends - now),
-                     l.ended);
+
+  template <typename Item>
+  void WriteArray(const char* key, const std::vector<Item>& items,
+                  std::string (StatusWriter::*item_json)(const Item&)) {
+    Append(R"("{}":[)", key);
+    const char* comma = "";
+    for (const Item& item : items) {
+      Append("{}{}", comma, (this->*item_json)(item));
       comma = ",";
     }
-  };
-  leases(node.Quotas().Lent(now), "out");
-  leases(node.Quotas().Borrowed(now), "in");
-  fmt::format_to(add, R"(],"total":{{{}}},"totals":[)", Bounds(node.Sum(now)));
-  comma = "";
-  for (const auto& [class_index, group] : node.Totals().Keys()) {
-    const std::string class_name =
-        class_index < class_names.size() ? class_names[class_index] : fmt::format("class {}", class_index);
-    fmt::format_to(add, R"({}{{"class":{},"group":{},{}}})", comma, Quoted(class_name), Quoted(group),
-                   Bounds(node.Sum(now, class_index, group)));
-    comma = ",";
+    out_ += "],";
+  }
+
+  std::string NameOfMember(MemberId member_id) const {
+    if (member_id == node_.Setup().self) return name_;
+    const Membership::Member* member = node_.Members().Find(member_id);
+    return member != nullptr ? member->name : fmt::format("place {}", member_id);
+  }
+
+  std::uint32_t FleetSizeStatedBy(MemberId member_id) const {
+    std::uint32_t fleet_size = node_.Setup().fleet_size;
+    for (const FleetSizeMismatch& mismatch : node_.FleetSizeMismatches())
+      fleet_size = mismatch.member_id == member_id ? mismatch.fleet_size : fleet_size;
+    return fleet_size;
+  }
+
+  void WriteRelay() {
+    const Settings& settings = node_.Setup();
+    const Membership& members = node_.Members();
+    Append(R"({{"fleet":{},"relay":{},"place":{},"places":{},"generation":{},"incarnation":{},)",
+           Quoted(settings.fleet), Quoted(name_), settings.self, settings.fleet_size,
+           members.SelfIncarnation().generation, members.SelfRefutations());
+    Append(R"("own_fault":{},"twins":{},"balanced":{},)", members.LocalHealthScore(), members.HasDuplicate(),
+           node_.Balanced());
+  }
+
+  std::string MemberJson(const Membership::Member& member) {
+    const std::string since_ack =
+        member.last_ack_at ? std::to_string(Ms(now_ - *member.last_ack_at)) : "null";
+    return fmt::format(R"({{"place":{},"name":{},"standing":"{}","since_ms":{},"generation":{},)"
+                       R"("incarnation":{},"lives":{},"answered_ms":{},"twins":{},"places":{}}})",
+                       member.member_id, Quoted(member.name),
+                       member.incarnation ? NameOf(member.state) : "unheard", Ms(now_ - member.since),
+                       member.incarnation.generation, member.refutations, member.incarnations_seen, since_ack,
+                       member.duplicate, FleetSizeStatedBy(member.member_id));
+  }
+
+  std::string QuotaJson(const QuotaLeases::View& view) {
+    return fmt::format(R"({{"budget":{},"units":{},"share":{},"available":{},"used":{},"lent":{},)"
+                       R"("borrowed":{},"excess":{},"whole":{}}})",
+                       Quoted(view.quota), view.units, view.share, view.available, view.acquired, view.lent,
+                       view.borrowed, view.excess, view.reconciled);
   }
-  fmt::format_to(add, R"(],"parts":[)");
-  comma = "";
-  for (const auto& p : node.Totals().Parts(now)) {
-    fmt::format_to(
-        add, R"({}{{"name":{},"generation":{},"version":{},"age_ms":{},"over":{},"taken":{},"open":{}}})",
-        comma, Quoted(name_of(p.member_id)), p.incarnation.generation, p.version, Ms(p.age), p.ended,
-        p.sum.accepted, p.sum.open);
-    comma = ",";
+
+  std::string LeaseJson(const QuotaLeases::Lease& lease, const char* way) const {
+    return fmt::format(R"({{"way":"{}","budget":{},"with":{},"units":{},"ends_ms":{},"ended":{}}})", way,
+                       Quoted(lease.quota), Quoted(NameOfMember(lease.other)), lease.units,
+                       Ms(lease.ends - now_), lease.ended);
   }
-  fmt::format_to(add, R"(],"servers":[)");
-  comma = "";
-  for (const auto& v : node.Outliers().Views(now)) {
-    std::string others;
-    for (const auto& e : v.others) {
-      others += fmt::format(R"({}{{"by":{},"verdict":"{}","observations":{},"age_ms":{}}})",
-                            others.empty() ? "" : ",", Quoted(name_of(e.author)),
-                            kVerdictNames[static_cast<std::size_t>(e.verdict)], e.observations, Ms(e.age));
+
+  // Lent and borrowed leases in one array.
+  void WriteLeases() {
+    Append(R"("leases":[)");
+    const char* comma = "";
+    const auto append_all = [&](const std::vector<QuotaLeases::Lease>& leases, const char* way) {
+      for (const QuotaLeases::Lease& lease : leases) {
+        Append("{}{}", comma, LeaseJson(lease, way));
+        comma = ",";
+      }
+    };
+    append_all(node_.Quotas().Lent(now_), "out");
+    append_all(node_.Quotas().Borrowed(now_), "in");
+    out_ += "],";
+  }
+
+  std::string KeyJson(const FleetCounts::Key& key) {
+    const std::string class_name = key.class_index < class_names_.size()
+                                       ? class_names_[key.class_index]
+                                       : fmt::format("class {}", key.class_index);
+    return fmt::format(R"({{"class":{},"group":{},{}}})", Quoted(class_name), Quoted(key.group),
+                       TotalsJson(node_.Sum(now_, key.class_index, key.group)));
+  }
+
+  std::string PartJson(const FleetCounts::Part& part) {
+    return fmt::format(R"({{"name":{},"generation":{},"version":{},"age_ms":{},"over":{},"taken":{},)"
+                       R"("open":{}}})",
+                       Quoted(NameOfMember(part.member_id)), part.incarnation.generation, part.version,
+                       MsOrNull(part.age), part.ended, part.sum.accepted, part.sum.open);
+  }
+
+  std::string EndpointJson(const OutlierConsensus::View& view) {
+    std::string witnesses;
+    for (const Evidence& evidence : view.others) {
+      witnesses += fmt::format(R"({}{{"by":{},"verdict":"{}","observations":{},"age_ms":{}}})",
+                               witnesses.empty() ? "" : ",", Quoted(NameOfMember(evidence.author)),
+                               NameOf(evidence.verdict), evidence.observations, MsOrNull(evidence.age));
     }
-    fmt::format_to(add, R"({}{{"server":{},"own":{},"avoided":{},"ignored":{},"witnesses":[{}]}})", comma,
-                   Quoted(v.endpoint),
-                   v.own ? fmt::format("\"{}\"", kVerdictNames[static_cast<std::size_t>(*v.own)]) : "null",
-                   v.ejected, Quoted(v.ignored), others);
-    comma = ",";
+    return fmt::format(R"({{"server":{},"own":{},"avoided":{},"ignored":{},"witnesses":[{}]}})",
+                       Quoted(view.endpoint), view.own ? Quoted(NameOf(*view.own)) : "null", view.ejected,
+                       Quoted(view.ignored), witnesses);
   }
-  fmt::format_to(add, R"(],"distrusted":[)");
-  comma = "";
-  for (const auto& [member_id, why] : node.Outliers().Distrusted(now)) {
-    fmt::format_to(add, R"({}{{"name":{},"why":{}}})", comma, Quoted(name_of(member_id)), Quoted(why));
-    comma = ",";
+
+  std::string DistrustedJson(const OutlierConsensus::DistrustedWitness& witness) {
+    return fmt::format(R"({{"name":{},"why":{}}})", Quoted(NameOfMember(witness.author)),
+                       Quoted(witness.reason));
+  }
+
+  void WriteIgnored(const StatusExtra& extra) {
+    const Node::Counts& counts = node_.GetCounts();
+    Append(R"("ignored":{{"strangers":{},"former_runs":{},"other_size":{},"unreadable":{},)"
+           R"("wrong_address":{}}}}})",
+           counts.strangers, counts.former_runs, counts.other_size, extra.dropped, extra.wrong_address);
   }
-  const auto& n = node.GetCounts();
-  fmt::format_to(add,
-                 R"(],"ignored":{{"strangers":{},"former_runs":{},"other_size":{},"unreadable":{},)"
-                 R"("wrong_address":{}}}}})",
-                 n.strangers, n.former_runs, n.other_size, extra.dropped, extra.wrong_address);
-  return out;
+
+  Node& node_;
+  const std::string& name_;
+  const std::vector<std::string>& class_names_;
+  Micros now_;
+  std::string out_;
+};
+
+}  // namespace
+
+std::string StatusJson(Node& node, const std::string& name, const std::vector<std::string>& class_names,
+                       Micros now, const StatusExtra& extra) {
+  return StatusWriter(node, name, class_names, now).Write(extra);
 }
 
 }  // namespace stoatrun::fleet
--- a/src/fleet/member_list_sync.h
+++ b/src/fleet/member_list_sync.h
@@ -1,6 +1,6 @@
 // How a relay that has just started learns of all incarnations that ran before it.
 //
-// It knows none, so its sums have no upper bound until it was told of all. It reads the member lists of
+// It knows none, so its sums have no upper bound until it learns of all. It reads the member lists of
 // peers, page by page. One list of a relay that is itself complete is enough. Where none is, as when all
 // start at once, what each relay knew at its start (its basis) is handed on, until a relay holds the bases of
 // all.
