--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -13,12 +13,13 @@
 namespace stoatrun {
 namespace {
 
-// After the answer: time for the caller to read it and close; then it is closed on.
-constexpr Micros kEndWait = std::chrono::milliseconds(1000);
-constexpr int kAcceptsATurn = 16;
-constexpr std::size_t kMostTarget = 2048;
+// After the response, the time for the client to read it and close; then the server closes.
+constexpr Micros kLingerTimeout = std::chrono::milliseconds(1000);
+// A bound on the work of one event-loop turn.
+constexpr int kMaxAcceptsPerTurn = 16;
+constexpr int kListenBacklog = 64;
 
-std::string_view Reason(int status) {
+std::string_view ReasonPhrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -39,212 +40,182 @@
   }
 }
 
+std::string FormatHead(int status, std::size_t content_length, std::string_view allow) {
+  std::string head =
+      "HTTP/1.1 " + std::to_string(status) + " " + std::string(ReasonPhrase(status)) +
+      "\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: " + std::to_string(content_length) +
+      "\r\nCache-Control: no-store\r\nConnection: close\r\n";
+  if (!allow.empty()) head += "Allow: " + std::string(allow) + "\r\n";
+  return head + "\r\n";
+}
+
 }  // namespace
 
-Management::Caller::Caller(SlotId slot, Management& all)
+AdminServer::Connection::Connection(SlotId slot, AdminServer& server)
     : id(slot),
-      all(all),
-      stream(all.loop_, all, slot),
-      deadline(all.loop_.timers, [&all, slot] { all.Due(slot); }) {
-  http_parser_init(&parser, HTTP_REQUEST);
-  parser.data = this;
-}
-
-Management::Management(EventLoop& loop, ManagementEvents& events) : loop_(loop), events_(events) {
-  ev_init(&accept_, OnAccept);
-  accept_.data = this;
-  http_parser_settings_init(&settings_);
-  settings_.on_url = OnUrl;
-  settings_.on_header_field = OnHeaderPart;
-  settings_.on_header_value = OnHeaderPart;
-  settings_.on_headers_complete = OnHeadersComplete;
-  settings_.on_body = OnBody;
-  settings_.on_message_complete = OnMessageComplete;
-  loop_.AddTurnEndHook([this] { callers_.Reclaim(); });
-}
-
-Management::~Management() { Stop(); }
-
-void Management::Listen(const Address& address) {
-  const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) throw std::system_error(errno, std::generic_category(), "management: socket");
-  const auto give_up = [fd](const char* what) {
+      stream(server.loop_, server, slot),
+      timeout(server.loop_.timers, [&server, slot] { server.OnTimeout(slot); }) {}
+
+AdminServer::AdminServer(EventLoop& loop, AdminHandler& handler) : loop_(loop), handler_(handler) {
+  ev_init(&accept_watcher_, OnAccept);
+  accept_watcher_.data = this;
+  loop_.AddTurnEndHook([this] { connections_.Reclaim(); });
+}
+
+AdminServer::~AdminServer() { Stop(); }
+
+void AdminServer::Listen(const Address& address) {
+  listen_fd_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  if (listen_fd_ < 0) throw std::system_error(errno, std::generic_category(), "management: socket");
+  const auto fail = [this](const char* what) {
     const int error = errno;
-    close(fd);
+    Stop();
     throw std::system_error(error, std::generic_category(), what);
   };
-  const int on = 1;
-  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (bind(fd, reinterpret_cast<const sockaddr*>(&address.raw), sizeof address.raw) != 0) {
-    give_up("management: bind");
+  const int enabled = 1;
+  setsockopt(listen_fd_, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
+  if (bind(listen_fd_, reinterpret_cast<const sockaddr*>(&address.raw), sizeof address.raw) != 0) {
+    fail("management: bind");
   }
-  if (listen(fd, 64) != 0) give_up("management: listen");
-  fd_ = fd;
-  ev_io_set(&accept_, fd_, EV_READ);
-  ev_io_start(loop_.native_handle(), &accept_);
+  if (listen(listen_fd_, kListenBacklog) != 0) fail("management: listen");
+  ev_io_set(&accept_watcher_, listen_fd_, EV_READ);
+  ev_io_start(loop_.native_handle(), &accept_watcher_);
 }
 
-void Management::Stop() {
-  if (fd_ < 0) return;
-  ev_io_stop(loop_.native_handle(), &accept_);
-  close(fd_);
-  fd_ = -1;
+void AdminServer::Stop() {
+  if (listen_fd_ < 0) return;
+  ev_io_stop(loop_.native_handle(), &accept_watcher_);
+  close(listen_fd_);
+  listen_fd_ = -1;
 }
 
-int Management::Port() const {
+int AdminServer::Port() const {
   sockaddr_in bound{};
   socklen_t size = sizeof bound;
-  return getsockname(fd_, reinterpret_cast<sockaddr*>(&bound), &size) == 0 ? ntohs(bound.sin_port) : 0;
+  if (getsockname(listen_fd_, reinterpret_cast<sockaddr*>(&bound), &size) != 0) return 0;
+  return ntohs(bound.sin_port);
 }
 
-void Management::OnAccept(struct ev_loop* /*loop*/, ev_io* w, int /*events*/) {
-  static_cast<Management*>(w->data)->Accept();
+void AdminServer::OnAccept(struct ev_loop* /*loop*/, ev_io* watcher, int /*events*/) {
+  static_cast<AdminServer*>(watcher->data)->Accept();
 }
 
-void Management::Accept() {
-  for (int k = 0; k < kAcceptsATurn; ++k) {
-    const int fd = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (fd < 0) {
-      if (errno == EINTR || errno == ECONNABORTED) continue;
-      if (errno != EAGAIN) LogLine(Level::kWarn, "management: accept failed").Field("errno", errno);
-      return;
-    }
-    // Who holds a place without asking gives it up to one who may ask.
-    while (callers_.Size() >= kMostCallers && !unanswered_.empty()) {
-      ++counts_.crowded_out;
-      if (Caller* oldest = callers_.Find(unanswered_.front())) Drop(*oldest);
-    }
-    if (callers_.Size() >= kMostCallers) {  // All places are with callers that read their answers.
-      ++counts_.crowded_out;
-      close(fd);
+void AdminServer::Accept() {
+  for (int k = 0; k < kMaxAcceptsPerTurn; ++k) {
+    const int fd = accept4(listen_fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    if (fd >= 0) {
+      AddConnection(fd);
       continue;
     }
-    Caller& c = callers_.Add(*this);
-    c.place = unanswered_.insert(unanswered_.end(), c.id);
-    c.deadline.Set(loop_.Now() + kHeadWait);
-    c.stream.Adopt(fd);
+    if (errno == EINTR || errno == ECONNABORTED) continue;
+    if (errno != EAGAIN) LogLine(Level::kWarn, "management: accept failed").Field("errno", errno);
+    return;
   }
 }
 
-void Management::OnBytes(SlotId id) {
-  Caller* c = callers_.Find(id);
-  if (c == nullptr) return;
-  const std::string_view in = c->stream.input();
-  if (c->answered) {  // One call a connection: what follows it is not read.
-    c->stream.Consume(in.size());
+void AdminServer::AddConnection(int fd) {
+  while (connections_.Size() >= kMaxConnections && !pending_.empty()) EvictOldestPending();
+  if (connections_.Size() >=
+      kMaxConnections) {  // All others have a response on its way; they are not cut off.
+    ++counters_.evicted;
+    close(fd);
     return;
   }
-  const std::size_t used = http_parser_execute(&c->parser, &settings_, in.data(), in.size());
-  if (callers_.Find(id) == nullptr) return;
-  c->stream.Consume(in.size());
-  if (c->answered) return;
-  const auto error = HTTP_PARSER_ERRNO(&c->parser);
-  if (error == HPE_CB_header_field || error == HPE_CB_header_value || error == HPE_CB_url) {
-    ++counts_.malformed;
-    return Answer(*c, 400, "request head too large");
-  }
-  if (error == HPE_CB_body) {
-    ++counts_.malformed;
-    return Answer(*c, 413, "request body too large");
-  }
-  if (error != HPE_OK || used != in.size()) {
-    ++counts_.malformed;
-    return Answer(*c, 400, http_errno_description(error));
-  }
-}
-
-int Management::OnUrl(http_parser* p, const char* at, std::size_t size) {
-  Caller& c = Of(p);
-  c.head += size;
-  if (c.target.size() + size > kMostTarget || c.head > kMostHead) return 1;
-  c.target.append(at, size);
-  return 0;
+  Connection& connection = connections_.Add(*this);
+  connection.pending_position = pending_.insert(pending_.end(), connection.id);
+  connection.timeout.Set(loop_.Now() + kRequestTimeout);
+  connection.stream.Adopt(fd);
 }
 
-int Management::OnHeaderPart(http_parser* p, const char* /*at*/, std::size_t size) {
-  Caller& c = Of(p);
-  c.head += size;
-  return c.head > kMostHead ? 1 : 0;
+void AdminServer::EvictOldestPending() {
+  ++counters_.evicted;
+  if (Connection* oldest = connections_.Find(pending_.front())) Close(*oldest);
 }
 
-int Management::OnHeadersComplete(http_parser* p) {
-  Caller& c = Of(p);
-  c.head_done = true;
-  c.method = http_method_str(static_cast<http_method>(p->method));
-  return 0;
+void AdminServer::OnBytes(SlotId id) {
+  Connection* connection = connections_.Find(id);
+  if (connection == nullptr) return;
+  const std::string_view input = connection->stream.input();
+  if (connection->responded) {  // One request a connection: what follows it is ignored.
+    connection->stream.Consume(input.size());
+    return;
+  }
+  const AdminRequestParser::Status status = connection->parser.Parse(input);
+  connection->stream.Consume(input.size());
+  switch (status) {
+    case AdminRequestParser::Status::kIncomplete:
+      return;
+    case AdminRequestParser::Status::kComplete:
+      return HandleRequest(*connection);
+    case AdminRequestParser::Status::kHeadTooLarge:
+      return RejectMalformed(*connection, 400, "request head too large");
+    case AdminRequestParser::Status::kBodyTooLarge:
+      return RejectMalformed(*connection, 413, "request body too large");
+    case AdminRequestParser::Status::kMalformed:
+      return RejectMalformed(*connection, 400, connection->parser.ErrorDescription());
+  }
 }
 
-int Management::OnBody(http_parser* p, const char* /*at*/, std::size_t size) {
-  Caller& c = Of(p);
-  c.body += size;
-  return c.body > kMostBody ? 1 : 0;
+void AdminServer::HandleRequest(Connection& connection) {
+  ++counters_.requests;
+  const RouteMatch match =
+      MatchRoute(connection.parser.Method(), connection.parser.Target(), handler_.HasFleet());
+  if (!match.call) {
+    ++counters_.rejected;
+    Respond(connection, match.status, match.status == 404 ? "no such call" : "method not allowed",
+            match.allow);
+    return;
+  }
+  const AdminResponse response = handler_.OnCall(*match.call);
+  Respond(connection, response.status, response.body);
 }
 
-// Answered at once; the parser is told to stop, for the one call of this connection is whole.
-int Management::OnMessageComplete(http_parser* p) {
-  Caller& c = Of(p);
-  Management& all = c.all;
-  ++all.counts_.calls;
-  const Route route = RouteOf(c.method, c.target, all.events_.HasFleet());
-  if (!route.call) {
-    ++all.counts_.refused;
-    all.Answer(c, route.status, route.status == 404 ? "no such call" : "method not allowed", route.allow);
-  } else {
-    const ManagementAnswer answer = all.events_.OnCall(*route.call);
-    all.Answer(c, answer.status, answer.body);
-  }
-  http_parser_pause(p, 1);
-  return 0;
+void AdminServer::RejectMalformed(Connection& connection, int status, std::string_view reason) {
+  ++counters_.malformed;
+  Respond(connection, status, reason);
 }
 
-void Management::Answer(Caller& c, int status, std::string_view body, std::string_view allow) {
-  if (c.answered) return;
-  c.answered = true;
-  if (status < 300) ++counts_.answered;
-  unanswered_.erase(c.place);
-  const bool ends_line = !body.empty() && body.back() == '\n';
-  const std::size_t length = body.size() + (ends_line ? 0 : 1);
-  std::string head =
-      "HTTP/1.1 " + std::to_string(status) + " " + std::string(Reason(status)) +
-      "\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: " + std::to_string(length) +
-      "\r\nCache-Control: no-store\r\nConnection: close\r\n";
-  if (!allow.empty()) head += "Allow: " + std::string(allow) + "\r\n";
-  head += "\r\n";
-  c.stream.Write({head, body, ends_line ? std::string_view() : std::string_view("\n")});
-  c.stream.Finish();
-  c.deadline.Set(loop_.Now() + kEndWait);
+void AdminServer::Respond(Connection& connection, int status, std::string_view body, std::string_view allow) {
+  if (connection.responded) return;
+  connection.responded = true;
+  if (status < 300) ++counters_.succeeded;
+  pending_.erase(connection.pending_position);
+  const std::string_view newline = !body.empty() && body.back() == '\n' ? "" : "\n";
+  const std::string head = FormatHead(status, body.size() + newline.size(), allow);
+  connection.stream.Write({head, body, newline});
+  connection.stream.Finish();
+  connection.timeout.Set(loop_.Now() + kLingerTimeout);
 }
 
-void Management::Drop(Caller& c) {
-  if (!c.answered) unanswered_.erase(c.place);
-  c.deadline.Cancel();
-  c.stream.Close();
-  callers_.Erase(c.id);
+void AdminServer::Close(Connection& connection) {
+  if (!connection.responded) pending_.erase(connection.pending_position);
+  connection.timeout.Cancel();
+  connection.stream.Close();
+  connections_.Erase(connection.id);
 }
 
-void Management::Due(SlotId id) {
-  Caller* c = callers_.Find(id);
-  if (c == nullptr) return;
-  if (!c->answered) ++counts_.unfinished;
-  Drop(*c);
+void AdminServer::OnTimeout(SlotId id) {
+  Connection* connection = connections_.Find(id);
+  if (connection == nullptr) return;
+  if (!connection->responded) ++counters_.timed_out;
+  Close(*connection);
 }
 
-void Management::OnEnd(SlotId id, ConnectionEnd end) {
-  Caller* c = callers_.Find(id);
-  if (c == nullptr) return;
-  // A caller that ended its sending with a whole request still waits for the answer.
-  if (!c->answered && end == ConnectionEnd::kFinished && !c->head_done) {
-    ++counts_.malformed;
-    Answer(*c, 400, "request ended before its head");
-    return;
+void AdminServer::OnEnd(SlotId id, ConnectionEnd end) {
+  Connection* connection = connections_.Find(id);
+  if (connection == nullptr) return;
+  const bool finished = end == ConnectionEnd::kFinished;
+  if (finished && !connection->responded && !connection->parser.IsHeadComplete()) {
+    return RejectMalformed(*connection, 400, "request ended before its head");
   }
-  if (c->answered && end == ConnectionEnd::kFinished && c->stream.Queued() > 0) return;
-  Drop(*c);
+  // A client that has only ended its sending still reads the response.
+  if (finished && connection->responded && connection->stream.Queued() > 0) return;
+  Close(*connection);
 }
 
-void Management::OnWritable(SlotId id) {
-  Caller* c = callers_.Find(id);
-  if (c != nullptr && c->answered && c->stream.PeerEnded()) Drop(*c);
+void AdminServer::OnWritable(SlotId id) {
+  Connection* connection = connections_.Find(id);
+  if (connection != nullptr && connection->responded && connection->stream.PeerEnded()) Close(*connection);
 }
 
 }  // namespace stoatrun
--- a/src/admin/metrics.cpp
+++ b/src/admin/metrics.cpp
@@ -2,25 +2,28 @@
 
 #include <fmt/format.h>
 
+#include <algorithm>
+#include <cstddef>
 #include <iterator>
 
 namespace stoatrun {
 
-std::string FormatFigures(const Figures& f) {
-  std::string out;
-  auto add = std::back_inserter(out);
-  for (std::size_t k = 0; k < f.class_names.size() && k < f.classes.size(); ++k) {
-    const std::string& name = f.class_names[k];
-    const ClassCounters& c = f.classes[k];
-    fmt::format_to(add, "edge_proxy.results.{}.succeeded={}\n", name, c.succeeded);
-    fmt::format_to(add, "edge_proxy.results.{}.declined={}\n", name, c.declined);
-    fmt::format_to(add, "edge_proxy.results.{}.aborted={}\n", name, c.aborted);
-    fmt::format_to(add, "edge_proxy.results.{}.forwards={}\n", name, c.forwards);
+std::string FormatMetrics(const Metrics& metrics) {
+  std::string text;
+  auto out = std::back_inserter(text);
+  const std::size_t classes = std::min(metrics.class_names.size(), metrics.classes.size());
+  for (std::size_t k = 0; k < classes; ++k) {
+    const std::string& name = metrics.class_names[k];
+    const ClassCounters& counters = metrics.classes[k];
+    fmt::format_to(out, "edge_proxy.results.{}.succeeded={}\n", name, counters.succeeded);
+    fmt::format_to(out, "edge_proxy.results.{}.declined={}\n", name, counters.declined);
+    fmt::format_to(out, "edge_proxy.results.{}.aborted={}\n", name, counters.aborted);
+    fmt::format_to(out, "edge_proxy.results.{}.forwards={}\n", name, counters.forwards);
   }
-  fmt::format_to(add, "edge_proxy.outstanding={}\n", f.outstanding);
-  fmt::format_to(add, "edge_proxy.discovered={}\n", f.discovered);
-  fmt::format_to(add, "edge_proxy.ejected={}\n", f.ejected);
-  return out;
+  fmt::format_to(out, "edge_proxy.outstanding={}\n", metrics.outstanding);
+  fmt::format_to(out, "edge_proxy.discovered={}\n", metrics.discovered);
+  fmt::format_to(out, "edge_proxy.ejected={}\n", metrics.ejected);
+  return text;
 }
 
 }  // namespace stoatrun
--- a/src/admin/routes.cpp
+++ b/src/admin/routes.cpp
@@ -5,27 +5,28 @@
 namespace stoatrun {
 namespace {
 
-struct Path {
+struct Route {
   std::string_view path, method;
-  ManagementCall call;
+  AdminCall call;
 };
 
-constexpr std::array kPaths{
-    Path{"/v1/readyz", "GET", ManagementCall::kReady},
-    Path{"/v1/metrics", "GET", ManagementCall::kMetrics},
-    Path{"/v1/relay/drain", "POST", ManagementCall::kDrain},
-    Path{"/v1/relay/activate", "POST", ManagementCall::kActivate},
-    Path{"/v1/fleet", "GET", ManagementCall::kFleet},
+constexpr std::array kRoutes{
+    Route{"/v1/readyz", "GET", AdminCall::kReady},
+    Route{"/v1/metrics", "GET", AdminCall::kMetrics},
+    Route{"/v1/relay/drain", "POST", AdminCall::kDrain},
+    Route{"/v1/relay/activate", "POST", AdminCall::kActivate},
+    Route{"/v1/fleet", "GET", AdminCall::kFleet},
 };
 
 }  // namespace
 
-Route RouteOf(std::string_view method, std::string_view target, bool fleet) {
+RouteMatch MatchRoute(std::string_view method, std::string_view target, bool has_fleet) {
   const std::string_view path = target.substr(0, target.find('?'));
-  for (const Path& p : kPaths) {
-    if (p.path != path || (p.call == ManagementCall::kFleet && !fleet)) continue;
-    if (method == p.method) return {p.call, 200, {}};
-    return {std::nullopt, 405, p.method};
+  for (const Route& route : kRoutes) {
+    if (route.path != path) continue;
+    if (route.call == AdminCall::kFleet && !has_fleet) continue;
+    if (method == route.method) return {route.call, 200, {}};
+    return {std::nullopt, 405, route.method};
   }
   return {std::nullopt, 404, {}};
 }
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -34,7 +34,7 @@
   SetLogForm(log.form() == config::Log::JSON ? LogForm::kJson : LogForm::kText);
 }
 
-class Service : private ManagementEvents {
+class Service : private AdminHandler {
  public:
   Service(const Common& common, const Config& config, const config::OperatorFile& file)
       : common_(common), file_(file) {
@@ -50,8 +50,8 @@
       transport_.emplace(loop_, FleetSetupOf(config, file.fleet()));
       seat_.emplace(loop_, *transport_, QuotasOf(config, file.fleet()));
     }
-    relay_.emplace(loop_, config, keeper_ ? &*keeper_ : nullptr, seat_ ? &*seat_ : nullptr);
-    if (config.management) management_.emplace(loop_, static_cast<ManagementEvents&>(*this));
+    proxy_.emplace(loop_, config, keeper_ ? &*keeper_ : nullptr, seat_ ? &*seat_ : nullptr);
+    if (config.management) admin_server_.emplace(loop_, static_cast<AdminHandler&>(*this));
     Watch(term_, SIGTERM, OnEnd);
     Watch(interrupt_, SIGINT, OnEnd);
     Watch(usr1_, SIGUSR1, OnPrint);
@@ -65,12 +65,12 @@
       transport_->Start();
       LogLine(Level::kInfo, "fleet").Field("name", file_.fleet().name()).Field("port", transport_->Port());
     }
-    relay_->Start();
-    if (management_) {
-      management_->Listen(*config.management);
+    proxy_->Start();
+    if (admin_server_) {
+      admin_server_->Listen(*config.management);
       LogLine(Level::kInfo, "management").Field("address", config.management_text);
     }
-    LogLine(Level::kInfo, "ready").Field("name", config.name).Field("port", relay_->Port());
+    LogLine(Level::kInfo, "ready").Field("name", config.name).Field("port", proxy_->Port());
     loop_.Run();
     if (transport_) transport_->Leave();
     const bool kept = !keeper_ || keeper_->Finish(kLedgerEnd);
@@ -86,13 +86,13 @@
     ev_signal_start(loop_.native_handle(), &w);
   }
   static Service& Of(ev_signal* w) { return *static_cast<Service*>(w->data); }
-  static void OnEnd(struct ev_loop* /*loop*/, ev_signal* w, int /*events*/) { Of(w).relay_->Drain(); }
+  static void OnEnd(struct ev_loop* /*loop*/, ev_signal* w, int /*events*/) { Of(w).proxy_->Drain(); }
   static void OnPrint(struct ev_loop* /*loop*/, ev_signal* w, int /*events*/) { Of(w).Print(); }
   static void OnReload(struct ev_loop* /*loop*/, ev_signal* w, int /*events*/) {
     try {
       Of(w).Reload();
     } catch (const std::exception& e) {  // None may pass through the loop's C frames.
-      Of(w).relay_->ReloadFailed(e.what());
+      Of(w).proxy_->ReloadFailed(e.what());
     }
   }
 
@@ -108,7 +108,7 @@
       LogLine(Level::kWarn, "reload takes a restart").Field("changed", field);
     for (const auto& field : change.taken_up) LogLine(Level::kInfo, "reload").Field("operator", field);
     SetUpLog(file.log(), config.log_level);
-    relay_->Reload(config);
+    proxy_->Reload(config);
     // What takes a restart stays as it is in force, so that the next reload tells of it again.
     *file_.mutable_log() = file.log();
     if (fleet && fleet->settings.self != transport_->LocalNode().Setup().self) {
@@ -120,25 +120,25 @@
   }
 
   bool HasFleet() const override { return transport_.has_value(); }
-  ManagementAnswer OnCall(ManagementCall call) override {
+  AdminResponse OnCall(AdminCall call) override {
     switch (call) {
-      case ManagementCall::kReady:
-        return relay_->Ready() ? ManagementAnswer{200, "ready"} : ManagementAnswer{503, "not ready"};
-      case ManagementCall::kMetrics: {
-        const Figures figures{relay_->ClassNames(), relay_->Counts().classes, relay_->Outstanding(),
-                              relay_->Discovered(), relay_->Ejected()};
-        return {200, FormatFigures(figures)};
+      case AdminCall::kReady:
+        return proxy_->Ready() ? AdminResponse{200, "ready"} : AdminResponse{503, "not ready"};
+      case AdminCall::kMetrics: {
+        const Metrics metrics{proxy_->ClassNames(), proxy_->Counts().classes, proxy_->Outstanding(),
+                              proxy_->Discovered(), proxy_->Ejected()};
+        return {200, FormatMetrics(metrics)};
       }
-      case ManagementCall::kDrain:
-        relay_->DrainByCall();
+      case AdminCall::kDrain:
+        proxy_->DrainByCall();
         return {200, "draining"};
-      case ManagementCall::kActivate:
-        relay_->Activate();
-        return relay_->Ready() ? ManagementAnswer{200, "active"} : ManagementAnswer{503, "ending"};
-      case ManagementCall::kFleet: {
+      case AdminCall::kActivate:
+        proxy_->Activate();
+        return proxy_->Ready() ? AdminResponse{200, "active"} : AdminResponse{503, "ending"};
+      case AdminCall::kFleet: {
         const fleet::GossipTransportCounts& c = transport_->Counts();
         return {200, fleet::StatusJson(
-                         transport_->LocalNode(), transport_->Name(), relay_->ClassNames(), loop_.Now(),
+                         transport_->LocalNode(), transport_->Name(), proxy_->ClassNames(), loop_.Now(),
                          {c.not_ours + c.other_schema + c.damaged + c.malformed, c.wrong_address})};
       }
     }
@@ -148,11 +148,11 @@
   void Print() {
     if (keeper_) keeper_->CheckNow();
     LogLine record(Level::kInfo, "counters");
-    AddFields(record, relay_->Counts());
+    AddFields(record, proxy_->Counts());
     if (keeper_) keeper_->AddFields(record);
     if (courier_) courier_->AddFields(record);
     if (transport_) {
-      record.Field("legs_held_back", relay_->Counts().legs_held_back);
+      record.Field("legs_held_back", proxy_->Counts().legs_held_back);
       transport_->AddFields(record);
     }
   }
@@ -164,8 +164,8 @@
   std::optional<ledger::Courier> courier_;
   std::optional<fleet::GossipTransport> transport_;
   std::optional<fleet::FleetMember> seat_;
-  std::optional<Proxy> relay_;  // Ends before what it tells.
-  std::optional<Management> management_;
+  std::optional<Proxy> proxy_;  // Ends before what it tells.
+  std::optional<AdminServer> admin_server_;
   ev_signal term_{}, interrupt_{}, usr1_{}, hangup_{};
 };
 
--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/operator_file_test.cpp
@@ -1,17 +1,18 @@
-// The operator file and the log's forms.
+// The operator file: its errors, what a reload takes up; and the text of JSON log records.
+#include "config/operator_file.h"
+
 #include <fmt/format.h>
 
 #include <catch2/catch.hpp>
 #include <string>
 
 #include "base/log.h"
-#include "config/operator_file.h"
 
 namespace stoatrun {
 namespace {
 
-TEST_CASE("a fault in the operator file is named by line, column and field") {
-  const auto fault = [](const char* text) -> std::string {
+TEST_CASE("an error in the operator file is reported with line, column and field") {
+  const auto error = [](const char* text) -> std::string {
     try {
       ParseOperatorText(text, "f");
     } catch (const OperatorError& e) {
@@ -19,15 +20,15 @@
     }
     return "none";
   };
-  CHECK(fault("log {\n  level: DEBUG\n}") == "none");
-  CHECK_THAT(fault("log {\n  levle: DEBUG\n}"), Catch::StartsWith("f:2:8: ") && Catch::Contains("levle"));
-  CHECK_THAT(fault("log {\n  level: LOUD\n}"), Catch::StartsWith("f:2:10: ") && Catch::Contains("LOUD"));
-  CHECK_THAT(fault("log {\n"), Catch::StartsWith("f:2:1: "));
-  CHECK_THAT(fault("log { level: DEBUG level: INFO }"), Catch::Contains("level"));
+  CHECK(error("log {\n  level: DEBUG\n}") == "none");
+  CHECK_THAT(error("log {\n  levle: DEBUG\n}"), Catch::StartsWith("f:2:8: ") && Catch::Contains("levle"));
+  CHECK_THAT(error("log {\n  level: LOUD\n}"), Catch::StartsWith("f:2:10: ") && Catch::Contains("LOUD"));
+  CHECK_THAT(error("log {\n"), Catch::StartsWith("f:2:1: "));
+  CHECK_THAT(error("log { level: DEBUG level: INFO }"), Catch::Contains("level"));
 }
 
-TEST_CASE("a fleet's section is checked as a whole, each fault at its place") {
-  const auto fault = [](const std::string& peers) -> std::string {
+TEST_CASE("the fleet section is validated in full, each error reported at its position") {
+  const auto error = [](const std::string& peers) -> std::string {
     try {
       ParseOperatorText("fleet {\n  name: \"f\" places: 2\n" + peers + "}", "f");
     } catch (const OperatorError& e) {
@@ -35,24 +36,24 @@
     }
     return "none";
   };
-  const std::string n0 = "  peer { place: 0 name: \"n0\" address: \"127.0.0.1:1\" }\n";
-  CHECK(fault(n0) == "none");
-  CHECK(fault(n0 + "  peer { place: 2 name: \"n1\" address: \"127.0.0.1:2\" }\n") ==
+  const std::string peer = "  peer { place: 0 name: \"n0\" address: \"127.0.0.1:1\" }\n";
+  CHECK(error(peer) == "none");
+  CHECK(error(peer + "  peer { place: 2 name: \"n1\" address: \"127.0.0.1:2\" }\n") ==
         "f:4:3: fleet.peer.place: 2 is out of range, the fleet has 2 places");
-  CHECK(fault(n0 + "  peer { place: 0 name: \"n1\" address: \"127.0.0.1:2\" }\n") ==
+  CHECK(error(peer + "  peer { place: 0 name: \"n1\" address: \"127.0.0.1:2\" }\n") ==
         "f:4:3: fleet.peer.place: 0 is n0's already");
-  CHECK_THAT(fault(n0 + "  peer { place: 1 name: \"n0\" address: \"127.0.0.1:1\" }\n"),
+  CHECK_THAT(error(peer + "  peer { place: 1 name: \"n0\" address: \"127.0.0.1:1\" }\n"),
              Catch::Contains("fleet.peer.name: 'n0' is there twice") &&
                  Catch::Contains("fleet.peer.address: 127.0.0.1:1 is n0's already"));
-  CHECK_THAT(fault("  budget { kind: PROBES units: 0 }\n"),
+  CHECK_THAT(error("  budget { kind: PROBES units: 0 }\n"),
              Catch::Contains("fleet.budget.units: 0 is out of range"));
-  CHECK_THAT(fault("  budget { kind: PROBES units: 1 }\n  budget { kind: PROBES units: 2 }\n"),
+  CHECK_THAT(error("  budget { kind: PROBES units: 1 }\n  budget { kind: PROBES units: 2 }\n"),
              Catch::StartsWith("f:4:3: fleet.budget.kind: PROBES is there twice"));
-  CHECK_THAT(fault("  peer { place: 1 name: \"n 1\" address: \"here\" }\n"),
+  CHECK_THAT(error("  peer { place: 1 name: \"n 1\" address: \"here\" }\n"),
              Catch::Contains("expected a name") && Catch::Contains("expected IP:PORT"));
 }
 
-TEST_CASE("what a reload takes up is told apart from what needs a restart") {
+TEST_CASE("a reload separates the fields it takes up from those that need a restart") {
   const auto base = ParseOperatorText("", "f");
   CHECK(CompareOperatorFiles(base, ParseOperatorText("log { level: INFO }", "f")).taken_up.empty());
   const auto change = CompareOperatorFiles(base, ParseOperatorText("log { level: DEBUG form: JSON }", "f"));
@@ -61,7 +62,7 @@
   CHECK_THAT(ShowOperatorFile(base), Catch::Contains("level: INFO") && Catch::Contains("form: TEXT"));
 }
 
-TEST_CASE("text in JSON records is valid whatever a caller sent") {
+TEST_CASE("text in JSON log records is valid UTF-8 whatever a client sent") {
   const auto json = [](std::string_view text) {
     fmt::memory_buffer out;
     AppendJsonText(out, text);
