--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -74,6 +74,7 @@
   void Stop();
   // The bound port; 0 if the server does not listen.
   int Port() const;
+  // What the server has done so far.
   const AdminCounters& Counts() const { return counters_; }
 
   void OnBytes(SlotId id) override;
--- a/src/admin/request_parser.h
+++ b/src/admin/request_parser.h
@@ -32,8 +32,9 @@
 
   // Whether the request line and all header fields have been parsed.
   bool IsHeadComplete() const { return head_complete_; }
-  // The method and the request target; valid once the request is complete.
+  // The method; valid once the request is complete.
   const std::string& Method() const { return method_; }
+  // The request target with its query; valid once the request is complete.
   const std::string& Target() const { return target_; }
   // What is wrong with the request, in English; valid after kMalformed.
   std::string_view ErrorDescription() const;
--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -1,4 +1,5 @@
-// `stoatrun check`: what both files would put in force, without starting anything.
+// `stoatrun check`: prints the configuration and the operator file as they would be in force, and starts
+// nothing.
 #include <iostream>
 
 #include "cli/cli.h"
@@ -7,8 +8,8 @@
 
 namespace stoatrun::cli {
 
-int Check(const Common& common) {
-  const config::OperatorFile file = LoadOperatorFile(common.operator_path);
+int Check(const GlobalOptions& options) {
+  const config::OperatorFile file = LoadOperatorFile(options.operator_path);
   const Config config = LoadConfig(LoadAt::kStart);
   std::cout << "# configuration\nname: " << config.name << "\nlisten: " << config.listen_text;
   if (config.accept_fd) std::cout << " (handed down as descriptor " << *config.accept_fd << ")";
@@ -17,7 +18,7 @@
             << "\nclasses:";
   for (const auto& name : config.site.class_names) std::cout << ' ' << name;
   std::cout << "\n\n# operator file\n" << ShowOperatorFile(file);
-  return kDone;
+  return kSuccess;
 }
 
 }  // namespace stoatrun::cli
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -2,7 +2,6 @@
 
 #include <CLI/CLI.hpp>
 #include <exception>
-#include <functional>
 #include <iostream>
 
 #include "config/config.h"
@@ -10,49 +9,61 @@
 #include "ledger/io/store.h"
 
 namespace stoatrun::cli {
+namespace {
 
-int Main(int argc, char** argv) {
-  CLI::App app("A relay for long-lived count sessions. Without a sub-command it does what `run` does.",
-               "stoatrun");
+void AddCommands(CLI::App& app, GlobalOptions& options, Command& selected) {
   app.set_version_flag("--version", "stoatrun " STOATRUN_VERSION);
   app.require_subcommand(0, 1);
   app.fallthrough();
-  Common common;
-  app.add_option("--operator", common.operator_path, "operator file, in protobuf text format")
+  app.add_option("--operator", options.operator_path, "operator file, in protobuf text format")
       ->envname("STOATRUN_OPERATOR")
       ->type_name("FILE");
-  std::function<int()> act = [&] { return Run(common); };
   app.add_subcommand("run", "serve, configured by PROXY_CONFIG and the operator file")->callback([&] {
-    act = [&] { return Run(common); };
+    selected = [&options] { return Run(options); };
   });
   app.add_subcommand("check", "read both files and print what would be in force")->callback([&] {
-    act = [&] { return Check(common); };
+    selected = [&options] { return Check(options); };
   });
-  AddLedger(app, common, act);
-  AddFleet(app, act);
-  try {
-    app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? kDone : kBadUsage;
-  }
+  AddLedger(app, options, selected);
+  AddFleet(app, selected);
+}
+
+// Runs `command`; prints an error and returns the exit code for it.
+int RunCommand(const Command& command) {
   try {
-    return act();
+    return command();
   } catch (const CLI::Error& e) {
     std::cerr << "stoatrun: " << e.what() << '\n';
-    return kBadUsage;
+    return kUsageError;
   } catch (const ledger::StoreError& e) {
     std::cerr << "stoatrun: " << e.what() << '\n';
-    return e.fault == ledger::StoreFault::kRefused ? kBadUsage : kFailed;
+    return e.fault == ledger::StoreFault::kRefused ? kUsageError : kFailure;
   } catch (const ConfigError& e) {
     std::cerr << "stoatrun: bad configuration: " << e.what() << '\n';
-    return kBadUsage;
+    return kUsageError;
   } catch (const OperatorError& e) {
     std::cerr << "stoatrun: bad operator file:\n" << e.what() << '\n';
-    return kBadUsage;
+    return kUsageError;
   } catch (const std::exception& e) {
     std::cerr << "stoatrun: " << e.what() << '\n';
-    return kFailed;
+    return kFailure;
+  }
+}
+
+}  // namespace
+
+int Main(int argc, char** argv) {
+  CLI::App app("A relay for long-lived count sessions. Without a sub-command it does what `run` does.",
+               "stoatrun");
+  GlobalOptions options;
+  Command selected = [&options] { return Run(options); };
+  AddCommands(app, options, selected);
+  try {
+    app.parse(argc, argv);
+  } catch (const CLI::ParseError& e) {
+    return app.exit(e) == 0 ? kSuccess : kUsageError;
   }
+  return RunCommand(selected);
 }
 
 }  // namespace stoatrun::cli
--- a/src/cli/cli.h
+++ b/src/cli/cli.h
@@ -1,31 +1,48 @@
-// The command line: one file a sub-command; the only place that wires the parts together.
+// The command line: the top level, and what the files of the sub-commands share.
 //
-// Exit codes: 0 done, 1 failed, 2 bad usage or configuration, 3 a check found something wrong.
+// Each sub-command has a file of its own. Errors are exceptions up to Main, which prints them on standard
+// error and maps them to exit codes. Everything runs on the main thread unless a command says otherwise.
 #ifndef STOATRUN_CLI_CLI_H_
 #define STOATRUN_CLI_CLI_H_
 
 #include <functional>
 #include <string>
 
-namespace CLI {
+namespace CLI {  // NOLINT(readability-identifier-naming): the name of the CLI11 library.
 class App;
 }
 
 namespace stoatrun::cli {
 
-enum Exit { kDone = 0, kFailed = 1, kBadUsage = 2, kFoundWrong = 3 };
+// Exit codes of the program.
+enum ExitCode {
+  kSuccess = 0,
+  kFailure = 1,      // An error at run time.
+  kUsageError = 2,   // Bad arguments, configuration or operator file.
+  kCheckFailed = 3,  // A check ran and found something wrong.
+};
 
-struct Common {
-  std::string operator_path;  // From --operator or STOATRUN_OPERATOR; empty: none.
+// Options that all sub-commands take.
+struct GlobalOptions {
+  std::string operator_path;  // From --operator or STOATRUN_OPERATOR; empty: no operator file.
 };
 
+// A sub-command with its options bound; returns the exit code.
+using Command = std::function<int()>;
+
+// Parses the arguments, runs the command and returns the exit code. Does not throw.
 int Main(int argc, char** argv);
 
-int Run(const Common& common);
-int Check(const Common& common);
-// Add `ledger`, `fleet` and their own sub-commands; the one that is called sets `act`.
-void AddLedger(CLI::App& app, const Common& common, std::function<int()>& act);
-void AddFleet(CLI::App& app, std::function<int()>& act);
+// `run`: serves until a signal ends it. Throws ConfigError, OperatorError and std::system_error.
+int Run(const GlobalOptions& options);
+// `check`: prints both files as they would be in force. Throws ConfigError and OperatorError.
+int Check(const GlobalOptions& options);
+
+// Adds `ledger` with its own sub-commands to `app`. Parsing sets `selected` to the one that is called;
+// `options` and `selected` outlive the parsing and the call.
+void AddLedger(CLI::App& app, const GlobalOptions& options, Command& selected);
+// Adds `fleet` likewise.
+void AddFleet(CLI::App& app, Command& selected);
 
 }  // namespace stoatrun::cli
 
--- a/src/cli/fleet_setup.cpp
+++ b/src/cli/fleet_setup.cpp
@@ -8,64 +8,91 @@
 #include "fleet/hint_builder.h"
 
 namespace stoatrun::cli {
+namespace {
 
-std::vector<std::string> QuotasOf(const Config& config, const config::Fleet& file) {
-  std::vector<std::string> out;
-  for (const auto& group : config.site.groups) {
-    if (file.quotas() && group.quota >= 0) out.push_back(group.name);
-  }
-  return out;
-}
+// A connection quota is a level: a unit is returned when its connection ends, not after a time.
+constexpr Micros kNoWindow{0};
 
-fleet::GossipTransportSetup FleetSetupOf(const Config& config, const config::Fleet& file) {
-  fleet::GossipTransportSetup setup;
-  fleet::Settings& s = setup.settings;
-  s.fleet = file.name();
-  s.slots = file.places();
-  setup.name = config.name;
-  // Not the configuration's: where that one stays the same, a new run must not be taken for its former self.
+std::uint64_t RandomSeed() {
   std::random_device entropy;
-  setup.seed = std::uint64_t{entropy()} << 32U | entropy();
-  setup.wall_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
-                      std::chrono::system_clock::now().time_since_epoch())
-                      .count();
-  bool named = false;
-  for (const config::FleetPeer& p : file.peer()) {
-    const Address address = *Address::Parse(p.address());  // Its form was checked when the file was read.
-    if (p.name() == config.name) {
-      named = true;
-      s.self = p.place();
-      setup.listen_text = p.has_listen() ? p.listen() : p.address();
+  return std::uint64_t{entropy()} << 32U | entropy();
+}
+
+std::int64_t WallClockMs() {
+  const auto now = std::chrono::system_clock::now().time_since_epoch();
+  return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
+}
+
+void AddPeers(const Config& config, const config::Fleet& file, fleet::GossipTransportSetup& setup) {
+  bool found_self = false;
+  for (const config::FleetPeer& peer : file.peer()) {
+    const Address address = *Address::Parse(peer.address());  // Validated when the file was read.
+    if (peer.name() == config.name) {
+      found_self = true;
+      setup.settings.self = peer.place();
+      setup.listen_text = peer.has_listen() ? peer.listen() : peer.address();
       setup.listen = *Address::Parse(setup.listen_text);
     } else {
-      s.peers.push_back({p.place(), p.name()});
-      setup.addresses[p.place()] = address;
+      setup.settings.peers.push_back({peer.place(), peer.name()});
+      setup.addresses[peer.place()] = address;
     }
   }
-  if (!named) throw OperatorError("fleet.peer: none is named '" + config.name + "', as this relay is");
-  for (const config::FleetBudget& b : file.budget()) {
-    const Micros window = std::chrono::milliseconds(b.window_ms());
-    switch (b.kind()) {
+  if (!found_self) throw OperatorError("fleet.peer: none is named '" + config.name + "', as this relay is");
+}
+
+// Rate quotas of the operator file.
+void AddRateQuotas(const config::Fleet& file, fleet::Settings& settings) {
+  for (const config::FleetBudget& budget : file.budget()) {
+    const Micros window = std::chrono::milliseconds(budget.window_ms());
+    switch (budget.kind()) {
       case config::FleetBudget::COLD_SENDS:
-        s.each.push_back({"cold", b.units(), window});
+        settings.each.push_back({"cold", budget.units(), window});
         break;
       case config::FleetBudget::ATTEMPTS:
-        s.budgets.push_back({"attempts", b.units(), window});
+        settings.budgets.push_back({"attempts", budget.units(), window});
         break;
       case config::FleetBudget::PROBES:
-        s.budgets.push_back({"probes", b.units(), window});
+        settings.budgets.push_back({"probes", budget.units(), window});
         break;
     }
   }
+}
+
+// The groups' connection quotas of the configuration, rounded down.
+void AddConnectionQuotas(const Config& config, const config::Fleet& file, fleet::Settings& settings) {
   for (const auto& group : config.site.groups) {
     if (!file.quotas() || group.quota < 0) continue;
-    s.budgets.push_back({fleet::HintBuilder::Quota(group.name),
-                         static_cast<std::uint32_t>(std::floor(group.quota)), Micros(0)});
+    const auto units = static_cast<std::uint32_t>(std::floor(group.quota));
+    settings.budgets.push_back({fleet::HintBuilder::Quota(group.name), units, kNoWindow});
   }
-  s.stale = std::chrono::milliseconds(file.stale_ms());
-  s.taken_per_s = file.most_taken_per_s();
-  s.most_open = file.most_open();
-  s.most_avoided = file.most_avoided_percent() / 100.0;
+}
+
+}  // namespace
+
+std::vector<std::string> FleetQuotaGroups(const Config& config, const config::Fleet& file) {
+  std::vector<std::string> names;
+  for (const auto& group : config.site.groups) {
+    if (file.quotas() && group.quota >= 0) names.push_back(group.name);
+  }
+  return names;
+}
+
+fleet::GossipTransportSetup MakeGossipTransportSetup(const Config& config, const config::Fleet& file) {
+  fleet::GossipTransportSetup setup;
+  fleet::Settings& settings = setup.settings;
+  settings.fleet = file.name();
+  settings.slots = file.places();
+  setup.name = config.name;
+  // Not the configuration's seed, which may stay the same over a restart: peers must tell the runs apart.
+  setup.seed = RandomSeed();
+  setup.wall_ms = WallClockMs();
+  AddPeers(config, file, setup);
+  AddRateQuotas(file, settings);
+  AddConnectionQuotas(config, file, settings);
+  settings.stale = std::chrono::milliseconds(file.stale_ms());
+  settings.taken_per_s = file.most_taken_per_s();
+  settings.most_open = file.most_open();
+  settings.most_avoided = file.most_avoided_percent() / 100.0;
   return setup;
 }
 
--- a/src/cli/fleet_setup.h
+++ b/src/cli/fleet_setup.h
@@ -1,4 +1,5 @@
-// From the two files to the fleet's socket.
+// Translates the configuration and the operator file into the settings of the fleet's gossip. Pure, except
+// for the seed and the start time, which are read here.
 #ifndef STOATRUN_CLI_FLEET_SETUP_H_
 #define STOATRUN_CLI_FLEET_SETUP_H_
 
@@ -11,11 +12,12 @@
 
 namespace stoatrun::cli {
 
-// Throws OperatorError if this relay is not named among the peers.
-fleet::GossipTransportSetup FleetSetupOf(const Config& config, const config::Fleet& file);
+// The settings of this relay's gossip transport. Throws OperatorError if the relay is not named among the
+// peers. `file` has been validated.
+fleet::GossipTransportSetup MakeGossipTransportSetup(const Config& config, const config::Fleet& file);
 
-// The groups whose connections count against a budget of all relays.
-std::vector<std::string> QuotasOf(const Config& config, const config::Fleet& file);
+// The groups whose connections count against a quota of the whole fleet.
+std::vector<std::string> FleetQuotaGroups(const Config& config, const config::Fleet& file);
 
 }  // namespace stoatrun::cli
 
--- a/src/cli/ledger.cpp
+++ b/src/cli/ledger.cpp
@@ -1,23 +1,23 @@
 // `stoatrun ledger ...`: reads a relay's ledger, enters corrections, exports, and reconciles exports.
 #include <fmt/format.h>
-#include <google/protobuf/util/json_util.h>
 
 #include <CLI/CLI.hpp>
 #include <algorithm>
-#include <array>
-#include <charconv>
 #include <chrono>
 #include <cstdint>
-#include <ctime>
 #include <iostream>
-#include <map>
+#include <memory>
+#include <optional>
 #include <string>
 #include <thread>
+#include <utility>
 #include <vector>
 
 #include "cli/cli.h"
-#include "cli/ledger_setup.h"
+#include "cli/ledger_format.h"
+#include "cli/reconcile_report.h"
 #include "cli/table.h"
+#include "cli/usage_report.h"
 #include "config/operator_file.h"
 #include "ledger/io/export_file.h"
 #include "ledger/io/store.h"
@@ -26,228 +26,193 @@
 namespace {
 
 using ledger::Store;
-using ledger::wire::Record;
 
+// The options of all `ledger` sub-commands.
 struct Options {
-  const Common* common = nullptr;
-  std::string folder, format = "table", period, group, reason, by, reference, out;
+  const GlobalOptions* global = nullptr;
+  std::string folder, format = "table", period, group, reason, author, reference, output_path;
   std::int64_t seconds = 0;
-  std::uint64_t since = 1;
+  std::uint64_t first_record = 1;
   std::vector<std::string> paths;
   unsigned threads = 0;
 };
 
-Store OpenStore(const Options& o) {
-  std::string folder = o.folder;
+using Handler = int (*)(const Options&);
+
+Store OpenStore(const Options& options) {
+  std::string folder = options.folder;
   if (folder.empty()) {
-    const config::OperatorFile file = LoadOperatorFile(o.common->operator_path);
-    if (!file.has_ledger())
+    const config::OperatorFile file = LoadOperatorFile(options.global->operator_path);
+    if (!file.has_ledger()) {
       throw OperatorError("no ledger: give --folder, or an operator file that sets one");
+    }
     folder = file.ledger().folder();
   }
-  return Store({folder, "", "", nullptr, false, 0});
-}
-
-std::int64_t WallUs() {
-  return std::chrono::duration_cast<std::chrono::microseconds>(
-             std::chrono::system_clock::now().time_since_epoch())
-      .count();
-}
-
-// 2026-12-01T05:00:00Z, or Unix time.
-std::int64_t PeriodOf(const std::string& text) {
-  std::int64_t unix_s = 0;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), unix_s);
-  if (error == std::errc() && end == text.data() + text.size()) return unix_s;
-  std::tm utc{};
-  const char* rest = strptime(text.c_str(), "%Y-%m-%dT%H:%M:%SZ", &utc);
-  if (rest == nullptr || *rest != '\0') {
-    throw CLI::ValidationError("--period", "expected 2026-12-01T05:00:00Z or Unix time, got '" + text + "'");
-  }
-  return timegm(&utc);
+  ledger::StoreSetup setup;
+  setup.folder = folder;
+  setup.lock_folder = false;  // The relay may be running.
+  return Store(setup);
 }
 
-std::string When(std::int64_t unix_s) {
-  const std::time_t t = unix_s;
-  std::tm utc{};
-  gmtime_r(&t, &utc);
-  std::array<char, 32> text{};
-  return {text.data(), std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%SZ", &utc)};
+std::int64_t WallClockUs() {
+  const auto now = std::chrono::system_clock::now().time_since_epoch();
+  return std::chrono::duration_cast<std::chrono::microseconds>(now).count();
 }
 
-std::string Seconds(std::int64_t us) {
-  const char* sign = us < 0 ? "-" : "";
-  const auto most = static_cast<std::uint64_t>(us < 0 ? -us : us);
-  return fmt::format("{}{}.{:06}", sign, most / 1'000'000, most % 1'000'000);
-}
-
-int Show(const Options& o) {
-  Store store = OpenStore(o);
-  Table table({"period", "state", "group", "use_s", "within_s", "beyond_s", "corrected_s", "record"}, 3);
-  const bool one = !o.period.empty();
-  const std::int64_t wanted = one ? PeriodOf(o.period) : 0;
-  const auto fits = [&](std::int64_t start, const std::string& group) {
-    return (!one || start == wanted) && (o.group.empty() || group == o.group);
-  };
-  std::map<std::pair<std::int64_t, std::string>, std::int64_t> corrected;
-  std::uint64_t unattested = 0;
-  std::vector<std::pair<std::uint64_t, Record>> uses;
-  store.EachRecord(1, [&](const ledger::StoredRecord& r) {
-    const auto parts = ledger::SplitLine(r.line);
-    const auto record = parts ? ledger::ParseRecord(parts->record) : std::nullopt;
-    if (!record)
-      throw std::runtime_error(fmt::format("record {} is damaged: run stoatrun ledger verify", r.seq));
-    if (record->has_correction()) {
-      const auto& c = record->correction();
-      corrected[{c.period_start_s(), c.group()}] += c.seconds();
-    }
-    unattested += record->has_unattested() ? 1 : 0;
-    if (record->has_use() && fits(record->use().period_start_s(), record->use().group())) {
-      uses.emplace_back(r.seq, *record);
-    }
-  });
-  for (const auto& [seq, record] : uses) {
-    const auto& u = record.use();
-    const auto it = corrected.find({u.period_start_s(), u.group()});
-    // A correction is told once, at the period's first record of the group.
-    const std::int64_t add = it != corrected.end() && u.supplement() == 0 ? it->second : 0;
-    if (u.supplement() == 0 && it != corrected.end()) corrected.erase(it);
-    table.Add({When(u.period_start_s()),
-               u.supplement() == 0 ? "closed" : fmt::format("supplement {}", u.supplement()), u.group(),
-               Seconds(u.use_us()), Seconds(u.within_us()), Seconds(u.beyond_us()), std::to_string(add),
-               std::to_string(seq)});
-  }
-  for (const auto& [key, add] : corrected) {  // Groups that have no record of their own there.
-    if (fits(key.first, key.second)) {
-      table.Add({When(key.first), "correction", key.second, "0.000000", "0.000000", "0.000000",
-                 std::to_string(add), ""});
-    }
-  }
-  for (const ledger::OpenUse& u : store.OpenPeriods()) {
-    if (fits(u.period_start_s, u.use.name)) {
-      table.Add({When(u.period_start_s), "open", u.use.name, Seconds(u.use.use_us), Seconds(u.use.within_us),
-                 Seconds(u.use.BeyondUs()), "0", ""});
-    }
-  }
-  table.Print(std::cout, o.format);
+int Show(const Options& options) {
+  Store store = OpenStore(options);
+  UsageFilter filter{.period_start_s = std::nullopt, .group = options.group};
+  if (!options.period.empty()) filter.period_start_s = ParsePeriodStart(options.period);
+  UsageReport report(filter);
+  store.EachRecord(1, [&](const ledger::StoredRecord& record) { report.AddRecord(record); });
+  report.MakeTable(store.OpenPeriods()).Print(std::cout, ParseOutputFormat(options.format));
   const ledger::StoreState state = store.State();
   std::cerr << fmt::format("ledger of {}, book {}: {} records, {} delivered, {} unattested intervals\n",
-                           state.relay, state.book, state.head_seq, state.delivered_seq, unattested);
-  return kDone;
+                           state.relay, state.book, state.head_seq, state.delivered_seq,
+                           report.UnattestedIntervals());
+  return kSuccess;
 }
 
-int Verify(const Options& o) {
-  std::vector<std::string> wrong;
+int Verify(const Options& options) {
+  std::vector<std::string> faults;
   try {
-    wrong = OpenStore(o).Verify();
+    faults = OpenStore(options).Verify();
   } catch (const ledger::StoreError& e) {
     if (e.fault != ledger::StoreFault::kDamaged) throw;
-    wrong.emplace_back(e.what());
+    faults.emplace_back(e.what());
   }
   Table table({"fault"}, 1);
-  for (const std::string& w : wrong) table.Add({w});
-  if (!wrong.empty() || o.format != "table") table.Print(std::cout, o.format);
-  if (wrong.empty()) std::cerr << "every page, every record and every sum holds\n";
-  return wrong.empty() ? kDone : kFoundWrong;
+  for (const std::string& fault : faults) table.Add({fault});
+  const OutputFormat format = ParseOutputFormat(options.format);
+  if (!faults.empty() || format != OutputFormat::kTable) table.Print(std::cout, format);
+  if (faults.empty()) std::cerr << "every page, every record and every sum holds\n";
+  return faults.empty() ? kSuccess : kCheckFailed;
 }
 
-int Export(const Options& o) {
-  Store store = OpenStore(o);
-  const ledger::FileEnd end = ledger::WriteExport(store, o.since, o.out);
-  if (end.to < end.from) {
-    std::cerr << fmt::format("{}: no records from {} on\n", o.out, end.from);
+int Export(const Options& options) {
+  Store store = OpenStore(options);
+  const std::string& path = options.output_path;
+  const ledger::FileEnd written = ledger::WriteExport(store, options.first_record, path);
+  if (written.to < written.from) {
+    std::cerr << fmt::format("{}: no records from {} on\n", path, written.from);
   } else {
-    std::cerr << fmt::format("{}: records {} to {} of {}\n", o.out, end.from, end.to, end.relay);
+    std::cerr << fmt::format("{}: records {} to {} of {}\n", path, written.from, written.to, written.relay);
   }
-  return kDone;
+  return kSuccess;
+}
+
+int Correct(const Options& options) {
+  Store store = OpenStore(options);
+  ledger::Correct correction;
+  correction.group = options.group;
+  correction.period_start_s = ParsePeriodStart(options.period);
+  correction.seconds = options.seconds;
+  correction.reason = options.reason;
+  correction.by = options.author;
+  correction.reference = options.reference;
+  correction.wall_us = WallClockUs();
+  const std::uint64_t record = store.Enter(correction);
+  std::cout << "entered as record " << record << '\n';
+  return kSuccess;
 }
 
-int Correct(const Options& o) {
-  Store store = OpenStore(o);
-  const std::uint64_t seq =
-      store.Enter({o.group, PeriodOf(o.period), o.seconds, o.reason, o.by, o.reference, WallUs()});
-  std::cout << "entered as record " << seq << '\n';
-  return kDone;
+int Reconcile(const Options& options) {
+  const unsigned threads =
+      options.threads != 0 ? options.threads : std::max(1U, std::thread::hardware_concurrency());
+  const ledger::Reconciled result = ledger::ReconcileFiles(options.paths, threads);
+  PrintReconcileReport(std::cout, result, ParseOutputFormat(options.format));
+  std::cerr << fmt::format(
+      "{} relays, {} books, {} files, {} records, {} duplicates, {} clock steps, {} faults\n", result.relays,
+      result.books, result.files, result.records, result.duplicates, result.clock_steps,
+      result.faults.size() + result.faults_left_out);
+  return result.faults.empty() ? kSuccess : kCheckFailed;
 }
 
-int Reconcile(const Options& o) {
-  const unsigned threads = o.threads != 0 ? o.threads : std::max(1U, std::thread::hardware_concurrency());
-  const ledger::Reconciled r = ledger::ReconcileFiles(o.paths, threads);
-  Table totals({"period", "group", "use_s", "within_s", "beyond_s", "corrected_s", "relay_records"}, 2);
-  for (const auto& [key, t] : r.totals) {
-    totals.Add({When(key.first), key.second, Seconds(t.use_us), Seconds(t.within_us), Seconds(t.beyond_us),
-                std::to_string(t.corrected_s), std::to_string(t.records)});
+// Adds the sub-commands and their options to `ledger`.
+class CommandBuilder {
+ public:
+  CommandBuilder(CLI::App& ledger, std::shared_ptr<Options> options, Command& selected)
+      : ledger_(ledger), options_(std::move(options)), selected_(selected) {}
+
+  void AddShow() {
+    CLI::App* show = Add("show", "use per period and group, closed and open", Show);
+    AddFormat(show);
+    AddFolder(show);
+    show->add_option("--period", options_->period, "start of one period, 2026-12-01T05:00:00Z or Unix time");
+    show->add_option("--group", options_->group, "one group");
   }
-  Table corrections({"relay", "record", "corrects", "period", "group", "seconds", "by", "reason"}, 3);
-  for (const auto& c : r.corrections) {
-    corrections.Add({c.relay, std::to_string(c.seq), std::to_string(c.entry.original_seq()),
-                     When(c.entry.period_start_s()), c.entry.group(), std::to_string(c.entry.seconds()),
-                     c.entry.by(), c.entry.reason()});
+
+  void AddVerify() {
+    CLI::App* verify = Add("verify", "check every page, record and sum", Verify);
+    AddFormat(verify);
+    AddFolder(verify);
   }
-  Table unattested({"relay", "record", "from", "to", "open", "bound_s", "unkept_s"}, 4);
-  for (const auto& u : r.unattested) {
-    std::uint64_t open = 0;
-    std::int64_t bound = 0;
-    for (const auto& c : u.entry.open()) {
-      open += c.open();
-      bound += c.bound_us();
-    }
-    unattested.Add({u.relay, std::to_string(u.seq), When(u.entry.from_wall_us() / 1'000'000),
-                    When(u.entry.to_wall_us() / 1'000'000), std::to_string(open), Seconds(bound),
-                    Seconds(u.entry.unkept_us())});
+
+  void AddExport() {
+    CLI::App* exports = Add("export", "write records to a file, whole or not at all", Export);
+    AddFolder(exports);
+    exports->add_option("--out", options_->output_path, "the file; reconcile takes *.jsonl")->required();
+    exports->add_option("--since", options_->first_record, "from this record on")->check(CLI::PositiveNumber);
+  }
+
+  void AddCorrect() {
+    CLI::App* correct = Add("correct", "enter a correction of a closed period", Correct);
+    AddFolder(correct);
+    correct->add_option("--group", options_->group, "the count group")->required();
+    correct->add_option("--period", options_->period, "start of the period")->required();
+    correct->add_option("--seconds", options_->seconds, "connection-seconds to add, or to take off")
+        ->required();
+    correct->add_option("--reason", options_->reason, "why, for the export")->required();
+    correct->add_option("--by", options_->author, "who enters it")->required();
+    correct->add_option("--ref", options_->reference, "entered under a reference it can't be entered twice");
+  }
+
+  void AddReconcile() {
+    CLI::App* reconcile = Add("reconcile", "check and add up the exports of many relays", Reconcile);
+    AddFormat(reconcile);
+    reconcile->add_option("paths", options_->paths, "export files, and folders of *.jsonl")
+        ->required()
+        ->check(CLI::ExistingPath);
+    reconcile->add_option("--threads", options_->threads, "default: one a processor");
   }
-  Table faults({"file", "line", "record", "what"}, 4);
-  for (const auto& f : r.faults) faults.Add({f.file, std::to_string(f.line), std::to_string(f.seq), f.what});
-  PrintAll(
-      std::cout, o.format,
-      {{"totals", &totals}, {"corrections", &corrections}, {"unattested", &unattested}, {"faults", &faults}});
-  std::cerr << fmt::format(
-      "{} relays, {} books, {} files, {} records, {} duplicates, {} clock steps, {} faults\n", r.relays,
-      r.books, r.files, r.records, r.duplicates, r.clock_steps, r.faults.size() + r.faults_left_out);
-  return r.faults.empty() ? kDone : kFoundWrong;
-}
+
+ private:
+  CLI::App* Add(const char* name, const char* description, Handler handler) {
+    CLI::App* command = ledger_.add_subcommand(name, description);
+    command->callback([&selected = selected_, options = options_, handler] {
+      selected = [options, handler] { return handler(*options); };
+    });
+    return command;
+  }
+
+  void AddFormat(CLI::App* command) {
+    command->add_option("--format", options_->format, "table, json or csv")
+        ->check(CLI::IsMember({"table", "json", "csv"}));
+  }
+
+  void AddFolder(CLI::App* command) {
+    command->add_option("--folder", options_->folder, "the ledger's folder; else the operator file's")
+        ->type_name("DIR");
+  }
+
+  CLI::App& ledger_;
+  std::shared_ptr<Options> options_;
+  Command& selected_;
+};
 
 }  // namespace
 
-void AddLedger(CLI::App& app, const Common& common, std::function<int()>& act) {
-  static Options o;
-  o.common = &common;
+void AddLedger(CLI::App& app, const GlobalOptions& options, Command& selected) {
+  auto ledger_options = std::make_shared<Options>();
+  ledger_options->global = &options;
   CLI::App* ledger = app.add_subcommand("ledger", "the ledger of use per count group");
   ledger->require_subcommand(1);
-  const auto add = [&](const char* name, const char* what, int (*f)(const Options&), bool prints) {
-    CLI::App* sub = ledger->add_subcommand(name, what);
-    if (prints) {
-      sub->add_option("--format", o.format, "table, json or csv")
-          ->check(CLI::IsMember({"table", "json", "csv"}));
-    }
-    sub->callback([&act, f] { act = [f] { return f(o); }; });
-    return sub;
-  };
-  const auto folder = [](CLI::App* sub) {
-    sub->add_option("--folder", o.folder, "the ledger's folder; else the operator file's")->type_name("DIR");
-  };
-  CLI::App* show = add("show", "use per period and group, closed and open", Show, true);
-  folder(show);
-  show->add_option("--period", o.period, "start of one period, 2026-12-01T05:00:00Z or Unix time");
-  show->add_option("--group", o.group, "one group");
-  folder(add("verify", "check every page, record and sum", Verify, true));
-  CLI::App* exports = add("export", "write records to a file, whole or not at all", Export, false);
-  folder(exports);
-  exports->add_option("--out", o.out, "the file; reconcile takes *.jsonl")->required();
-  exports->add_option("--since", o.since, "from this record on")->check(CLI::PositiveNumber);
-  CLI::App* correct = add("correct", "enter a correction of a closed period", Correct, false);
-  folder(correct);
-  correct->add_option("--group", o.group, "the count group")->required();
-  correct->add_option("--period", o.period, "start of the period")->required();
-  correct->add_option("--seconds", o.seconds, "connection-seconds to add, or to take off")->required();
-  correct->add_option("--reason", o.reason, "why, for the export")->required();
-  correct->add_option("--by", o.by, "who enters it")->required();
-  correct->add_option("--ref", o.reference, "entered under a reference it can't be entered twice");
-  CLI::App* reconcile = add("reconcile", "check and add up the exports of many relays", Reconcile, true);
-  reconcile->add_option("paths", o.paths, "export files, and folders of *.jsonl")
-      ->required()
-      ->check(CLI::ExistingPath);
-  reconcile->add_option("--threads", o.threads, "default: one a processor");
+  CommandBuilder builder(*ledger, ledger_options, selected);
+  builder.AddShow();
+  builder.AddVerify();
+  builder.AddExport();
+  builder.AddCorrect();
+  builder.AddReconcile();
 }
 
 }  // namespace stoatrun::cli
--- a/src/cli/ledger_setup.cpp
+++ b/src/cli/ledger_setup.cpp
@@ -3,41 +3,69 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <chrono>
 #include <cmath>
+#include <cstddef>
+#include <optional>
 #include <random>
+#include <string>
+#include <vector>
 
 namespace stoatrun::cli {
 namespace {
 
-constexpr std::size_t kCellBytes = 100;  // As measured: a cell of a posting in memory, its names included.
+// Memory of one posting's row, with its names; measured.
+constexpr std::size_t kPostingCellBytes = 100;
+
+// The groups of the configuration, each with its share of the quota in thousandths of a connection.
+std::vector<ledger::GroupSetup> ConfiguredGroups(const Config& config) {
+  std::vector<ledger::GroupSetup> groups;
+  for (const auto& configured : config.site.groups) {
+    ledger::GroupSetup group{configured.name, std::nullopt};
+    if (configured.quota >= 0) {
+      group.share_milli = std::llround(configured.quota * 1000 / config.site.module.replicas);
+    }
+    groups.push_back(group);
+  }
+  return groups;
+}
+
+// Applies the operator file's shares; a group that the configuration does not name is added.
+void ApplyShares(const config::Ledger& file, std::vector<ledger::GroupSetup>& groups) {
+  for (const config::Share& share : file.share()) {
+    auto it = std::find_if(groups.begin(), groups.end(),
+                           [&](const auto& group) { return group.name == share.group(); });
+    if (it == groups.end()) it = groups.insert(groups.end(), {share.group(), std::nullopt});
+    it->share_milli = static_cast<std::int64_t>(share.milli_connections());
+  }
+}
+
+// Names a new book; no other book may have the same name.
+std::string RandomBookName() {
+  std::random_device random;
+  const std::uint32_t high = random(), low = random();
+  return fmt::format("{:08x}{:08x}", high, low);
+}
 
 }  // namespace
 
-ledger::KeeperSetup KeeperSetupOf(const Config& config, const config::Ledger& file) {
+ledger::KeeperSetup MakeUsageRecorderSetup(const Config& config, const config::Ledger& file) {
   ledger::KeeperSetup setup;
   setup.accounts.period = std::chrono::seconds(file.period_s());
   setup.accounts.classes = config.site.class_names;
   setup.accounts.most_strangers = file.most_strangers();
-  for (const auto& g : config.site.groups) {
-    ledger::GroupSetup group{g.name, std::nullopt};
-    if (g.quota >= 0) group.share_milli = std::llround(g.quota * 1000 / config.site.module.replicas);
-    setup.accounts.groups.push_back(group);
-  }
-  for (const config::Share& s : file.share()) {
-    auto& groups = setup.accounts.groups;
-    auto it = std::find_if(groups.begin(), groups.end(), [&](const auto& g) { return g.name == s.group(); });
-    if (it == groups.end()) it = groups.insert(groups.end(), {s.group(), std::nullopt});
-    it->share_milli = static_cast<std::int64_t>(s.milli_connections());
-  }
-  std::random_device random;
-  setup.store = {file.folder(), config.name, fmt::format("{:08x}{:08x}", random(), random()),
-                 nullptr,       true,        file.checkpoint_ms()};
+  setup.accounts.groups = ConfiguredGroups(config);
+  ApplyShares(file, setup.accounts.groups);
+  setup.store.folder = file.folder();
+  setup.store.relay = config.name;
+  setup.store.book = RandomBookName();
+  setup.store.checkpoint_ms = file.checkpoint_ms();
   setup.checkpoint = std::chrono::milliseconds(file.checkpoint_ms());
-  setup.most_cells = std::size_t{file.backlog_kib()} * 1024 / kCellBytes;
+  setup.most_cells = std::size_t{file.backlog_kib()} * 1024 / kPostingCellBytes;
   return setup;
 }
 
-ledger::CourierSetup CourierSetupOf(const config::Receiver& file, std::uint64_t seed) {
+ledger::CourierSetup MakeExportClientSetup(const config::Receiver& file, std::uint64_t seed) {
   ledger::CourierSetup setup;
   setup.receiver = Address::Parse(file.address()).value();
   setup.host = file.address();
--- a/src/cli/ledger_setup.h
+++ b/src/cli/ledger_setup.h
@@ -1,7 +1,10 @@
-// From both files to the ledger's own settings.
+// Translates the configuration and the operator file into the settings of the usage ledger. Pure, except for
+// the random name of a new book.
 #ifndef STOATRUN_CLI_LEDGER_SETUP_H_
 #define STOATRUN_CLI_LEDGER_SETUP_H_
 
+#include <cstdint>
+
 #include "config/config.h"
 #include "ledger/io/export_client.h"
 #include "ledger/io/usage_recorder.h"
@@ -9,9 +12,12 @@
 
 namespace stoatrun::cli {
 
-// A share of the operator file goes before the settings' quota, which is that of all relays together.
-ledger::KeeperSetup KeeperSetupOf(const Config& config, const config::Ledger& file);
-ledger::CourierSetup CourierSetupOf(const config::Receiver& file, std::uint64_t seed);
+// The settings of the usage recorder. A group's share in the operator file takes precedence over its quota in
+// the configuration, which covers all relays together and is divided among them.
+ledger::KeeperSetup MakeUsageRecorderSetup(const Config& config, const config::Ledger& file);
+
+// The settings of the export client; `seed` feeds the jitter of its retries. `file` has been validated.
+ledger::CourierSetup MakeExportClientSetup(const config::Receiver& file, std::uint64_t seed);
 
 }  // namespace stoatrun::cli
 
--- /dev/null
+++ b/src/cli/relay_process.cpp
@@ -0,0 +1,177 @@
+#include "cli/relay_process.h"
+
+#include <chrono>
+#include <csignal>
+#include <cstdint>
+#include <cstdlib>
+#include <exception>
+#include <utility>
+
+#include "admin/metrics.h"
+#include "cli/cli.h"
+#include "cli/fleet_setup.h"
+#include "cli/ledger_setup.h"
+#include "fleet/io/status.h"
+
+namespace stoatrun::cli {
+namespace {
+
+// For the last checkpoint: after the drain, 0.2 s remain of an orderly shutdown before SIGKILL.
+constexpr std::chrono::milliseconds kLedgerFinishTimeout(150);
+
+Micros WallClock() {
+  return std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch());
+}
+
+template <typename T>
+T* PointerOrNull(std::optional<T>& part) {
+  return part ? &*part : nullptr;
+}
+
+}  // namespace
+
+void ConfigureLog(const config::Log& log, std::optional<Level> level_override) {
+  SetLogLevel(level_override.value_or(static_cast<Level>(log.level())));
+  SetLogForm(log.form() == config::Log::JSON ? LogForm::kJson : LogForm::kText);
+}
+
+RelayProcess::RelayProcess(std::string operator_path, const Config& config,
+                           config::OperatorFile operator_file)
+    : operator_path_(std::move(operator_path)), config_(config), operator_file_(std::move(operator_file)) {
+  if (operator_file_.has_ledger()) CreateLedger();
+  if (operator_file_.has_fleet()) CreateFleet();
+  proxy_.emplace(loop_, config_, PointerOrNull(usage_recorder_), PointerOrNull(fleet_member_));
+  if (config_.management) admin_server_.emplace(loop_, static_cast<AdminHandler&>(*this));
+  on_terminate_.emplace(loop_, SIGTERM, [this] { proxy_->Drain(); });
+  on_interrupt_.emplace(loop_, SIGINT, [this] { proxy_->Drain(); });
+  on_print_counters_.emplace(loop_, SIGUSR1, [this] { LogCounters(); });
+  on_reload_.emplace(loop_, SIGHUP, [this] {
+    try {
+      Reload();
+    } catch (const std::exception& e) {
+      proxy_->ReloadFailed(e.what());
+    }
+  });
+  // A peer that has closed is an error of the write, not the end of the process.
+  std::signal(SIGPIPE, SIG_IGN);
+}
+
+void RelayProcess::CreateLedger() {
+  const config::Ledger& file = operator_file_.ledger();
+  usage_recorder_.emplace(loop_, MakeUsageRecorderSetup(config_, file), WallClock);
+  if (file.has_receiver()) {
+    export_client_.emplace(loop_, *usage_recorder_,
+                           MakeExportClientSetup(file.receiver(), config_.site.module.seed));
+  }
+}
+
+void RelayProcess::CreateFleet() {
+  const config::Fleet& file = operator_file_.fleet();
+  gossip_transport_.emplace(loop_, MakeGossipTransportSetup(config_, file));
+  fleet_member_.emplace(loop_, *gossip_transport_, FleetQuotaGroups(config_, file));
+}
+
+void RelayProcess::Serve() {
+  Start();
+  loop_.Run();
+  Shutdown();
+}
+
+void RelayProcess::Start() {
+  if (gossip_transport_) {
+    gossip_transport_->Start();
+    LogLine(Level::kInfo, "fleet")
+        .Field("name", operator_file_.fleet().name())
+        .Field("port", gossip_transport_->Port());
+  }
+  proxy_->Start();
+  if (admin_server_) {
+    admin_server_->Listen(*config_.management);
+    LogLine(Level::kInfo, "management").Field("address", config_.management_text);
+  }
+  LogLine(Level::kInfo, "ready").Field("name", config_.name).Field("port", proxy_->Port());
+}
+
+void RelayProcess::Shutdown() {
+  if (gossip_transport_) gossip_transport_->Leave();
+  const bool recorder_finished = !usage_recorder_ || usage_recorder_->Finish(kLedgerFinishTimeout);
+  LogCounters();
+  // A thread that hangs in a system call on the disk can't be joined, and what it uses must not be destroyed.
+  if (!recorder_finished) std::_Exit(kSuccess);
+}
+
+void RelayProcess::Reload() {
+  // Whatever may throw comes before the first change.
+  const Config config = LoadConfig(LoadAt::kReload);
+  const config::OperatorFile file = LoadOperatorFile(operator_path_);
+  const OperatorChange change = CompareOperatorFiles(operator_file_, file);
+  std::optional<fleet::GossipTransportSetup> fleet_setup;
+  if (gossip_transport_ && file.has_fleet()) fleet_setup = MakeGossipTransportSetup(config, file.fleet());
+
+  for (const auto& field : change.need_restart) {
+    LogLine(Level::kWarn, "reload takes a restart").Field("changed", field);
+  }
+  for (const auto& field : change.taken_up) LogLine(Level::kInfo, "reload").Field("operator", field);
+  ConfigureLog(file.log(), config.log_level);
+  proxy_->Reload(config);
+  // What needs a restart stays as it is in force, so that the next reload reports it again.
+  *operator_file_.mutable_log() = file.log();
+  if (fleet_setup) ReloadFleet(file.fleet(), *fleet_setup);
+}
+
+void RelayProcess::ReloadFleet(const config::Fleet& file, const fleet::GossipTransportSetup& setup) {
+  if (setup.settings.self != gossip_transport_->LocalNode().Setup().self) {
+    LogLine(Level::kWarn, "reload takes a restart").Field("changed", "fleet.peer.place");
+    return;
+  }
+  gossip_transport_->Follow(setup.settings.peers, setup.addresses);
+  *operator_file_.mutable_fleet()->mutable_peer() = file.peer();
+}
+
+void RelayProcess::LogCounters() {
+  if (usage_recorder_) usage_recorder_->CheckNow();
+  LogLine record(Level::kInfo, "counters");
+  AddFields(record, proxy_->Counts());
+  if (usage_recorder_) usage_recorder_->AddFields(record);
+  if (export_client_) export_client_->AddFields(record);
+  if (gossip_transport_) {
+    record.Field("legs_held_back", proxy_->Counts().legs_held_back);
+    gossip_transport_->AddFields(record);
+  }
+}
+
+AdminResponse RelayProcess::OnCall(AdminCall call) {
+  switch (call) {
+    case AdminCall::kReady:
+      return proxy_->Ready() ? AdminResponse{200, "ready"} : AdminResponse{503, "not ready"};
+    case AdminCall::kMetrics:
+      return MetricsResponse();
+    case AdminCall::kDrain:
+      proxy_->DrainByCall();
+      return {200, "draining"};
+    case AdminCall::kActivate:
+      proxy_->Activate();
+      return proxy_->Ready() ? AdminResponse{200, "active"} : AdminResponse{503, "ending"};
+    case AdminCall::kFleet:
+      return FleetResponse();
+  }
+  return {500, "unknown call"};
+}
+
+AdminResponse RelayProcess::MetricsResponse() {
+  const Metrics metrics{.class_names = proxy_->ClassNames(),
+                        .classes = proxy_->Counts().classes,
+                        .outstanding = proxy_->Outstanding(),
+                        .discovered = proxy_->Discovered(),
+                        .ejected = proxy_->Ejected()};
+  return {200, FormatMetrics(metrics)};
+}
+
+AdminResponse RelayProcess::FleetResponse() {
+  const fleet::GossipTransportCounts& counts = gossip_transport_->Counts();
+  const std::uint64_t undecodable = counts.not_ours + counts.other_schema + counts.damaged + counts.malformed;
+  return {200, fleet::StatusJson(gossip_transport_->LocalNode(), gossip_transport_->Name(),
+                                 proxy_->ClassNames(), loop_.Now(), {undecodable, counts.wrong_address})};
+}
+
+}  // namespace stoatrun::cli
--- a/src/cli/table.cpp
+++ b/src/cli/table.cpp
@@ -9,7 +9,7 @@
 namespace stoatrun::cli {
 namespace {
 
-std::string Quoted(const std::string& text) {
+std::string JsonString(const std::string& text) {
   fmt::memory_buffer out;
   out.push_back('"');
   AppendJsonText(out, text);
@@ -17,66 +17,85 @@
   return fmt::to_string(out);
 }
 
-// As RFC 4180 has it.
-std::string Field(const std::string& text) {
+// A field as RFC 4180 has it: quoted only where it must be.
+std::string CsvField(const std::string& text) {
   if (text.find_first_of(",\"\r\n") == std::string::npos) return text;
   std::string quoted = "\"";
-  for (const char c : text) quoted.append(c == '"' ? 2 : 1, c);
+  for (const char character : text) quoted.append(character == '"' ? 2 : 1, character);
   return quoted + '"';
 }
 
+void PrintCsvLine(std::ostream& out, const std::vector<std::string>& row) {
+  for (std::size_t k = 0; k < row.size(); ++k) out << (k == 0 ? "" : ",") << CsvField(row[k]);
+  out << "\r\n";
+}
+
 }  // namespace
 
-void Table::Print(std::ostream& out, const std::string& format) const {
-  if (format == "json") {
-    out << '[';
-    for (std::size_t r = 0; r < rows_.size(); ++r) {
-      out << (r == 0 ? "\n" : ",\n") << '{';
-      for (std::size_t k = 0; k < columns_.size(); ++k) {
-        out << (k == 0 ? "" : ",") << Quoted(columns_[k]) << ':' << Quoted(rows_[r][k]);
-      }
-      out << '}';
-    }
-    out << "\n]\n";
-    return;
+OutputFormat ParseOutputFormat(const std::string& name) {
+  if (name == "json") return OutputFormat::kJson;
+  if (name == "csv") return OutputFormat::kCsv;
+  return OutputFormat::kTable;
+}
+
+void Table::Print(std::ostream& out, OutputFormat format) const {
+  switch (format) {
+    case OutputFormat::kJson:
+      return PrintJson(out);
+    case OutputFormat::kCsv:
+      return PrintCsv(out);
+    case OutputFormat::kTable:
+      return PrintAligned(out);
   }
-  if (format == "csv") {
-    const auto line = [&](const std::vector<std::string>& row) {
-      for (std::size_t k = 0; k < row.size(); ++k) out << (k == 0 ? "" : ",") << Field(row[k]);
-      out << "\r\n";
-    };
-    line(columns_);
-    for (const auto& row : rows_) line(row);
-    return;
+}
+
+void Table::PrintJson(std::ostream& out) const {
+  out << '[';
+  const char* separator = "\n";
+  for (const auto& row : rows_) {
+    out << separator << '{';
+    for (std::size_t k = 0; k < columns_.size(); ++k) {
+      out << (k == 0 ? "" : ",") << JsonString(columns_[k]) << ':' << JsonString(row[k]);
+    }
+    out << '}';
+    separator = ",\n";
   }
-  std::vector<std::size_t> width;
-  for (const std::string& c : columns_) width.push_back(c.size());
+  out << "\n]\n";
+}
+
+void Table::PrintCsv(std::ostream& out) const {
+  PrintCsvLine(out, columns_);
+  for (const auto& row : rows_) PrintCsvLine(out, row);
+}
+
+void Table::PrintAligned(std::ostream& out) const {
+  std::vector<std::size_t> widths;
+  for (const std::string& column : columns_) widths.push_back(column.size());
   for (const auto& row : rows_) {
-    for (std::size_t k = 0; k < row.size(); ++k) width[k] = std::max(width[k], row[k].size());
+    for (std::size_t k = 0; k < row.size(); ++k) widths[k] = std::max(widths[k], row[k].size());
   }
-  const auto line = [&](const std::vector<std::string>& row) {
-    std::string text;
+  const auto print_line = [&](const std::vector<std::string>& row) {
+    std::string line;
     for (std::size_t k = 0; k < row.size(); ++k) {
-      if (k > 0) text += "  ";
-      const std::string blanks(width[k] - row[k].size(), ' ');
-      text += k >= right_from_ ? blanks + row[k] : row[k] + blanks;
+      if (k > 0) line += "  ";
+      const std::string padding(widths[k] - row[k].size(), ' ');
+      line += k >= first_right_aligned_ ? padding + row[k] : row[k] + padding;
     }
-    text.erase(text.find_last_not_of(' ') + 1);
-    out << text << '\n';
+    line.erase(line.find_last_not_of(' ') + 1);
+    out << line << '\n';
   };
-  line(columns_);
-  for (const auto& row : rows_) line(row);
+  print_line(columns_);
+  for (const auto& row : rows_) print_line(row);
 }
 
-void PrintAll(std::ostream& out, const std::string& format,
-              const std::vector<std::pair<std::string, const Table*>>& tables) {
-  const bool json = format == "json";
+void PrintAll(std::ostream& out, OutputFormat format, const std::vector<NamedTable>& tables) {
+  const bool json = format == OutputFormat::kJson;
   if (json) out << "{\n";
   for (std::size_t k = 0; k < tables.size(); ++k) {
     const auto& [name, table] = tables[k];
     if (json) {
-      out << (k == 0 ? "" : ",") << Quoted(name) << ":\n";
-    } else if (format == "csv") {
+      out << (k == 0 ? "" : ",") << JsonString(name) << ":\n";
+    } else if (format == OutputFormat::kCsv) {
       out << (k == 0 ? "" : "\r\n") << '#' << name << "\r\n";
     } else if (table->Empty()) {
       continue;
--- a/tests/cli/run_program.sh
+++ b/tests/cli/run_program.sh
@@ -1,34 +1,40 @@
 #!/bin/sh
-# Runs the relay as its operators do: a bad configuration is named, a planned end exits 0.
+# Runs the relay as operators do: an invalid configuration is reported, SIGHUP reloads, SIGTERM shuts down with exit 0.
 set -u
 relay=$1
 config=$2
+fail() { echo "$*"; exit 1; }
+
 PROXY_CONFIG=/nonexistent "$relay" 2>relay_err.txt
-[ $? -eq 2 ] || { echo "a bad configuration must exit 2"; exit 1; }
-grep -q 'bad configuration: /nonexistent' relay_err.txt || { echo "message: $(cat relay_err.txt)"; exit 1; }
+[ $? -eq 2 ] || fail "an invalid configuration must exit 2"
+grep -q 'bad configuration: /nonexistent' relay_err.txt || fail "message: $(cat relay_err.txt)"
 
 cp "$config" relay_config.json
+: >relay_log.txt  # The log of a former run must not answer for this one.
 PROXY_LISTEN=127.0.0.1:0 PROXY_DISCOVERY=127.0.0.1:1 PROXY_CONFIG=relay_config.json "$relay" 2>relay_log.txt &
 pid=$!
-# SIGHUP takes up the file, whose discovery then goes before the environment's; half a file changes nothing.
-await() {
+await_log() { # await_log PATTERN: waits up to 10 s for it
   for _ in $(seq 100); do
     grep -q "$1" relay_log.txt && return
     sleep 0.1
   done
-  echo "never came: $1: $(cat relay_log.txt)"
   kill "$pid"
-  exit 1
+  fail "never logged: $1: $(cat relay_log.txt)"
 }
-await ' info ready '
+await_log ' info ready '
+
+# A reload takes up the file, whose discovery address then takes precedence over the environment's.
 sed 's/127.0.0.1:8500/127.0.0.1:2/' "$config" >relay_config.json
 kill -HUP "$pid"
-await 'info reload discovery=127.0.0.1:2$'
+await_log 'info reload discovery=127.0.0.1:2$'
+
+# A truncated file changes nothing.
 head -c 300 "$config" >relay_config.json
 kill -HUP "$pid"
-await 'error reload failed, the old configuration stays: not JSON'
+await_log 'error reload failed, the old configuration stays: not JSON'
+
 kill -USR1 "$pid"
 kill -TERM "$pid"
-wait "$pid" || { echo "a planned end must exit 0: $(cat relay_log.txt)"; exit 1; }
-grep -q 'drained, left=0' relay_log.txt || { echo "log: $(cat relay_log.txt)"; exit 1; }
-grep -q 'info counters accepted=0 .* reloads=1 reloads_failed=1' relay_log.txt || { echo "no counters: $(cat relay_log.txt)"; exit 1; }
+wait "$pid" || fail "a graceful shutdown must exit 0: $(cat relay_log.txt)"
+grep -q 'drained, left=0' relay_log.txt || fail "log: $(cat relay_log.txt)"
+grep -q 'info counters accepted=0 .* reloads=1 reloads_failed=1' relay_log.txt || fail "no counters: $(cat relay_log.txt)"
--- a/tools/balancer_replay.cpp
+++ b/tools/balancer_replay.cpp
@@ -1,11 +1,12 @@
-// Does the decision module still take the same actions? Plays recorded event streams through it and compares.
+// Replays recorded event streams through the balancer and compares its actions with the recorded ones.
 //
 //     balancer_replay FILE...            each file's events, against the replies recorded beside them
 //     balancer_replay --write FILE       the file's events with the replies of now: a recording
 //
-// A recording is what passes on the simulator's wire, one JSON value a line: `{"atTime":...` goes in,
-// `{"cmds":...` came back. Lines of other forms are skipped, but `process N` in one tells of which of several
-// processes what follows is. Exit codes: 0 the same, 2 bad usage or file, 3 an action differs.
+// A recording is what passes between the simulator and its adapter, one JSON value a line: `{"atTime":...` is
+// a batch of events, `{"cmds":...` the reply to it. Lines of other forms are skipped, except that `process N`
+// in one names which of several processes the lines below it belong to. Exit codes: 0 the same, 2 bad usage
+// or file, 3 an action differs.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <cstddef>
@@ -15,6 +16,7 @@
 #include <map>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 #include "wire.h"
@@ -23,64 +25,91 @@
 
 constexpr std::string_view kEvents = "{\"atTime\"", kActions = "{\"cmds\"", kProcess = "process ";
 constexpr int kSame = 0, kBadFile = 2, kDiffers = 3;
-constexpr std::size_t kShown = 400;  // Characters of a reply that differs.
+constexpr std::size_t kShownSize = 400;       // Characters of a reply that differs.
+constexpr std::ptrdiff_t kShownContext = 40;  // Of these, characters before the difference.
 
-struct Player {
+enum class Mode { kCompare, kWrite };
+
+// One recorded process: a balancer behind the simulator's adapter.
+struct Process {
   balancer::adapter::Adapter adapter;
-  std::string reply;     // Of the batch that was played last.
-  bool compared = true;  // With what was recorded.
+  std::string reply;     // To the latest batch.
+  bool compared = true;  // Whether `reply` has been compared with the recorded one.
 };
 
-class Recording {
+// Replays one file.
+class Replay {
  public:
-  Recording(std::string path, bool write) : path_(std::move(path)), write_(write) {}
-
-  int Play() {
-    std::ifstream in(path_);
-    if (!in) return Bad("cannot be read");
-    std::map<std::string, Player> players;
-    Player* player = &players[""];
-    for (std::string line; std::getline(in, line);) {
+  Replay(std::string path, Mode mode) : path_(std::move(path)), mode_(mode) {}
+
+  // Returns an exit code; throws what the adapter throws on malformed events.
+  int Run() {
+    std::ifstream file(path_);
+    if (!file) return ReportBadFile("cannot be read");
+    process_ = &processes_[""];
+    for (std::string line; std::getline(file, line);) {
       ++line_number_;
-      if (line.starts_with(kEvents)) {
-        if (!write_ && !player->compared) return Bad("a batch before the reply to the last one");
-        player->reply = player->adapter.HandleLine(line);
-        player->compared = false;
-        ++batches_;
-        if (write_) std::cout << line << '\n' << player->reply << '\n';
-      } else if (line.starts_with(kActions)) {
-        if (write_) continue;
-        if (player->compared) return Bad("a reply without a batch");
-        player->compared = true;
-        if (line != player->reply) return Differs(line, player->reply);
-      } else if (const auto at = line.find(kProcess); at != std::string::npos) {
-        player = &players[line.substr(at, line.find(',') - at)];
-      }
-    }
-    if (batches_ == 0) return Bad("no batch of events in it");
-    for (const auto& [name, last] : players) {
-      if (!write_ && !last.compared) return Bad("it ends before the reply to the last batch");
+      if (const int result = TakeLine(line); result != kSame) return result;
     }
-    if (!write_) std::cout << path_ << ": " << batches_ << " batches, the same actions\n";
-    return kSame;
+    return Finish();
   }
-  int Bad(std::string_view why) const {
-    std::cerr << "balancer_replay: " << path_ << ':' << line_number_ << ": " << why << '\n';
+
+  int ReportBadFile(std::string_view reason) const {
+    std::cerr << "balancer_replay: " << path_ << ':' << line_number_ << ": " << reason << '\n';
     return kBadFile;
   }
 
  private:
-  int Differs(std::string_view recorded, std::string_view now) const {
-    const auto [a, b] = std::mismatch(recorded.begin(), recorded.end(), now.begin(), now.end());
-    const auto from = std::max<std::ptrdiff_t>(0, a - recorded.begin() - 40);
+  int TakeLine(const std::string& line) {
+    if (line.starts_with(kEvents)) return TakeEvents(line);
+    if (line.starts_with(kActions)) return mode_ == Mode::kWrite ? kSame : TakeActions(line);
+    if (const auto at = line.find(kProcess); at != std::string::npos) {
+      process_ = &processes_[line.substr(at, line.find(',') - at)];
+    }
+    return kSame;
+  }
+
+  int TakeEvents(const std::string& line) {
+    if (mode_ == Mode::kCompare && !process_->compared) {
+      return ReportBadFile("a batch before the reply to the last one");
+    }
+    process_->reply = process_->adapter.HandleLine(line);
+    process_->compared = false;
+    ++batches_;
+    if (mode_ == Mode::kWrite) std::cout << line << '\n' << process_->reply << '\n';
+    return kSame;
+  }
+
+  int TakeActions(const std::string& line) {
+    if (process_->compared) return ReportBadFile("a reply without a batch");
+    process_->compared = true;
+    return line == process_->reply ? kSame : ReportDifference(line, process_->reply);
+  }
+
+  int Finish() const {
+    if (batches_ == 0) return ReportBadFile("no batch of events in it");
+    if (mode_ == Mode::kWrite) return kSame;
+    for (const auto& [name, process] : processes_) {
+      if (!process.compared) return ReportBadFile("it ends before the reply to the last batch");
+    }
+    std::cout << path_ << ": " << batches_ << " batches, the same actions\n";
+    return kSame;
+  }
+
+  int ReportDifference(std::string_view recorded, std::string_view now) const {
+    const auto difference = std::mismatch(recorded.begin(), recorded.end(), now.begin(), now.end()).first;
+    const std::ptrdiff_t offset = difference - recorded.begin();
+    const auto shown_from = static_cast<std::size_t>(std::max<std::ptrdiff_t>(0, offset - kShownContext));
     std::cout << path_ << ':' << line_number_ << ": batch " << batches_ << " differs from character "
-              << a - recorded.begin() << " on\n  recorded ..." << recorded.substr(from, kShown)
-              << "\n  now      ..." << now.substr(from, kShown) << '\n';
+              << offset << " on\n  recorded ..." << recorded.substr(shown_from, kShownSize)
+              << "\n  now      ..." << now.substr(shown_from, kShownSize) << '\n';
     return kDiffers;
   }
 
   std::string path_;
-  bool write_;
+  Mode mode_;
+  std::map<std::string, Process> processes_;  // By name.
+  Process* process_ = nullptr;                // Whose lines are being read.
   std::size_t line_number_ = 0, batches_ = 0;
 };
 
@@ -99,11 +128,11 @@
   }
   int result = kSame;
   for (const std::string& file : files) {
-    Recording recording(file, write);
+    Replay replay(file, write ? Mode::kWrite : Mode::kCompare);
     try {
-      result = std::max(result, recording.Play());
+      result = std::max(result, replay.Run());
     } catch (const std::exception& e) {
-      result = std::max(result, recording.Bad(e.what()));
+      result = std::max(result, replay.ReportBadFile(e.what()));
     }
   }
   return result;
