--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,5 +1,8 @@
 #!/usr/bin/env python3
-"""A toy sync server with the discovery that names it, to try stoatrun with. Loopback only; Ctrl-C ends it."""
+"""A toy upstream server and the discovery service that lists it, to try stoatrun with.
+
+Listens on loopback only; Ctrl-C ends it.
+"""
 
 import asyncio
 import json
@@ -14,41 +17,41 @@
          "phase": "ready", "size": 1.0, "up_since_ms": 0}
     ],
 }
-held = 0
+open_connections = 0
 
 
 async def serve(reader, writer):
-    """One connection: probes are answered, a client is brought up and its lines are sent back."""
-    global held
-    up = False
+    """Serves one connection: answers health checks, accepts a client and echoes its lines."""
+    global open_connections
+    established = False
     try:
         while line := await reader.readline():
-            word = line.split(b" ")[0].strip()
-            if up:
+            command = line.split(b" ")[0].strip()
+            if established:
                 writer.write(line)
-            elif word == b"OPEN":
-                up = True
-                held += 1
-                writer.write(b"UP toy-%d\r\n" % held)
-            elif word == b"STATS":
-                writer.write(b"PONG inflight=%d,eps=0,x0=%.2f\r\n" % (held, held / 20))
-            elif word == b"PING":
+            elif command == b"OPEN":
+                established = True
+                open_connections += 1
+                writer.write(b"UP toy-%d\r\n" % open_connections)
+            elif command == b"STATS":
+                writer.write(b"PONG inflight=%d,eps=0,x0=%.2f\r\n" % (open_connections, open_connections / 20))
+            elif command == b"PING":
                 writer.write(b"PONG\r\n")
             else:
                 writer.write(b"SYNTAX\r\n")
             await writer.drain()
-        if up:
+        if established:
             writer.write(b"BYE\r\n")
             await writer.drain()
     except ConnectionError:
         pass
     finally:
-        held -= up
+        open_connections -= established
         writer.close()
 
 
 async def discover(reader, writer):
-    """The list on a watch that stays open, with an empty line every 2 s."""
+    """Serves the endpoint list on a watch that stays open, with an empty line every 2 s as a keepalive."""
     try:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
