--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -59,7 +59,7 @@
         R"("trip_p50_us":{},"trip_p99_us":{},)"
         R"("line_cpu_us":{:.2f},"standing_kb_each":{:.2f},"rss_kb":{}}})"
         "\n",
-        answer_cpu_us_, setups_per_second_, declined_, RoundTripQuantile(0.5), RoundTripQuantile(0.99),
+        answer_cpu_us_, setups_per_second_, rejected_, RoundTripQuantile(0.5), RoundTripQuantile(0.99),
         line_cpu_us_, static_cast<double>(memory_after - memory_before) / options_.established, memory_after);
   }
 
@@ -89,18 +89,18 @@
     while (established < options_.setups) {
       const auto due = static_cast<std::int64_t>(static_cast<double>(MicrosSince(began_at)) * options_.rate /
                                                  kMicrosPerSecond);
-      for (; opened + declined_ - retried < due && opened - established < kMaxPendingSetups &&
+      for (; opened + rejected_ - retried < due && opened - established < kMaxPendingSetups &&
              opened < options_.setups;
            ++opened) {
         Open(opened);
       }
-      for (; retried < declined_ && opened + retried < due; ++retried) Open(kFirstSetupRetryId + retried);
+      for (; retried < rejected_ && opened + retried < due; ++retried) Open(kFirstSetupRetryId + retried);
       Turn([&](Peer& client, std::string_view line) {
-        ++(line.starts_with("UP") ? established : declined_);
+        ++(line.starts_with("UP") ? established : rejected_);
         LoadTraffic::Close(client);
       });
     }
-    answer_cpu_us_ = (relay_.CpuMicros() - cpu_before) / (options_.setups + declined_);
+    answer_cpu_us_ = (relay_.CpuMicros() - cpu_before) / (options_.setups + rejected_);
     setups_per_second_ = options_.setups * kMicrosPerSecond / static_cast<double>(MicrosSince(began_at));
   }
 
@@ -114,7 +114,7 @@
       Turn([&](Peer& client, std::string_view line) {
         if (!line.starts_with("UP")) {
           LoadTraffic::Close(client);
-          Open(kFirstEstablishedRetryId + ++declined_);
+          Open(kFirstEstablishedRetryId + ++rejected_);
           return;
         }
         client.established = true;
@@ -153,7 +153,7 @@
   const Clock::time_point started_at_;
   RelayUnderTest relay_;
   LoadTraffic traffic_;
-  int declined_ = 0;  // Clients answered with BUSY or closed for want of capacity.
+  int rejected_ = 0;  // Clients answered with BUSY or closed for want of capacity.
   double answer_cpu_us_ = 0, setups_per_second_ = 0, line_cpu_us_ = 0;
   std::vector<std::int64_t> round_trips_us_;
 };
--- a/bench/load_traffic.h
+++ b/bench/load_traffic.h
@@ -15,6 +15,7 @@
 
 // One socket.
 struct Peer {
+  // A server's listening socket, or one end of a connection.
   enum class Kind { kListener, kServer, kClient };
   Kind kind = Kind::kServer;
   int fd = -1;
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -32,20 +32,20 @@
 int RunCommand(const Command& command) {
   try {
     return command();
-  } catch (const CLI::Error& e) {
-    std::cerr << "stoatrun: " << e.what() << '\n';
+  } catch (const CLI::Error& error) {
+    std::cerr << "stoatrun: " << error.what() << '\n';
     return kUsageError;
-  } catch (const ledger::StoreError& e) {
-    std::cerr << "stoatrun: " << e.what() << '\n';
-    return e.fault == ledger::StoreFault::kRefused ? kUsageError : kFailure;
-  } catch (const ConfigError& e) {
-    std::cerr << "stoatrun: bad configuration: " << e.what() << '\n';
+  } catch (const ledger::StoreError& error) {
+    std::cerr << "stoatrun: " << error.what() << '\n';
+    return error.fault == ledger::StoreFault::kRefused ? kUsageError : kFailure;
+  } catch (const ConfigError& error) {
+    std::cerr << "stoatrun: bad configuration: " << error.what() << '\n';
     return kUsageError;
-  } catch (const OperatorError& e) {
-    std::cerr << "stoatrun: bad operator file:\n" << e.what() << '\n';
+  } catch (const OperatorError& error) {
+    std::cerr << "stoatrun: bad operator file:\n" << error.what() << '\n';
     return kUsageError;
-  } catch (const std::exception& e) {
-    std::cerr << "stoatrun: " << e.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "stoatrun: " << error.what() << '\n';
     return kFailure;
   }
 }
@@ -60,8 +60,8 @@
   AddCommands(app, options, selected);
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? kSuccess : kUsageError;
+  } catch (const CLI::ParseError& error) {
+    return app.exit(error) == 0 ? kSuccess : kUsageError;
   }
   return RunCommand(selected);
 }
--- a/src/cli/ledger_setup.cpp
+++ b/src/cli/ledger_setup.cpp
@@ -40,8 +40,8 @@
   }
 }
 
-// Names a new book; no other book may have the same name.
-std::string RandomBookName() {
+// Names a new ledger (`book` in its records); no other ledger may have the same name.
+std::string RandomLedgerName() {
   std::random_device random;
   const std::uint32_t high = random(), low = random();
   return fmt::format("{:08x}{:08x}", high, low);
@@ -58,7 +58,7 @@
   ApplyShares(file, setup.accounts.groups);
   setup.store.folder = file.folder();
   setup.store.relay = config.name;
-  setup.store.book = RandomBookName();
+  setup.store.book = RandomLedgerName();
   setup.store.checkpoint_ms = file.checkpoint_ms();
   setup.checkpoint = std::chrono::milliseconds(file.checkpoint_ms());
   setup.most_cells = std::size_t{file.backlog_kib()} * 1024 / kPostingCellBytes;
--- a/src/cli/ledger_setup.h
+++ b/src/cli/ledger_setup.h
@@ -1,5 +1,5 @@
 // Translates the configuration and the operator file into the settings of the usage ledger. Pure, except for
-// the random name of a new book.
+// the random name of a new ledger.
 #ifndef STOATRUN_CLI_LEDGER_SETUP_H_
 #define STOATRUN_CLI_LEDGER_SETUP_H_
 
--- a/src/cli/usage_report.h
+++ b/src/cli/usage_report.h
@@ -28,6 +28,7 @@
 // Collects the records of a ledger.
 class UsageReport {
  public:
+  // An empty report, limited to what `filter` matches.
   explicit UsageReport(UsageFilter filter);
 
   // Adds the next record. Throws std::runtime_error if it is damaged.
