--- a/src/ledger/io/store_schema.h
+++ b/src/ledger/io/store_schema.h
@@ -17,8 +17,8 @@
 // The version of the schema that this release writes, kept in SQLite's `user_version`.
 inline constexpr int kSchema = 2;
 
-// Migrates the database to kSchema, all steps in one transaction. `path` is for error texts. Throws StoreError
-// kNewerSchema if a newer release wrote the file, else SqlError.
+// Migrates the database to kSchema, all steps in one transaction. `path` is for error texts. Throws
+// StoreError kNewerSchema if a newer release wrote the file, else SqlError.
 void MigrateSchema(Database& database, const std::string& path);
 
 // Single values by key. Inside or outside a transaction of the caller's; throws SqlError.
--- a/tests/balancer/golden_actions_test.cpp
+++ b/tests/balancer/golden_actions_test.cpp
@@ -180,9 +180,9 @@
       case 1:
         return TellLoad();
       case 2:
-        return Give("delay",
-                    MessageLatencyReported{EndpointId(AnyServer()),
-                                           Milliseconds(static_cast<std::int64_t>(generator_.Below(hot_ ? 250 : 60)))});
+        return Give("delay", MessageLatencyReported{
+                                 EndpointId(AnyServer()),
+                                 Milliseconds(static_cast<std::int64_t>(generator_.Below(hot_ ? 250 : 60)))});
       case 3:
         return GiveFleetHint();
       case 4:
--- a/tests/endpoint/discovery_client_test.cpp
+++ b/tests/endpoint/discovery_client_test.cpp
@@ -1,5 +1,5 @@
-// The discovery client: the forms of updates, watch timeouts and retries. The script language of LoopbackFixture::Play
-// is described in proxy/loopback_fixture.h.
+// The discovery client: the forms of updates, watch timeouts and retries. The script language of
+// LoopbackFixture::Play is described in proxy/loopback_fixture.h.
 #include <catch2/catch.hpp>
 #include <string>
 
@@ -55,7 +55,8 @@
     CHECK(fixture.Counts().endpoint_updates == 0);
   }
   SECTION("its connection ends within an object") {
-    fixture.Play("discovery plain " + head + "999" + R"(\r\n\r\n)" + body.substr(0, 30) + "\ndiscovery close");
+    fixture.Play("discovery plain " + head + "999" + R"(\r\n\r\n)" + body.substr(0, 30) +
+                 "\ndiscovery close");
     CHECK(fixture.Counts().endpoint_updates == 0);
   }
   CHECK(fixture.Counts().watch_failures == 1);
