--- /dev/null
+++ b/fault_injection/datagram_switch.cpp
@@ -0,0 +1,118 @@
+#include "datagram_switch.h"
+
+#include <arpa/inet.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include <stdexcept>
+
+namespace stoatrun::fault_injection {
+namespace {
+
+constexpr std::size_t kMaxRecorded = 64;
+constexpr std::size_t kMaxNoiseBytes = 1300;
+constexpr std::size_t kReceiveBytes = 2048;
+
+}  // namespace
+
+DatagramSwitch::DatagramSwitch(Harness& harness) : harness_(harness), ports_(harness.relays.size()) {
+  for (std::size_t relay = 0; relay < ports_.size(); ++relay) Open(relay);
+}
+
+void DatagramSwitch::Open(std::size_t relay) {
+  const int fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  const sockaddr_in address = SocketAddress(harness_.network.PeerIp(relay), kGossipPort);
+  if (fd < 0 || bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
+    if (fd >= 0) close(fd);
+    throw std::runtime_error("switch: bind");
+  }
+  ports_[relay].socket =
+      std::make_unique<DescriptorWatcher>(harness_.loop, fd, [this, relay] { Receive(relay); });
+}
+
+void DatagramSwitch::Receive(std::size_t to) {
+  std::array<char, kReceiveBytes> buffer;
+  while (true) {
+    sockaddr_in from{};
+    socklen_t size = sizeof from;
+    const ssize_t count = recvfrom(ports_[to].socket->Fd(), buffer.data(), buffer.size(), 0,
+                                   reinterpret_cast<sockaddr*>(&from), &size);
+    if (count < 0) return;
+    // The last byte of a relay's address is its index and one.
+    const std::size_t sender = (ntohl(from.sin_addr.s_addr) & 0xff) - 1;
+    if (sender >= ports_.size()) continue;
+    Forward(sender, to, std::string(buffer.data(), static_cast<std::size_t>(count)));
+  }
+}
+
+void DatagramSwitch::Forward(std::size_t from, std::size_t to, const std::string& datagram) {
+  ++harness_.results.datagrams;
+  harness_.results.datagram_bytes += datagram.size();
+  if (ports_[to].recorded.size() < kMaxRecorded) ports_[to].recorded.push_back(datagram);
+  RandomSource& random = harness_.random;
+  const int copies = random.Percent(faults_.DuplicationPercent()) ? 2 : 1;
+  for (int copy = 0; copy < copies; ++copy) {
+    if (random.Percent(faults_.LossPercent())) continue;
+    std::string sent = datagram;
+    if (random.Percent(faults_.CorruptionPercent())) Corrupt(sent);
+    const auto spread = static_cast<double>((faults_.MaxDelay() - faults_.MinDelay()).count());
+    const Micros delay = faults_.MinDelay() + Micros(static_cast<std::int64_t>(random.Unit() * spread));
+    const std::uint64_t run = harness_.relays[from]->run;
+    if (delay.count() == 0) {
+      Deliver(from, run, to, sent);
+    } else {
+      harness_.loop.After(delay, [this, from, run, to, sent] { Deliver(from, run, to, sent); });
+    }
+  }
+}
+
+void DatagramSwitch::Corrupt(std::string& datagram) {
+  if (datagram.empty()) return;
+  char& byte = datagram[harness_.random.Below(datagram.size())];
+  byte = static_cast<char>(byte ^ 0x55);
+}
+
+void DatagramSwitch::Deliver(std::size_t from, std::uint64_t sender_run, std::size_t to,
+                             const std::string& datagram) {
+  if (faults_.Blocks(from, to)) return;
+  const ManagedRelay& sender = *harness_.relays[from];
+  const ManagedRelay& receiver = *harness_.relays[to];
+  if (!receiver.process.IsRunning()) return;
+  Send(from, harness_.network.RelayIp(to), datagram);
+  if (receiver.duplicate.IsRunning()) Send(from, harness_.network.DuplicateIp(to), datagram);
+  const bool same_run = sender.process.IsRunning() && sender.run == sender_run;
+  if (!same_run || receiver.paused || faults_.CorruptionPercent() != 0) return;
+  if (contacts_.insert({from, sender.run, to, receiver.run}).second) {
+    harness_.history.FirstContact(receiver.name, sender.name);
+  }
+}
+
+void DatagramSwitch::SendGarbage(std::size_t to, std::uint64_t count) {
+  for (std::uint64_t number = 0; number < count; ++number) {
+    const std::size_t from = harness_.random.Below(ports_.size());
+    Send(from, harness_.network.RelayIp(to), GarbageDatagram(to, number));
+  }
+}
+
+std::string DatagramSwitch::GarbageDatagram(std::size_t to, std::uint64_t number) {
+  const std::vector<std::string>& recorded = ports_[to].recorded;
+  if (number % 2 == 0 || recorded.empty()) {
+    std::string noise(harness_.random.Below(kMaxNoiseBytes), '\0');
+    for (char& byte : noise) byte = static_cast<char>(harness_.random.Bits());
+    return noise;
+  }
+  // A replay; most of these are changed at the end, the schema or the fleet's name.
+  std::string datagram = recorded[harness_.random.Below(recorded.size())];
+  if (number % 8 == 1) datagram.resize(datagram.size() / 2);
+  if (number % 8 == 3 && datagram.size() > 2) datagram[2] = 0;
+  if (number % 8 == 5 && datagram.size() > 20) datagram[20] = static_cast<char>(datagram[20] ^ 1);
+  return datagram;
+}
+
+void DatagramSwitch::Send(std::size_t from, const std::string& to_ip, const std::string& datagram) {
+  const sockaddr_in to = SocketAddress(to_ip, kGossipPort);
+  sendto(ports_[from].socket->Fd(), datagram.data(), datagram.size(), 0,
+         reinterpret_cast<const sockaddr*>(&to), sizeof to);
+}
+
+}  // namespace stoatrun::fault_injection
--- /dev/null
+++ b/fault_injection/history/count_checker.cpp
@@ -0,0 +1,177 @@
+#include "history/count_checker.h"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <limits>
+
+namespace stoatrun::history {
+namespace {
+
+constexpr std::uint64_t kNoUpperBound = std::numeric_limits<std::uint64_t>::max();
+// The names of the counts in records, in the order of the enum.
+constexpr std::array<const char*, kCounts> kCountNames{"taken", "served", "refused", "failed", "open"};
+
+constexpr std::size_t IndexOf(Count count) { return static_cast<std::size_t>(count); }
+
+Count CountOfOutcome(const std::string& outcome) {
+  if (outcome == "served") return Count::kServed;
+  return outcome == "refused" ? Count::kRefused : Count::kFailed;
+}
+
+}  // namespace
+
+void CountChecker::Relay::Change(Count count, std::int64_t at_us, std::int64_t change) {
+  counts[IndexOf(count)].Add(at_us, change);
+  run_counts[IndexOf(count)] += change;
+}
+
+void CountChecker::OnRunStarted(const std::string& relay_name) {
+  Relay& relay = relays_[relay_name];
+  ++relay.runs;
+  relay.up = true;
+  relay.run_counts = {};
+}
+
+void CountChecker::OnRunEnded(const std::string& relay_name) {
+  Relay& relay = relays_[relay_name];
+  relay.up = false;
+  const std::int64_t lost = relay.counts[IndexOf(Count::kOpen)].Last();
+  relay.counts[IndexOf(Count::kFailed)].Add(state_.now_us, lost);
+  relay.counts[IndexOf(Count::kOpen)].Set(state_.now_us, 0);
+  Values& at_end = relay.counts_at_run_end.emplace_back();
+  for (std::size_t k = 0; k < kCounts; ++k) at_end[k] = relay.counts[k].Last();
+}
+
+void CountChecker::OnFirstContact(const std::string& relay, const std::string& sender_name) {
+  Relay& sender = relays_[sender_name];
+  sender.contacts.push_back({relay, relays_[relay].runs, sender.runs, state_.record_us});
+}
+
+void CountChecker::OnUncertain(const std::string& relay, std::int64_t connections) {
+  relays_[relay].uncertain += connections;
+}
+
+void CountChecker::OnConnectionTaken(const std::string& relay_name) {
+  Relay& relay = relays_[relay_name];
+  relay.Change(Count::kTaken, state_.now_us, 1);
+  relay.Change(Count::kOpen, state_.now_us, 1);
+}
+
+void CountChecker::OnConnectionEnded(const std::string& relay_name, const std::string& outcome) {
+  Relay& relay = relays_[relay_name];
+  relay.Change(CountOfOutcome(outcome), state_.now_us, 1);
+  relay.Change(Count::kOpen, state_.now_us, -1);
+  if (relay.counts[IndexOf(Count::kOpen)].Last() < 0) {
+    state_.AddViolation(Bound::kFormat, relay_name + " ends more than it took");
+  }
+}
+
+void CountChecker::OnCountsReported(const std::string& relay_name, const Record& record) {
+  ++state_.findings.count_reports;
+  Values said{};
+  for (std::size_t k = 0; k < kCounts; ++k) said[k] = IntegerField(record, kCountNames[k]);
+  const auto [taken, served, refused, failed, open] = said;
+  if (taken != served + refused + failed + open) {
+    state_.AddViolation(Bound::kCounts,
+                        fmt::format("{}: taken {} is not served {} + refused {} + failed {} + open {}",
+                                    relay_name, taken, served, refused, failed, open));
+  }
+  if (state_.slack_us != 0) return;
+  const Values& seen = relays_[relay_name].run_counts;
+  for (std::size_t k = 0; k < kCounts; ++k) {
+    if (said[k] == seen[k]) continue;
+    state_.AddViolation(Bound::kCounts,
+                        fmt::format("{}: says {} {}, has {}", relay_name, said[k], kCountNames[k], seen[k]));
+  }
+}
+
+void CountChecker::OnTotalsReported(const std::string& relay, const Record& record) {
+  ++state_.findings.total_reports;
+  if (state_.DuplicatesRun()) return;
+  Totals totals;
+  totals.at_us = state_.now_us;
+  totals.oldest_us = IntegerField(record, "oldest_us") + state_.slack_us;
+  totals.reporter = relay;
+  for (std::size_t k = 0; k < kCounts; ++k) {
+    const simdjson::dom::array bounds(record[kCountNames[k]]);
+    totals.intervals[k] = {std::uint64_t(bounds.at(0)), std::uint64_t(bounds.at(1))};
+  }
+  if (state_.slack_us == 0) {
+    CheckTotals(totals);
+  } else {
+    pending_totals_.push_back(totals);
+  }
+}
+
+void CountChecker::CheckDueTotals() {
+  while (!pending_totals_.empty() && pending_totals_.front().at_us + state_.slack_us < state_.now_us) {
+    CheckTotals(pending_totals_.front());
+    pending_totals_.pop_front();
+  }
+}
+
+void CountChecker::Finish() {
+  for (const Totals& totals : pending_totals_) CheckTotals(totals);
+  pending_totals_.clear();
+  Findings& findings = state_.findings;
+  const std::size_t bounded = findings.total_reports - findings.unbounded_totals;
+  if (bounded == 0) return;
+  findings.mean_open_width = open_width_sum_ / static_cast<double>(bounded);
+  findings.mean_total_age_us = age_sum_us_ / static_cast<std::int64_t>(bounded);
+}
+
+CountChecker::Values CountChecker::UnknownTo(const std::string& reporter, const Relay& relay) const {
+  if (relay.runs < 2) return {};
+  // Who heard of a run knows that it, and any after it, may have counted something.
+  std::size_t first_known = relay.runs;
+  for (const Contact& contact : relay.contacts) {
+    const Relay& listener = relays_.at(contact.listener);
+    const bool still_runs = listener.up && listener.runs == contact.listener_run;
+    const bool reporter_knows =
+        contact.listener == reporter || contact.at_us <= state_.now_us - kGossipSpreadUs;
+    if (still_runs && reporter_knows) first_known = std::min(first_known, contact.run);
+  }
+  // Runs count from 1: the last one that nobody knows of is the one before.
+  if (first_known < 2 || first_known - 2 >= relay.counts_at_run_end.size()) return {};
+  return relay.counts_at_run_end[first_known - 2];
+}
+
+// With slack, an event may be recorded later than the relays know of it.
+TimeSeries::Range CountChecker::FleetRange(const Totals& totals, std::size_t count) const {
+  TimeSeries::Range fleet;
+  for (const auto& [name, relay] : relays_) {
+    const auto range =
+        relay.counts[count].RangeBetween(totals.at_us - totals.oldest_us, totals.at_us + state_.slack_us);
+    if (!relay.removed) {
+      const std::int64_t unknown = UnknownTo(totals.reporter, relay)[count];
+      fleet.min += std::max<std::int64_t>(0, range.min - unknown - relay.uncertain);
+    }
+    fleet.max += range.max + relay.uncertain;
+  }
+  return fleet;
+}
+
+void CountChecker::CheckTotals(const Totals& totals) {
+  bool bounded = true;
+  for (std::size_t k = 0; k < kCounts; ++k) {
+    const auto& [low, high] = totals.intervals[k];
+    const TimeSeries::Range fleet = FleetRange(totals, k);
+    bounded = bounded && high != kNoUpperBound;
+    if (low > static_cast<std::uint64_t>(fleet.max) || high < static_cast<std::uint64_t>(fleet.min)) {
+      state_.AddViolation(
+          Bound::kFleetTotals,
+          fmt::format("{} says {} {} to {}, oldest part {} us: it was {} to {}", totals.reporter,
+                      kCountNames[k], low, high, totals.oldest_us, fleet.min, fleet.max));
+    }
+  }
+  if (!bounded) {
+    ++state_.findings.unbounded_totals;
+    return;
+  }
+  const auto& open = totals.intervals[IndexOf(Count::kOpen)];
+  open_width_sum_ += static_cast<double>(open.high - open.low);
+  age_sum_us_ += totals.oldest_us;
+}
+
+}  // namespace stoatrun::history
--- a/fault_injection/history/history_checker.h
+++ b/fault_injection/history/history_checker.h
@@ -1,6 +1,6 @@
-// Reads the history of a fleet and says which of its bounds broke. It knows the history's form
-// (fault_injection/HISTORY.md) and nothing of the code that made it: no type, no constant, no header of the
-// program.
+// Reads the history of a fleet and reports which of its bounds were violated. It knows the history's format
+// (fault_injection/HISTORY.md) and nothing of the code that wrote it: no type, constant or header of the
+// program, so that an error there can't hide itself here.
 #ifndef STOATRUN_FAULT_INJECTION_HISTORY_HISTORY_CHECKER_H_
 #define STOATRUN_FAULT_INJECTION_HISTORY_HISTORY_CHECKER_H_
 
@@ -12,26 +12,44 @@
 
 namespace stoatrun::history {
 
-struct Breach {
+// The bounds of HISTORY.md, a checker each.
+enum class Bound { kFormat, kRateQuota, kConcurrencyQuota, kCounts, kFleetTotals, kEjection };
+
+// The bound's name in reports, as in HISTORY.md: form, window, level, accounts, sum, hearsay.
+std::string_view NameOf(Bound bound);
+
+// One violation of a bound: when (microseconds since the start of the run), and what was seen.
+struct Violation {
   std::int64_t at_us = 0;
-  std::string bound;  // One word: window, level, accounts, sum, hearsay, form.
+  Bound bound = Bound::kFormat;
   std::string what;
 };
 
+inline constexpr std::size_t kMaxViolations = 50;
+
+// The result of a check.
 struct Findings {
-  std::vector<Breach> breaches;  // At most `kMostBreaches`; `more` tells how many further there were.
-  std::size_t more = 0;
-  // What was there to be checked: a history without a spend proves nothing of budgets.
-  std::size_t events = 0, spends = 0, holds = 0, sums = 0, unbounded_sums = 0, hearsays = 0, accounts = 0,
-              runs = 0;
-  // Measures, for the report.
-  double used = 0;              // Mean part of the window budgets that was used, over windows with demand.
-  double sum_width = 0;         // Mean width of the bounded sums of open connections.
-  std::int64_t sum_age_us = 0;  // Mean age of their oldest part.
-  bool Sound() const { return breaches.empty(); }
+  std::vector<Violation> violations;   // At most kMaxViolations, in order of time.
+  std::size_t further_violations = 0;  // Those beyond.
+
+  // How much there was to check: a history in which no quota is used proves nothing of quotas.
+  std::size_t events = 0, runs = 0;
+  std::size_t rate_units_spent = 0;  // Units of rate quotas.
+  std::size_t units_acquired = 0;    // Units of concurrency quotas.
+  std::size_t count_reports = 0;     // Of a relay's own connections.
+  std::size_t total_reports = 0;     // Of the fleet's connections.
+  std::size_t unbounded_totals = 0;  // Of these, with no upper bound for some count.
+  std::size_t ejection_reports = 0;  // Lists of servers ejected on remote evidence.
+
+  // Measures of quality.
+  double rate_quota_utilization = 0;   // Mean, over the windows that end with a spent unit.
+  double mean_open_width = 0;          // Width of the bounded intervals of open connections.
+  std::int64_t mean_total_age_us = 0;  // Age of the oldest part of these totals.
+
+  bool Sound() const { return violations.empty(); }
 };
-constexpr std::size_t kMostBreaches = 50;
 
+// Checks a whole history. What is not of the format is a violation of kFormat; never throws for it.
 Findings Check(std::string_view history);
 
 }  // namespace stoatrun::history
--- /dev/null
+++ b/fault_injection/history/quota_checkers.cpp
@@ -0,0 +1,81 @@
+#include "history/quota_checkers.h"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+
+namespace stoatrun::history {
+
+const QuotaRule* QuotaRules::Find(const std::string& quota) const {
+  if (const auto at = rules_.find(quota); at != rules_.end()) return &at->second;
+  const std::size_t colon = quota.find(':');
+  if (colon == std::string::npos) return nullptr;
+  const auto at = rules_.find(quota.substr(0, colon + 1));
+  return at == rules_.end() ? nullptr : &at->second;
+}
+
+void RateQuotaChecker::OnSpent(const std::string& relay, const std::string& quota) {
+  ++state_.findings.rate_units_spent;
+  const QuotaRule* rule = rules_.Find(quota);
+  if (rule == nullptr || rule->window_us == 0) {
+    return state_.AddViolation(Bound::kFormat, "no window budget " + quota);
+  }
+  std::deque<std::int64_t>& recent_us = recent_us_[quota];
+  recent_us.push_back(state_.now_us);
+  // Two spends may be seen nearer to each other than they were, by the slack.
+  const std::int64_t length_us = rule->window_us - state_.slack_us;
+  while (recent_us.front() <= state_.now_us - length_us) recent_us.pop_front();
+  const auto spent = static_cast<std::int64_t>(recent_us.size());
+  if (spent > rule->units) {
+    state_.AddViolation(Bound::kRateQuota,
+                        fmt::format("{}: {} spent within {} us, {} allowed; the last by {}", quota, spent,
+                                    length_us, rule->units, relay));
+  }
+  utilization_sum_ +=
+      static_cast<double>(spent) / static_cast<double>(std::max<std::int64_t>(1, rule->units));
+  ++utilization_count_;
+}
+
+void RateQuotaChecker::Finish() {
+  if (utilization_count_ == 0) return;
+  state_.findings.rate_quota_utilization = utilization_sum_ / static_cast<double>(utilization_count_);
+}
+
+const QuotaRule* ConcurrencyQuotaChecker::Change(const std::string& relay, const std::string& quota,
+                                                 std::int64_t units) {
+  const QuotaRule* rule = rules_.Find(quota);
+  if (rule == nullptr || rule->window_us != 0) {
+    state_.AddViolation(Bound::kFormat, "no level budget " + quota);
+    return nullptr;
+  }
+  std::int64_t& held_by_relay = held_by_relay_[relay][quota];
+  held_by_relay += units;
+  held_[quota] += units;
+  if (held_by_relay < 0) {
+    state_.AddViolation(Bound::kFormat, relay + " gives back what it does not hold of " + quota);
+  }
+  return rule;
+}
+
+void ConcurrencyQuotaChecker::OnAcquired(const std::string& relay, const std::string& quota) {
+  const QuotaRule* rule = Change(relay, quota, 1);
+  if (rule == nullptr) return;
+  ++state_.findings.units_acquired;
+  const std::int64_t allowed = (state_.DuplicatesRun() ? 2 : 1) * rule->units;
+  if (held_[quota] > allowed) {
+    state_.AddViolation(Bound::kConcurrencyQuota, fmt::format("{}: {} held, {} allowed; the last by {}",
+                                                              quota, held_[quota], rule->units, relay));
+  }
+}
+
+void ConcurrencyQuotaChecker::OnReleased(const std::string& relay, const std::string& quota) {
+  Change(relay, quota, -1);
+}
+
+void ConcurrencyQuotaChecker::OnRunEnded(const std::string& relay) {
+  auto& held_by_relay = held_by_relay_[relay];
+  for (const auto& [quota, units] : held_by_relay) held_[quota] -= units;
+  held_by_relay.clear();
+}
+
+}  // namespace stoatrun::history
--- /dev/null
+++ b/fault_injection/loopback_network.h
@@ -0,0 +1,44 @@
+// Addresses of a run on loopback. Each run reserves a net of its own (127.N.0.0/16), so that several may go
+// on at once on one machine.
+#ifndef STOATRUN_FAULT_INJECTION_LOOPBACK_NETWORK_H_
+#define STOATRUN_FAULT_INJECTION_LOOPBACK_NETWORK_H_
+
+#include <memory>
+#include <string>
+
+#include "event_loop.h"
+
+namespace stoatrun::fault_injection {
+
+inline constexpr int kClientPort = 8000;
+inline constexpr int kManagementPort = 8100;
+inline constexpr int kDiscoveryPort = 8500;
+inline constexpr int kGossipPort = 8700;
+inline constexpr int kServerPort = 9000;
+
+class LoopbackNetwork {
+ public:
+  // Reserves a net until destruction. Throws std::runtime_error if none is free.
+  explicit LoopbackNetwork(EventLoop& loop);
+
+  // Where relay `index` listens, and where a duplicate process under its name does.
+  std::string RelayIp(std::size_t index) const { return Ip(1, index); }
+  std::string DuplicateIp(std::size_t index) const { return Ip(4, index); }
+  // The relay's address in its peers' files: the harness listens there and forwards datagrams.
+  std::string PeerIp(std::size_t index) const { return Ip(2, index); }
+  // Where the harness stands in for discovery and for a server, for each relay by itself.
+  std::string DiscoveryIp(std::size_t relay) const { return Ip(3, relay); }
+  std::string ServerIp(std::size_t server, std::size_t relay) const {
+    return Ip(10 + static_cast<int>(server), relay);
+  }
+
+ private:
+  std::string Ip(int subnet, std::size_t host) const;
+
+  int net_ = 0;
+  std::unique_ptr<DescriptorWatcher> reservation_;  // A bound socket, which nobody else can bind.
+};
+
+}  // namespace stoatrun::fault_injection
+
+#endif  // STOATRUN_FAULT_INJECTION_LOOPBACK_NETWORK_H_
--- a/fault_injection/main.cpp
+++ b/fault_injection/main.cpp
@@ -1,8 +1,11 @@
-// `stoatrun_fault_injection run FILE`: plays a schedule with real processes, and checks what was seen.
+// `stoatrun_fault_injection run FILE` plays a schedule with real processes and checks the history;
+// `stoatrun_fault_injection check FILE` checks a recorded one. Exit status: 0 all bounds hold, 2 error, 3 a
+// bound was violated or a process crashed.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
 #include <chrono>
+#include <cstdint>
 #include <cstdlib>
 #include <exception>
 #include <filesystem>
@@ -19,9 +22,22 @@
 
 namespace {
 
+using stoatrun::fault_injection::ProcessFleetResults;
+using stoatrun::fault_injection::ProcessFleetSetup;
+using stoatrun::history::Findings;
 using stoatrun::simulation::Schedule;
 
-std::string ReadAll(const std::string& path) {
+constexpr int kExitError = 2, kExitViolation = 3;
+
+struct Options {
+  std::string file;  // A schedule, or the history to check.
+  std::string history_file;
+  std::optional<std::uint64_t> seed;
+  std::uint64_t relays = 5, seconds = 25;  // Of a generated schedule.
+  ProcessFleetSetup setup;
+};
+
+std::string ReadFile(const std::string& path) {
   std::ifstream in(path);
   std::ostringstream text;
   if (!in || !(text << in.rdbuf() || in.peek() == std::ifstream::traits_type::eof())) {
@@ -30,79 +46,94 @@
   return text.str();
 }
 
-int Report(const stoatrun::history::Findings& found) {
-  for (const auto& b : found.breaches)
-    std::cout << fmt::format("{:.3f} s {}: {}\n", b.at_us / 1e6, b.bound, b.what);
-  if (found.more > 0) std::cout << found.more << " more\n";
+int Report(const Findings& findings) {
+  for (const auto& violation : findings.violations) {
+    std::cout << fmt::format("{:.3f} s {}: {}\n", static_cast<double>(violation.at_us) / 1e6,
+                             NameOf(violation.bound), violation.what);
+  }
+  if (findings.further_violations > 0) std::cout << findings.further_violations << " more\n";
   std::cout << fmt::format(
       "{} events, {} runs, {} spends, {} holds, {} sums ({} without an upper bound), {} lists of avoided "
       "servers: {}\n",
-      found.events, found.runs, found.spends, found.holds, found.sums, found.unbounded_sums, found.hearsays,
-      found.Sound() ? "all bounds kept" : "a bound broke");
-  return found.Sound() ? 0 : 3;
+      findings.events, findings.runs, findings.rate_units_spent, findings.units_acquired,
+      findings.total_reports, findings.unbounded_totals, findings.ejection_reports,
+      findings.Sound() ? "all bounds kept" : "a bound broke");
+  return findings.Sound() ? 0 : kExitViolation;
 }
 
-int Main(int argc, char** argv) {
-  CLI::App app("Real processes of stoatrun under faults, and what can be said of their histories.");
-  app.require_subcommand(1);
-  stoatrun::fault_injection::RigSetup setup;
-  std::string file, history_file;
-  std::optional<std::uint64_t> seed;
-  std::uint64_t relays = 5, seconds = 25;
-  CLI::App* run = app.add_subcommand("run", "plays a schedule; without a file one is drawn from the seed");
-  run->add_option("file", file, "the schedule, as text");
-  run->add_option("--seed", seed, "goes before the file's");
-  run->add_option("--relays", relays, "of a drawn schedule")->check(CLI::Range(1, 250));
-  run->add_option("--seconds", seconds, "of a drawn schedule")->check(CLI::Range(1, 3600));
-  run->add_option("--program", setup.program, "the relay's program")->required();
-  run->add_option("--folder", setup.folder,
-                  "for files and logs; else a fresh one, taken away if all bounds hold");
-  run->add_option("--history", history_file, "where the history goes; else into the folder");
-  run->add_option("--connections", setup.connections, "new ones a second at each relay");
-  CLI::App* check = app.add_subcommand("check", "checks a history");
-  check->add_option("file", file)->required();
-  CLI11_PARSE(app, argc, argv);
-  if (check->parsed()) return Report(stoatrun::history::Check(ReadAll(file)));
+void ReportResults(const ProcessFleetResults& results, std::size_t relays) {
+  const double relay_seconds = results.seconds * static_cast<double>(relays);
+  std::cout << fmt::format(
+      "{} connections: {} served, {} refused, {} failed; {:.1f} datagrams and {:.0f} bytes a second "
+      "at each relay, {:.2f}% of a core, {:.1f} MB; {} crashes\n",
+      results.connections, results.served, results.refused, results.failed,
+      static_cast<double>(results.datagrams) / relay_seconds,
+      static_cast<double>(results.datagram_bytes) / relay_seconds, 100 * results.cpu_cores,
+      results.resident_kib / 1024, results.crashed);
+}
 
-  Schedule schedule;
-  if (file.empty()) {
-    schedule = Schedule::Draw(seed.value_or(1), relays, std::chrono::seconds(seconds));
-  } else {
-    schedule = Schedule::Parse(ReadAll(file), file);
-    if (seed) schedule.seed = *seed;
+Schedule ScheduleFrom(const Options& options) {
+  if (options.file.empty()) {
+    return Schedule::Generate(options.seed.value_or(1), options.relays,
+                              std::chrono::seconds(options.seconds));
   }
+  Schedule schedule = Schedule::Parse(ReadFile(options.file), options.file);
+  if (options.seed) schedule.seed = *options.seed;
+  return schedule;
+}
+
+std::string MakeTemporaryFolder() {
+  std::string pattern = (std::filesystem::temp_directory_path() / "stoatrun_fault_injection.XXXXXX").string();
+  if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("no folder to be had");
+  return pattern;
+}
+
+int Run(Options options) {
+  const Schedule schedule = ScheduleFrom(options);
+  ProcessFleetSetup& setup = options.setup;
   const bool own_folder = setup.folder.empty();
   if (own_folder) {
-    std::string pattern =
-        (std::filesystem::temp_directory_path() / "stoatrun_fault_injection.XXXXXX").string();
-    if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("no folder to be had");
-    setup.folder = pattern;
+    setup.folder = MakeTemporaryFolder();
   } else {
     std::filesystem::create_directories(setup.folder);
   }
   setup.program = std::filesystem::absolute(setup.program).string();
   if (!std::filesystem::exists(setup.program)) throw std::runtime_error(setup.program + ": no such program");
-  std::ostringstream history;
-  const auto figures = stoatrun::fault_injection::Play(schedule, setup, history);
-  const std::string text = history.str();
-  std::ofstream(history_file.empty() ? setup.folder + "/history.jsonl" : history_file) << text;
-  const auto found = stoatrun::history::Check(text);
-  std::cout << fmt::format(
-      "{} connections: {} served, {} refused, {} failed; {:.1f} datagrams and {:.0f} bytes a second "
-      "at each relay, {:.2f}% of a core, {:.1f} MB; {} crashes\n",
-      figures.connections, figures.served, figures.refused, figures.failed,
-      static_cast<double>(figures.datagrams) / figures.seconds / static_cast<double>(schedule.relays),
-      static_cast<double>(figures.bytes) / figures.seconds / static_cast<double>(schedule.relays),
-      100 * figures.cpu, figures.resident_kib / 1024, figures.crashed);
-  const int result = Report(found);
-  if (result != 0 || figures.crashed > 0) {
-    std::cout << "schedule:\n" << schedule.Text() << "files: " << setup.folder << '\n';
-    return 3;
+
+  const ProcessFleetResults results = stoatrun::fault_injection::Play(schedule, setup);
+  std::ofstream(options.history_file.empty() ? setup.folder + "/history.jsonl" : options.history_file)
+      << results.history;
+  ReportResults(results, schedule.relays);
+  const int status = Report(stoatrun::history::Check(results.history));
+  if (status != 0 || results.crashed > 0) {
+    std::cout << "schedule:\n" << schedule.ToText() << "files: " << setup.folder << '\n';
+    return kExitViolation;
   }
   if (own_folder) std::filesystem::remove_all(setup.folder);
   return 0;
 }
 
+int Main(int argc, char** argv) {
+  CLI::App app("Real processes of stoatrun under faults, and what can be said of their histories.");
+  app.require_subcommand(1);
+  Options options;
+  CLI::App* run = app.add_subcommand("run", "plays a schedule; without a file one is drawn from the seed");
+  run->add_option("file", options.file, "the schedule, as text");
+  run->add_option("--seed", options.seed, "goes before the file's");
+  run->add_option("--relays", options.relays, "of a drawn schedule")->check(CLI::Range(1, 250));
+  run->add_option("--seconds", options.seconds, "of a drawn schedule")->check(CLI::Range(1, 3600));
+  run->add_option("--program", options.setup.program, "the relay's program")->required();
+  run->add_option("--folder", options.setup.folder,
+                  "for files and logs; else a fresh one, taken away if all bounds hold");
+  run->add_option("--history", options.history_file, "where the history goes; else into the folder");
+  run->add_option("--connections", options.setup.connections_per_s, "new ones a second at each relay");
+  CLI::App* check = app.add_subcommand("check", "checks a history");
+  check->add_option("file", options.file)->required();
+  CLI11_PARSE(app, argc, argv);
+  if (check->parsed()) return Report(stoatrun::history::Check(ReadFile(options.file)));
+  return Run(std::move(options));
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
@@ -110,6 +141,6 @@
     return Main(argc, argv);
   } catch (const std::exception& e) {
     std::cerr << "stoatrun_fault_injection: " << e.what() << '\n';
-    return 2;
+    return kExitError;
   }
 }
--- a/fault_injection/process_fleet.h
+++ b/fault_injection/process_fleet.h
@@ -1,35 +1,40 @@
-// Starts many processes of the program on loopback, with stand-in servers, discovery and clients of its own,
-// puts faults between them as a schedule says, and writes what was seen from outside as a history
-// (HISTORY.md). Every datagram between relays goes through the rig; so does every connection, as it is at one
-// of its ends.
+// A fleet of real relay processes on loopback under a schedule of faults. The harness stands in for the
+// servers, the discovery service and the clients, forwards every datagram between relays, and records what it
+// sees from outside as a history (HISTORY.md).
 #ifndef STOATRUN_FAULT_INJECTION_PROCESS_FLEET_H_
 #define STOATRUN_FAULT_INJECTION_PROCESS_FLEET_H_
 
 #include <cstdint>
-#include <ostream>
 #include <string>
 
 #include "simulation/schedule.h"
 
 namespace stoatrun::fault_injection {
 
-struct RigSetup {
-  std::string program;       // The relay.
-  std::string folder;        // For its files and logs; must exist.
-  double connections = 5.0;  // New ones a second, at each relay.
-  std::uint32_t cold_units = 12, attempt_units = 20, group_units = 12;
-  bool fleet = true;  // Without, the relays get no fleet section.
+// How a fleet is run.
+struct ProcessFleetSetup {
+  std::string program;               // Path of the relay program.
+  std::string folder;                // For its files and logs; must exist.
+  double connections_per_s = 5.0;    // New ones, at each relay.
+  std::uint32_t cold_units = 12;     // Per second, for each server in slow start.
+  std::uint32_t attempt_units = 20;  // Per second, of retries.
+  std::uint32_t group_units = 12;    // Connections of a group at one time.
 };
 
-struct RigFigures {
-  std::uint64_t datagrams = 0, bytes = 0, connections = 0, served = 0, refused = 0, failed = 0, crashed = 0;
+// What a run gave.
+struct ProcessFleetResults {
+  std::string history;
+  std::uint64_t datagrams = 0, datagram_bytes = 0;
+  std::uint64_t connections = 0, served = 0, refused = 0, failed = 0;
+  std::uint64_t crashed = 0;  // Processes that ended though no step ended them.
   double seconds = 0;
-  // Of the processes that run at the end, for each: the part of a core that it used, and its resident memory.
-  double cpu = 0, resident_kib = 0;
+  // Means over the processes that run at the end.
+  double cpu_cores = 0, resident_kib = 0;
 };
 
-// Plays it and writes its history. Throws std::runtime_error if a process can't be started at all.
-RigFigures Play(const simulation::Schedule& schedule, const RigSetup& setup, std::ostream& history);
+// Plays the schedule in real time, on the calling thread. Throws std::runtime_error if the fleet can't be
+// started.
+ProcessFleetResults Play(const simulation::Schedule& schedule, const ProcessFleetSetup& setup);
 
 }  // namespace stoatrun::fault_injection
 
--- /dev/null
+++ b/fault_injection/stand_in_discovery.h
@@ -0,0 +1,44 @@
+// The harness's stand-in for the discovery service: each relay watches the list of servers at an address of
+// its own.
+#ifndef STOATRUN_FAULT_INJECTION_STAND_IN_DISCOVERY_H_
+#define STOATRUN_FAULT_INJECTION_STAND_IN_DISCOVERY_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "harness.h"
+
+namespace stoatrun::fault_injection {
+
+class StandInDiscovery {
+ public:
+  // Listens for all relays. Throws std::system_error.
+  explicit StandInDiscovery(Harness& harness);
+
+  // Tells all relays that this server changed.
+  void PushChange(std::size_t server);
+  // Drops the watch of a relay whose run has ended.
+  void OnRunEnded(const ManagedRelay& relay) { watches_[relay.index].reset(); }
+
+ private:
+  void Listen(std::size_t relay);
+  void Accept(std::size_t relay, int fd);
+  void OnLine(std::size_t relay, std::string_view line);
+  void Push(std::size_t relay, const std::vector<std::size_t>& servers, bool complete);
+  void SendChunk(std::size_t relay, const std::string& text);
+  // An empty line now and then shows that the watch still works.
+  void SendKeepAlive(std::size_t relay);
+
+  Harness& harness_;
+  std::vector<std::unique_ptr<DescriptorWatcher>> listeners_;
+  std::vector<std::shared_ptr<LineConnection>> watches_;  // By relay; may be null.
+  std::uint64_t revision_ = 1;
+};
+
+}  // namespace stoatrun::fault_injection
+
+#endif  // STOATRUN_FAULT_INJECTION_STAND_IN_DISCOVERY_H_
--- /dev/null
+++ b/fault_injection/stand_in_servers.cpp
@@ -0,0 +1,114 @@
+#include "stand_in_servers.h"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+
+namespace stoatrun::fault_injection {
+namespace {
+
+constexpr std::string_view kOpenVerb = "OPEN ";
+constexpr std::string_view kGroupField = ",t=";
+constexpr double kConnectionsAtFullLoad = 400;
+// A relay that misreports meets failures at every third server.
+constexpr std::size_t kMisreportedEvery = 3;
+
+// The value of the field in an OPEN line; empty if there is none.
+std::string GroupOf(std::string_view line) {
+  const std::size_t field = line.find(kGroupField);
+  if (field == std::string_view::npos) return "";
+  const std::size_t begin = field + kGroupField.size();
+  return std::string(line.substr(begin, line.find_first_of(", ", begin) - begin));
+}
+
+}  // namespace
+
+StandInServers::StandInServers(Harness& harness) : harness_(harness) {
+  for (const auto& relay : harness_.relays) {
+    for (std::size_t server = 0; server < harness_.servers.size(); ++server) Listen(*relay, server);
+  }
+}
+
+void StandInServers::CloseAll() {
+  for (const auto& attempt : attempts_) attempt->lines.reset();
+}
+
+void StandInServers::Listen(ManagedRelay& relay, std::size_t server) {
+  const int listen_fd = ListenTcp(harness_.network.ServerIp(server, relay.index), kServerPort);
+  listeners_.push_back(
+      std::make_unique<DescriptorWatcher>(harness_.loop, listen_fd, [this, &relay, server, listen_fd] {
+        for (int fd = AcceptTcp(listen_fd); fd >= 0; fd = AcceptTcp(listen_fd)) Accept(relay, server, fd);
+      }));
+}
+
+void StandInServers::Accept(ManagedRelay& relay, std::size_t server, int fd) {
+  auto attempt = std::make_shared<Attempt>();
+  attempts_.push_back(attempt);
+  attempt->relay = &relay;
+  attempt->lines = std::make_shared<LineConnection>(
+      harness_.loop, fd,
+      [this, server, attempt](std::string_view line) { OnLine(harness_.servers[server], attempt, line); },
+      [this, attempt] { OnAttemptOver(attempt); });
+}
+
+void StandInServers::OnAttemptOver(const std::shared_ptr<Attempt>& attempt) {
+  if (attempt->over) return;
+  attempt->over = true;
+  // A run that has ended held nothing any more.
+  if (attempt->holds_unit && attempt->relay->process.IsRunning()) {
+    harness_.history.UnitReleased(attempt->relay->name, "connections:" + attempt->group);
+  }
+  attempt->lines->Close();
+  harness_.closer.CloseLines(attempt);
+  std::erase(attempts_, attempt);
+}
+
+void StandInServers::EndClosedAttempts() {
+  for (const auto& attempt : std::vector(attempts_)) {
+    if (attempt->holds_unit && attempt->lines->PeerHasClosed()) OnAttemptOver(attempt);
+  }
+}
+
+void StandInServers::OnLine(StandInServer& server, const std::shared_ptr<Attempt>& attempt,
+                            std::string_view line) {
+  if (line == "PING") {
+    attempt->lines->Send("PONG\r\n");
+  } else if (line == "STATS") {
+    SendLoadReport(*attempt);
+  } else if (line.starts_with(kOpenVerb)) {
+    OnOpen(server, attempt, line);
+  } else {
+    attempt->lines->Send(fmt::format("{}\r\n", line));
+  }
+}
+
+void StandInServers::SendLoadReport(Attempt& attempt) const {
+  const auto open = std::count_if(attempts_.begin(), attempts_.end(),
+                                  [](const auto& candidate) { return candidate->holds_unit; });
+  attempt.lines->Send(fmt::format("PONG outstanding={},errors_per_s=0,x0={:.2f}\r\n", open,
+                                  static_cast<double>(open) / kConnectionsAtFullLoad));
+}
+
+void StandInServers::OnOpen(StandInServer& server, const std::shared_ptr<Attempt>& attempt,
+                            std::string_view line) {
+  const ManagedRelay& relay = *attempt->relay;
+  const std::string id(line.substr(kOpenVerb.size(), line.find(' ', kOpenVerb.size()) - kOpenVerb.size()));
+  if (harness_.InSlowStart(server)) harness_.history.RateUnitSpent(relay.name, "cold:" + server.name);
+  if (!seen_requests_.insert(id).second) harness_.history.RateUnitSpent(relay.name, "attempts");
+  const bool misreported =
+      relay.misreports && simulation::IndexFromName(server.name) % kMisreportedEvery == 0;
+  const bool failing = server.failing || relay.server_links_broken || misreported;
+  harness_.history.ServerObserved(relay.name, server.name, failing);
+  if (failing) return attempt->lines->Send("ERR\r\n");
+  if (const std::string group = GroupOf(line); !group.empty()) AcquireUnit(*attempt, group);
+  attempt->lines->Send(fmt::format("UP {}\r\n", id));
+}
+
+void StandInServers::AcquireUnit(Attempt& attempt, const std::string& group) {
+  attempt.group = group;
+  EndClosedAttempts();
+  attempt.holds_unit = true;
+  harness_.history.UnitAcquired(attempt.relay->name, "connections:" + group);
+}
+
+}  // namespace stoatrun::fault_injection
--- /dev/null
+++ b/fault_injection/status_poller.h
@@ -0,0 +1,42 @@
+// Polls what relays report of the fleet on their management address, and records it.
+#ifndef STOATRUN_FAULT_INJECTION_STATUS_POLLER_H_
+#define STOATRUN_FAULT_INJECTION_STATUS_POLLER_H_
+
+#include <simdjson.h>
+
+#include <deque>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "harness.h"
+
+namespace stoatrun::fault_injection {
+
+class StatusPoller {
+ public:
+  explicit StatusPoller(Harness& harness)
+      : harness_(harness), requests_(harness.relays.size()), member_states_(harness.relays.size()) {}
+
+  // Polls the relay twice a second for the rest of the run, while it runs and is not paused.
+  void Start(ManagedRelay& relay);
+  // Drops the requests to a relay whose run has ended.
+  void OnRunEnded(const ManagedRelay& relay) { requests_[relay.index].clear(); }
+
+ private:
+  void SendRequest(ManagedRelay& relay);
+  void OnStatus(const ManagedRelay& relay, const std::string& json);
+  void RecordTotals(const ManagedRelay& relay, const simdjson::dom::element& total);
+  void RecordEjected(const ManagedRelay& relay, const simdjson::dom::element& servers);
+  // Members and their states, as a note whenever they change.
+  void RecordMembers(const ManagedRelay& relay, const simdjson::dom::element& members);
+
+  Harness& harness_;
+  simdjson::dom::parser parser_;
+  std::vector<std::deque<std::shared_ptr<LineConnection>>> requests_;  // By relay: the latest.
+  std::vector<std::string> member_states_;                             // By relay: as noted last.
+};
+
+}  // namespace stoatrun::fault_injection
+
+#endif  // STOATRUN_FAULT_INJECTION_STATUS_POLLER_H_
--- a/src/simulation/schedule.h
+++ b/src/simulation/schedule.h
@@ -1,17 +1,28 @@
-// What is done to a fleet, and when: read from text, or drawn from a seed. One step a line, `AT_MS VERB
-// WORDS...`:
+// Fault schedules: which fault is injected into a fleet, and when. A schedule is read from text or generated
+// from a seed; the simulation (virtual time) and the fault-injection harness (real processes) both play it.
 //
-//   cut A B | heal A B          datagrams from A to B are lost from here on, or come again (one way)
-//   split A,B,... | join        nothing passes between those named and the rest, either way; all cuts end
-//   loss P | double P           of 100 datagrams so many are lost, or come twice
-//   delay FROM TO               under way for so many milliseconds: with TO over FROM they overtake each
-//   other pause A | continue A        the process is stopped (SIGSTOP) and continued kill A | start A
-//   SIGKILL; a new run, which remembers nothing leave A                     an orderly end bad S | good S |
-//   renew S    a server fails what it is asked; is sound again; starts anew badlink A | goodlink A      relay
-//   A finds every server bad, whatever they are lie A | truth A             relay A claims that servers fail
-//   which it never tried busy A PERCENT              relay A wants so much of every budget by itself
+// Text format, one step a line: `AT_MS VERB ARGUMENT...`. A line that begins with # is a comment. The header
+// lines `seed N`, `relays N`, `servers N` and `for MS` come first; times count from the start of the run.
 //
-// A line that begins with # is a comment. `seed N`, `relays N`, `servers N`, `for MS` come first.
+//   cut A B, heal A B         datagrams from A to B are dropped; are delivered again (one direction)
+//   split A,B,... ; join      a partition between the named relays and the rest; all cuts and partitions end
+//   loss PERCENT              so many datagrams in a hundred are dropped
+//   double PERCENT            so many datagrams in a hundred are delivered twice
+//   corrupt PERCENT           so many datagrams in a hundred have one byte changed (processes only)
+//   delay FROM_MS TO_MS       uniform one-way delay; datagrams overtake each other if TO is over FROM
+//   garbage A N               N datagrams that no peer sent reach relay A (processes only)
+//   pause A, continue A       the process is stopped (SIGSTOP) and continued
+//   kill A, start A           SIGKILL; a new run, which remembers nothing
+//   leave A                   graceful shutdown
+//   twin A, untwin A          a second process runs under A's name; it is killed (processes only)
+//   remove A                  A is taken out of its peers' operator files (processes only)
+//   bad S, good S             server S fails its requests; recovers
+//   renew S                   server S is replaced by a new process
+//   badlink A, goodlink A     every server fails for relay A alone; no longer
+//   lie A, truth A            relay A misreports servers as failing; no longer
+//   busy A PERCENT            relay A alone wants so much of every quota
+//
+// Everything here is a plain value: no clock, no I/O, no shared state.
 #ifndef STOATRUN_SIMULATION_SCHEDULE_H_
 #define STOATRUN_SIMULATION_SCHEDULE_H_
 
@@ -27,29 +38,74 @@
 
 using Micros = std::chrono::microseconds;
 
+// What a step does, a verb of the text format each.
+enum class FaultAction {
+  kCutLink,
+  kHealLink,
+  kPartition,
+  kHealAll,
+  kSetLoss,
+  kSetDuplication,
+  kSetCorruption,
+  kSetDelay,
+  kSendGarbage,
+  kPause,
+  kResume,
+  kKill,
+  kStart,
+  kLeave,
+  kStartDuplicate,
+  kStopDuplicate,
+  kRemoveFromPeers,
+  kFailServer,
+  kRecoverServer,
+  kRestartServer,
+  kBreakServerLinks,
+  kRestoreServerLinks,
+  kStartMisreporting,
+  kStopMisreporting,
+  kSetDemand,
+};
+
+// The verb of an action in the text format, for example `cut`.
+std::string_view VerbOf(FaultAction action);
+
+// One action at one time. The arguments are kept as text, as the verb's format requires them.
 struct Step {
   Micros at{0};
-  std::string verb;
-  std::vector<std::string> words;
+  FaultAction action = FaultAction::kHealAll;
+  std::vector<std::string> arguments;
+
+  // The n-th argument as the index in a relay's or server's name, as the indices in a list of relays, or as a
+  // number. The argument must be of that form, as it is in a parsed or generated schedule.
+  std::size_t Index(std::size_t n) const;
+  std::set<std::size_t> Indices(std::size_t n) const;
+  std::uint64_t Number(std::size_t n) const;
+  // The n-th argument as a fraction: `60` (percent) gives 0.6.
+  double Fraction(std::size_t n) const { return static_cast<double>(Number(n)) / 100; }
 };
 
+// A whole run: how large the fleet is, how long it runs, and its steps in order of time.
 struct Schedule {
   std::uint64_t seed = 1;
   std::size_t relays = 5, servers = 6;
   Micros length = std::chrono::seconds(30);
-  std::vector<Step> steps;  // By time.
+  std::vector<Step> steps;
 
-  // Throws std::invalid_argument: `NAME:LINE: FIELD: what is wrong`.
+  // Reads the text format. `name` stands for the source in messages. Throws std::invalid_argument:
+  // `NAME:LINE: FIELD: what is wrong`.
   static Schedule Parse(std::string_view text, const std::string& name);
-  static Schedule Draw(std::uint64_t seed, std::size_t relays, Micros length);
-  std::string Text() const;
+  // A random schedule; the same arguments give the same schedule.
+  static Schedule Generate(std::uint64_t seed, std::size_t relays, Micros length);
+  // The text format: Parse(ToText()) gives an equal schedule, up to fractions of a millisecond.
+  std::string ToText() const;
 };
 
-std::string RelayName(std::size_t k);
-std::string ServerName(std::size_t k);
-// The number in a relay's or server's name, and those in a list of names: `n0,n2`.
-std::size_t IndexOf(const std::string& name);
-std::set<std::size_t> IndicesOf(std::string_view list);
+// The names that schedules and histories use: relays `n0`, `n1`, ... and servers `s0`, `s1`, ...
+std::string RelayName(std::size_t index);
+std::string ServerName(std::size_t index);
+// The index in such a name.
+std::size_t IndexFromName(const std::string& name);
 
 }  // namespace stoatrun::simulation
 
--- a/src/simulation/simulated_fleet.h
+++ b/src/simulation/simulated_fleet.h
@@ -1,10 +1,12 @@
-// A fleet in virtual time: the very modules that the relay runs, on a simulated network, under a schedule of
-// faults. What happens goes into a history (fault_injection/HISTORY.md), the same that the rig writes of real
-// processes.
+// A fleet in virtual time: the modules that the relays run (src/fleet) on a simulated network, under a
+// schedule of faults. What happens is recorded as a history (fault_injection/HISTORY.md), in the format that
+// the fault-injection harness writes of real processes.
+//
+// Deterministic: a schedule, its seed included, always gives the same history. Single-threaded; several runs
+// may go on at once in threads of their own.
 #ifndef STOATRUN_SIMULATION_SIMULATED_FLEET_H_
 #define STOATRUN_SIMULATION_SIMULATED_FLEET_H_
 
-#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <string>
@@ -14,34 +16,40 @@
 
 namespace stoatrun::simulation {
 
-struct WorldSetup {
-  bool sharing = true;       // Without, each relay has its static share and its own eyes alone.
-  double demand = 0.6;       // Of the budgets, by all relays together, where no step says otherwise.
-  double busiest = 0.5;      // The part of the demand that one relay has, drawn anew each few seconds.
-  double connections = 4.0;  // New ones a second, at each relay.
-  double tries = 6.0;        // Servers tried a second, at each relay.
-  Micros settled = std::chrono::seconds(5);  // Spends are counted from here on, for the use of budgets.
-  bool history = true;                       // Without, only the figures are kept.
+// The workload, and what is recorded.
+struct SimulatedFleetSetup {
+  bool sharing = true;         // Without, no datagram is delivered: each relay has its static quota share.
+  double demand = 0.6;         // Of the quotas, by all relays together, where no step sets another.
+  double busiest_share = 0.5;  // Of the demand, at one relay that is drawn anew every few seconds.
+  double connections_per_s = 4.0;            // New ones, at each relay.
+  double requests_per_s = 6.0;               // Requests to servers, from each relay.
+  Micros warm_up = std::chrono::seconds(5);  // Quota utilization is measured from here on.
+  bool record_history = true;                // Without, only the metrics are kept.
 };
 
-struct WorldFigures {
-  std::uint64_t datagrams = 0, bytes = 0, oversized = 0, wanted = 0, spent = 0, denied = 0;
+// Measures of a run.
+struct SimulatedFleetMetrics {
+  std::uint64_t datagrams = 0, datagram_bytes = 0;
   double datagrams_per_relay_s = 0, bytes_per_relay_s = 0;
-  std::uint64_t unbalanced = 0;        // Reports of relays whose own check failed.
-  std::uint64_t false_twins = 0;       // Relays taken for twins, though each name ran once.
-  std::map<std::string, double> used;  // Of each budget of a window: the part that was spent, once settled.
-  // Of each relay: how long after the first `bad` step it avoided that server, by its own eyes or on hearsay.
-  std::vector<double> avoided_after_s;
-  // Of each stretch in which a relay avoided a sound server on hearsay: how long it was.
-  std::vector<double> wrongly_for_s;
+  std::uint64_t oversized_datagrams = 0;
+  std::uint64_t unbalanced_counts = 0;  // Ticks at which a relay's own connection counts did not add up.
+  std::uint64_t false_duplicates = 0;   // Relays taken for duplicates, though each name ran once.
+  // Of each rate quota: the fraction of its units that was spent after the warm-up.
+  std::map<std::string, double> quota_utilization;
+  // Of each relay that ejected the first failing server, on its own or remote evidence: how long after it
+  // began to fail, in seconds.
+  std::vector<double> ejection_delays_s;
+  // How long sound servers were ejected on remote evidence, in seconds, each time.
+  std::vector<double> wrong_ejections_s;
 };
 
-struct WorldResult {
+struct SimulatedFleetResults {
   std::string history;
-  WorldFigures figures;
+  SimulatedFleetMetrics metrics;
 };
 
-WorldResult Play(const Schedule& schedule, const WorldSetup& setup = {});
+// Plays the schedule to its end.
+SimulatedFleetResults Play(const Schedule& schedule, const SimulatedFleetSetup& setup = {});
 
 }  // namespace stoatrun::simulation
 
--- a/tests/simulation/schedules_test.cpp
+++ b/tests/simulation/schedules_test.cpp
@@ -1,12 +1,12 @@
-// Histories of simulated fleets under drawn schedules of faults, the checker that reads them, and faults
-// planted in the modules, each of which the checker must find.
+// Histories of simulated fleets under generated schedules, and faults injected into the fleet's modules, each
+// of which the history checker must find.
 #include <catch2/catch.hpp>
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
 #include <sstream>
+#include <stdexcept>
 #include <string>
-#include <vector>
 
 #include "fleet/injected_fault.h"
 #include "history/history_checker.h"
@@ -18,50 +18,53 @@
 namespace {
 
 using fleet::Fault;
+using history::Bound;
 
-history::Findings Played(const Schedule& s) { return history::Check(Play(s).history); }
+history::Findings PlayAndCheck(const Schedule& schedule) { return history::Check(Play(schedule).history); }
 
-TEST_CASE("no bound breaks in drawn schedules of three, five and nine relays") {
+TEST_CASE("no bound is violated in generated schedules of three, five and nine relays") {
   fleet::planted = Fault::kNone;
-  std::size_t spends = 0, holds = 0, hearsays = 0, unbounded = 0, sums = 0;
+  std::size_t rate_units_spent = 0, units_acquired = 0, ejection_reports = 0;
+  std::size_t total_reports = 0, unbounded_totals = 0;
   for (std::uint64_t seed = 1; seed <= 120; ++seed) {
     const std::size_t relays = seed % 3 == 0 ? 3 : seed % 3 == 1 ? 5 : 9;
-    const Schedule s = Schedule::Draw(seed, relays, std::chrono::seconds(25));
-    const auto result = Play(s);
-    const auto found = history::Check(result.history);
-    if (!found.Sound())
-      FAIL("seed " << seed << ": " << found.breaches[0].bound << ": " << found.breaches[0].what);
-    CHECK(result.figures.oversized == 0);
-    CHECK(result.figures.unbalanced == 0);
-    CHECK(result.figures.false_twins == 0);
-    spends += found.spends;
-    holds += found.holds;
-    hearsays += found.hearsays;
-    sums += found.sums;
-    unbounded += found.unbounded_sums;
+    const Schedule schedule = Schedule::Generate(seed, relays, std::chrono::seconds(25));
+    const SimulatedFleetResults results = Play(schedule);
+    const history::Findings findings = history::Check(results.history);
+    if (!findings.Sound()) {
+      const auto& first = findings.violations[0];
+      FAIL("seed " << seed << ": " << NameOf(first.bound) << ": " << first.what);
+    }
+    CHECK(results.metrics.oversized_datagrams == 0);
+    CHECK(results.metrics.unbalanced_counts == 0);
+    CHECK(results.metrics.false_duplicates == 0);
+    rate_units_spent += findings.rate_units_spent;
+    units_acquired += findings.units_acquired;
+    ejection_reports += findings.ejection_reports;
+    total_reports += findings.total_reports;
+    unbounded_totals += findings.unbounded_totals;
   }
   // There was something to be checked.
-  CHECK(spends > 20'000);
-  CHECK(holds > 2'000);
-  CHECK(hearsays > 20'000);
-  CHECK(sums > unbounded * 2);
+  CHECK(rate_units_spent > 20'000);
+  CHECK(units_acquired > 2'000);
+  CHECK(ejection_reports > 20'000);
+  CHECK(total_reports > unbounded_totals * 2);
 }
 
 TEST_CASE("the same schedule gives the same history") {
-  const Schedule s = Schedule::Draw(7, 5, std::chrono::seconds(20));
-  CHECK(Play(s).history == Play(s).history);
+  const Schedule schedule = Schedule::Generate(7, 5, std::chrono::seconds(20));
+  CHECK(Play(schedule).history == Play(schedule).history);
 }
 
-// Which bound each planted fault must break, within so many drawn schedules.
-// Where drawn schedules seldom hit it, a schedule of its own.
-struct Plant {
+// A fault in the fleet's modules and the bound that it must violate.
+struct InjectedFault {
   Fault fault;
   const char* name;
-  const char* bound;
-  const char* schedule = nullptr;
+  Bound bound;
+  const char* schedule = nullptr;  // Its own, where generated ones seldom hit it.
 };
-// Demand goes to and fro between one relay and the others, while every datagram takes half of a second.
-constexpr const char* kToAndFro = R"(relays 3
+// Demand alternates between one relay and the others, while every datagram takes half a second.
+constexpr const char* kAlternatingDemand = R"(relays 3
 servers 3
 for 45000
 0 delay 350 490
@@ -83,152 +86,85 @@
 39000 busy n1 800
 39000 busy n2 800
 )";
-const Plant kPlants[] = {
-    {Fault::kLeaseIgnoresPause, "a lease that ignores pauses", "window"},
-    {Fault::kLeaseCountsFromGrant, "a lease that counts from its grant", "window", kToAndFro},
-    {Fault::kLenderForgetsWindow, "a lender that forgets the window", "window"},
-    {Fault::kLenderForgetsRestart, "a share that is whole at a restart", "window"},
-    {Fault::kGrantTakenTwice, "a grant that counts twice", "window"},
-    {Fault::kLevelEndsByClock, "a level that its lender takes back by the clock", "level"},
-    {Fault::kLoansForgottenByRestart, "a restarted lender that asks nobody", "level"},
-    {Fault::kCountWithoutLife, "counts without the run they are of", "sum"},
-    {Fault::kCountAddedTwice, "late counts that are added", "sum"},
-    {Fault::kAgeWithoutTransit, "ages without the time under way", "sum"},
-    {Fault::kJudgementWithoutEnd, "a judgement without end", "hearsay"},
-    {Fault::kOneWitnessIsEnough, "one witness that is enough", "hearsay"},
-    {Fault::kNoCapOnHearsay, "any number avoided on hearsay", "hearsay"},
-    {Fault::kHearsayBeforeOwn, "hearsay before one's own eyes", "hearsay"},
+const InjectedFault kInjectedFaults[] = {
+    {Fault::kLeaseIgnoresPause, "a lease that ignores pauses", Bound::kRateQuota},
+    {Fault::kLeaseCountsFromGrant, "a lease that counts from its grant", Bound::kRateQuota,
+     kAlternatingDemand},
+    {Fault::kLenderForgetsWindow, "a lender that ignores the window", Bound::kRateQuota},
+    {Fault::kLenderForgetsRestart, "a full share at a restart", Bound::kRateQuota},
+    {Fault::kGrantTakenTwice, "a grant that counts twice", Bound::kRateQuota},
+    {Fault::kLevelEndsByClock, "a concurrency lease that its lender ends by the clock",
+     Bound::kConcurrencyQuota},
+    {Fault::kLoansForgottenByRestart, "a restarted lender that asks nobody for lent leases",
+     Bound::kConcurrencyQuota},
+    {Fault::kCountWithoutLife, "counts without their incarnation", Bound::kFleetTotals},
+    {Fault::kCountAddedTwice, "late counts that are added", Bound::kFleetTotals},
+    {Fault::kAgeWithoutTransit, "ages without the transit time", Bound::kFleetTotals},
+    {Fault::kJudgementWithoutEnd, "evidence that never expires", Bound::kEjection},
+    {Fault::kOneWitnessIsEnough, "one witness that suffices", Bound::kEjection},
+    {Fault::kNoCapOnHearsay, "ejections without a cap", Bound::kEjection},
+    {Fault::kHearsayBeforeOwn, "remote evidence before own observations", Bound::kEjection},
 };
 
-TEST_CASE("the checker finds each fault planted in the modules, and the schedule shrinks") {
-  for (const Plant& plant : kPlants) {
-    SECTION(plant.name) {
-      fleet::planted = plant.fault;
-      Schedule broken;
+TEST_CASE("the checker finds each injected fault, and the schedule shrinks") {
+  for (const InjectedFault& injected : kInjectedFaults) {
+    SECTION(injected.name) {
+      fleet::planted = injected.fault;
+      Schedule violating;
       bool found = false;
       for (std::uint64_t seed = 1; seed <= 4000 && !found; ++seed) {
-        if (plant.schedule == nullptr) {
-          broken = Schedule::Draw(seed, 5, std::chrono::seconds(25));
+        if (injected.schedule == nullptr) {
+          violating = Schedule::Generate(seed, 5, std::chrono::seconds(25));
         } else {
-          broken = Schedule::Parse(plant.schedule, plant.name);
-          broken.seed = seed;
+          violating = Schedule::Parse(injected.schedule, injected.name);
+          violating.seed = seed;
         }
-        const auto findings = Played(broken);
-        found = !findings.Sound() && findings.breaches[0].bound == plant.bound;
+        const auto findings = PlayAndCheck(violating);
+        found = !findings.Sound() && findings.violations[0].bound == injected.bound;
       }
       REQUIRE(found);
       const Schedule shrunk = Shrink(
-          broken, [](const Schedule& s) { return !Played(s).Sound(); }, 60);
-      CHECK_FALSE(Played(shrunk).Sound());
-      CHECK(shrunk.steps.size() <= broken.steps.size());
-      // Its text is the schedule.
-      CHECK_FALSE(Played(Schedule::Parse(shrunk.Text(), "shrunk")).Sound());
+          violating, [](const Schedule& shorter) { return !PlayAndCheck(shorter).Sound(); }, 60);
+      CHECK_FALSE(PlayAndCheck(shrunk).Sound());
+      CHECK(shrunk.steps.size() <= violating.steps.size());
+      // The text format keeps the whole schedule.
+      CHECK_FALSE(PlayAndCheck(Schedule::Parse(shrunk.ToText(), "shrunk")).Sound());
       fleet::planted = Fault::kNone;
-      CHECK(Played(shrunk).Sound());
+      CHECK(PlayAndCheck(shrunk).Sound());
     }
   }
   fleet::planted = Fault::kNone;
 }
 
-TEST_CASE("schedules that once broke a bound hold now") {
+TEST_CASE("schedules that once violated a bound are sound now") {
   fleet::planted = Fault::kNone;
   std::size_t played = 0;
   for (const auto& entry : std::filesystem::directory_iterator(FLEET_SCHEDULES)) {
     std::ifstream in(entry.path());
     std::ostringstream text;
     text << in.rdbuf();
-    const auto found = Played(Schedule::Parse(text.str(), entry.path().filename().string()));
-    if (!found.Sound()) FAIL(entry.path() << ": " << found.breaches[0].what);
+    const Schedule schedule = Schedule::Parse(text.str(), entry.path().filename().string());
+    const history::Findings findings = PlayAndCheck(schedule);
+    if (!findings.Sound()) FAIL(entry.path() << ": " << findings.violations[0].what);
     ++played;
   }
   CHECK(played > 0);
 }
 
-TEST_CASE("a schedule that is in error is told by line and field") {
-  const auto fault = [](const char* text) {
+TEST_CASE("an error in a schedule is reported with line and field") {
+  const auto error_of = [](const char* text) {
     try {
       Schedule::Parse(text, "f");
-    } catch (const std::invalid_argument& e) {
-      return std::string(e.what());
+    } catch (const std::invalid_argument& error) {
+      return std::string(error.what());
     }
     return std::string();
   };
-  CHECK(fault("relays 3\n100 kill n7\n") == "f:2: kill: no relay 'n7'");
-  CHECK(fault("100 melt n1\n") == "f:1: VERB: no verb 'melt'");
-  CHECK(fault("soon kill n1\n") == "f:1: AT_MS: expected a time in milliseconds, got 'soon'");
-  CHECK(fault("100 cut n1\n") == "f:1: cut: expected 2 words, got 1");
-  CHECK(fault("relays none\n") == "f:1: relays: expected one whole number");
-}
-
-// ---- the checker by itself ----
-
-constexpr const char* kBegin =
-    R"({"t":0,"e":"fleet","relays":["a","b","c"],"budgets":[{"name":"w","units":2,"window_us":100},)"
-    R"({"name":"l","units":1,"window_us":0},{"name":"cold:","units":1,"window_us":100}],"slack_us":0,)"
-    R"("avoid_part":0.5,"evidence_us":1000,"own_us":1000,"hearsay_us":500,"witnesses":2}
-{"t":0,"e":"up","r":"a"}
-{"t":0,"e":"up","r":"b"}
-)";
-
-std::string FirstBreach(const std::string& rest) {
-  const auto found = history::Check(kBegin + rest);
-  return found.Sound() ? "" : found.breaches[0].bound;
-}
-
-TEST_CASE("the checker tells a history that holds from one that does not") {
-  CHECK(FirstBreach("").empty());
-  CHECK(history::Check("").breaches[0].bound == "form");
-  CHECK(FirstBreach("nonsense\n") == "form");
-  CHECK(FirstBreach(R"({"t":1,"e":"spend","r":"x","b":"w"})") == "form");
-  const std::string two = R"({"t":10,"e":"spend","r":"a","b":"w"}
-{"t":20,"e":"spend","r":"b","b":"w"}
-)";
-  CHECK(FirstBreach(two + R"({"t":110,"e":"spend","r":"a","b":"w"})").empty());
-  CHECK(FirstBreach(two + R"({"t":109,"e":"spend","r":"a","b":"w"})") == "window");
-  CHECK(FirstBreach(R"({"t":10,"e":"spend","r":"a","b":"cold:x"}
-{"t":20,"e":"spend","r":"b","b":"cold:y"})")
-            .empty());
-  CHECK(FirstBreach(R"({"t":10,"e":"spend","r":"a","b":"cold:x"}
-{"t":20,"e":"spend","r":"b","b":"cold:x"})") == "window");
-  const std::string held = R"({"t":10,"e":"hold","r":"a","b":"l"}
-)";
-  CHECK(FirstBreach(held + R"({"t":11,"e":"hold","r":"b","b":"l"})") == "level");
-  CHECK(FirstBreach(held + R"({"t":11,"e":"down","r":"a"}
-{"t":12,"e":"hold","r":"b","b":"l"})")
-            .empty());
-  CHECK(FirstBreach(
-            R"({"t":10,"e":"accounts","r":"a","taken":1,"served":0,"refused":0,"failed":0,"open":0})") ==
-        "accounts");
-  CHECK(FirstBreach(
-            R"({"t":10,"e":"accounts","r":"a","taken":1,"served":1,"refused":0,"failed":0,"open":0})") ==
-        "accounts");
-  const std::string taken = R"({"t":10,"e":"take","r":"a"}
-{"t":20,"e":"take","r":"b"}
-)";
-  const auto sum = [](int at, int oldest, int low, int high) {
-    return "{\"t\":" + std::to_string(at) + R"(,"e":"sum","r":"a","oldest_us":)" + std::to_string(oldest) +
-           ",\"taken\":[" + std::to_string(low) + "," + std::to_string(high) +
-           R"(],"served":[0,0],"refused":[0,0],"failed":[0,0],"open":[0,9]})";
-  };
-  CHECK(FirstBreach(taken + sum(30, 0, 2, 2)).empty());
-  CHECK(FirstBreach(taken + sum(30, 15, 1, 1)).empty());
-  CHECK(FirstBreach(taken + sum(30, 5, 1, 1)) == "sum");
-  CHECK(FirstBreach(taken + sum(30, 30, 3, 3)) == "sum");
-}
-
-TEST_CASE("the checker asks for witnesses, time and part of what is avoided on hearsay") {
-  const std::string seen = R"({"t":10,"e":"saw","r":"a","s":"x","v":"failing"}
-{"t":10,"e":"saw","r":"b","s":"x","v":"slow"}
-)";
-  const std::string avoids = R"({"t":100,"e":"hearsay","r":"c","of":4,"s":["x"]}
-)";
-  CHECK(FirstBreach(seen + avoids).empty());
-  CHECK(FirstBreach(avoids) == "hearsay");
-  CHECK(FirstBreach(seen + R"({"t":1100,"e":"hearsay","r":"c","of":4,"s":["x"]})") == "hearsay");
-  CHECK(FirstBreach(seen + avoids + R"({"t":700,"e":"hearsay","r":"c","of":4,"s":["x"]})") == "hearsay");
-  CHECK(FirstBreach(seen + R"({"t":100,"e":"hearsay","r":"c","of":1,"s":["x"]})") == "hearsay");
-  CHECK(FirstBreach(seen + R"({"t":50,"e":"saw","r":"c","s":"x","v":"fine"}
-)" + avoids) == "hearsay");
+  CHECK(error_of("relays 3\n100 kill n7\n") == "f:2: kill: no relay 'n7'");
+  CHECK(error_of("100 melt n1\n") == "f:1: VERB: no verb 'melt'");
+  CHECK(error_of("soon kill n1\n") == "f:1: AT_MS: expected a time in milliseconds, got 'soon'");
+  CHECK(error_of("100 cut n1\n") == "f:1: cut: expected 2 words, got 1");
+  CHECK(error_of("relays none\n") == "f:1: relays: expected one whole number");
 }
 
 }  // namespace
--- a/tools/fleet_measure.cpp
+++ b/tools/fleet_measure.cpp
@@ -1,5 +1,6 @@
-// Measures a simulated fleet and prints CSV: `fleet_measure >figures.csv`. Medians over seeds, with least and
-// most.
+// Measures a simulated fleet and prints CSV: `fleet_measure >metrics.csv`. Each experiment is played with
+// several seeds; a row gives the median, the least and the greatest value of one metric. bench/fleet_plots.py
+// draws it.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -12,6 +13,7 @@
 #include <map>
 #include <string>
 #include <thread>
+#include <utility>
 #include <vector>
 
 #include "history/history_checker.h"
@@ -20,196 +22,257 @@
 
 namespace {
 
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+using stoatrun::simulation::FaultAction;
 using stoatrun::simulation::Play;
 using stoatrun::simulation::RelayName;
 using stoatrun::simulation::Schedule;
+using stoatrun::simulation::SimulatedFleetResults;
+using stoatrun::simulation::SimulatedFleetSetup;
 using stoatrun::simulation::Step;
-using stoatrun::simulation::WorldResult;
-using stoatrun::simulation::WorldSetup;
-using Figures = std::map<std::string, double>;
+
+// Values of metrics by their names in the CSV.
+using Metrics = std::map<std::string, double>;
+
+// Fleets so large take long: they are played with fewer seeds.
+constexpr std::size_t kLargeFleet = 1000;
+constexpr std::uint64_t kMaxLargeFleetSeeds = 2;
 
 struct Experiment {
   std::string name, condition;
-  std::size_t relays;
+  std::size_t relays = 0;
+  SimulatedFleetSetup setup;
   std::function<Schedule(std::uint64_t seed)> schedule;
-  WorldSetup setup;
-  std::function<void(const WorldResult&, Figures&)> read;
+  std::function<void(const SimulatedFleetResults&, Metrics&)> read_metrics;
 };
 
-Schedule Base(std::uint64_t seed, std::size_t relays, std::int64_t seconds) {
-  Schedule s;
-  s.seed = seed;
-  s.relays = relays;
-  s.servers = 12;
-  s.length = std::chrono::seconds(seconds);
-  return s;
+Schedule EmptySchedule(std::uint64_t seed, std::size_t relays, seconds length) {
+  Schedule schedule;
+  schedule.seed = seed;
+  schedule.relays = relays;
+  schedule.servers = 12;
+  schedule.length = length;
+  return schedule;
 }
 
-void Add(Schedule& s, std::int64_t ms, std::string verb, std::vector<std::string> words) {
-  s.steps.push_back({std::chrono::milliseconds(ms), std::move(verb), std::move(words)});
+// A setup with little traffic of which no history is needed.
+SimulatedFleetSetup QuietSetup() {
+  SimulatedFleetSetup setup;
+  setup.record_history = false;
+  setup.connections_per_s = 0.1;
+  setup.demand = 0.05;
+  return setup;
 }
 
-double Percentile(std::vector<double> v, double p) {
-  if (v.empty()) return -1;
-  std::sort(v.begin(), v.end());
-  return v[static_cast<std::size_t>(p * static_cast<double>(v.size() - 1))];
+// -1 if there are no values.
+double Percentile(std::vector<double> values, double fraction) {
+  if (values.empty()) return -1;
+  std::sort(values.begin(), values.end());
+  return values[static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1))];
 }
 
-// One relay wants far more than there is, and the others want nothing; or all want as much.
-Experiment Use(std::size_t relays, bool one, bool sharing) {
-  Experiment e{
-      "budget used",
-      fmt::format("{}, sharing {}", one ? "one relay wants all" : "all want more", sharing ? "on" : "off"),
-      relays,
-      {},
-      {},
-      {}};
-  e.setup.sharing = sharing;
-  e.setup.history = false;
-  e.setup.connections = 0.1;
-  e.setup.tries = 0.5;
-  e.schedule = [relays, one](std::uint64_t seed) {
-    Schedule s = Base(seed, relays, 25);
-    for (std::size_t k = 0; k < relays; ++k)
-      Add(s, 0, "busy", {RelayName(k), one ? (k == 0 ? "500" : "0") : std::to_string(300 / relays + 1)});
-    return s;
+enum class QuotaDemand { kOneRelay, kAllRelays };
+
+// How much of a quota is used if one relay wants far more than there is and the others nothing, or all want
+// as much.
+Experiment QuotaUse(std::size_t relays, QuotaDemand demand, bool sharing) {
+  const bool one = demand == QuotaDemand::kOneRelay;
+  Experiment experiment;
+  experiment.name = "budget used";
+  experiment.condition =
+      fmt::format("{}, sharing {}", one ? "one relay wants all" : "all want more", sharing ? "on" : "off");
+  experiment.relays = relays;
+  experiment.setup.sharing = sharing;
+  experiment.setup.record_history = false;
+  experiment.setup.connections_per_s = 0.1;
+  experiment.setup.requests_per_s = 0.5;
+  experiment.schedule = [relays, one](std::uint64_t seed) {
+    Schedule schedule = EmptySchedule(seed, relays, seconds(25));
+    for (std::size_t k = 0; k < relays; ++k) {
+      const std::string equal_percent = std::to_string(300 / relays + 1);
+      const std::string one_percent = k == 0 ? "500" : "0";
+      schedule.steps.push_back(
+          {milliseconds(0), FaultAction::kSetDemand, {RelayName(k), one ? one_percent : equal_percent}});
+    }
+    return schedule;
   };
-  e.read = [](const WorldResult& r, Figures& f) {
-    const auto at = r.figures.used.find("retry");
-    f["part of the budget"] = at == r.figures.used.end() ? 0 : at->second;
+  experiment.read_metrics = [](const SimulatedFleetResults& results, Metrics& metrics) {
+    const auto used = results.metrics.quota_utilization.find("retry");
+    metrics["part of the budget"] = used == results.metrics.quota_utilization.end() ? 0 : used->second;
   };
-  return e;
+  return experiment;
 }
 
+// How old and how wide the fleet's totals are under these faults.
 Experiment Totals(std::size_t relays, const std::string& condition, const std::vector<Step>& steps) {
-  Experiment e{"totals", condition, relays, {}, {}, {}};
-  e.setup.connections = 1.0;
-  e.setup.tries = 0.2;
-  e.setup.demand = 0.05;
-  e.schedule = [relays, steps](std::uint64_t seed) {
-    Schedule s = Base(seed, relays, 90);
-    s.steps = steps;
-    return s;
+  Experiment experiment;
+  experiment.name = "totals";
+  experiment.condition = condition;
+  experiment.relays = relays;
+  experiment.setup.connections_per_s = 1.0;
+  experiment.setup.requests_per_s = 0.2;
+  experiment.setup.demand = 0.05;
+  experiment.schedule = [relays, steps](std::uint64_t seed) {
+    Schedule schedule = EmptySchedule(seed, relays, seconds(90));
+    schedule.steps = steps;
+    return schedule;
   };
-  e.read = [relays](const WorldResult& r, Figures& f) {
-    const auto found = stoatrun::history::Check(r.history);
-    f["age of the oldest part, s"] = static_cast<double>(found.sum_age_us) / 1e6;
-    f["width of open"] = found.sum_width;
-    f["width of open for each relay"] = found.sum_width / static_cast<double>(relays);
-    f["sums without an upper bound"] =
-        static_cast<double>(found.unbounded_sums) / static_cast<double>(std::max<std::size_t>(1, found.sums));
-    f["breaches"] = static_cast<double>(found.breaches.size());
+  experiment.read_metrics = [relays](const SimulatedFleetResults& results, Metrics& metrics) {
+    const auto findings = stoatrun::history::Check(results.history);
+    metrics["age of the oldest part, s"] = static_cast<double>(findings.mean_total_age_us) / 1e6;
+    metrics["width of open"] = findings.mean_open_width;
+    metrics["width of open for each relay"] = findings.mean_open_width / static_cast<double>(relays);
+    metrics["sums without an upper bound"] =
+        static_cast<double>(findings.unbounded_totals) /
+        static_cast<double>(std::max<std::size_t>(1, findings.total_reports));
+    metrics["breaches"] = static_cast<double>(findings.violations.size());
   };
-  return e;
+  return experiment;
 }
 
-// A server begins to fail, and each relay tries servers seldom.
-Experiment Bad(std::size_t relays, bool sharing) {
-  Experiment e{"bad server", sharing ? "sharing on" : "sharing off", relays, {}, {}, {}};
-  e.setup.sharing = sharing;
-  e.setup.history = false;
-  e.setup.connections = 0.1;
-  e.setup.demand = 0.05;
-  e.setup.tries = 2.0;
-  e.schedule = [relays](std::uint64_t seed) {
-    Schedule s = Base(seed, relays, 70);
-    Add(s, 15000, "bad", {"s3"});
-    return s;
+// How fast relays eject a server that begins to fail, with few requests each.
+Experiment FailingServer(std::size_t relays, bool sharing) {
+  constexpr auto kFailsAt = seconds(15);
+  constexpr auto kLength = seconds(70);
+  Experiment experiment;
+  experiment.name = "bad server";
+  experiment.condition = sharing ? "sharing on" : "sharing off";
+  experiment.relays = relays;
+  experiment.setup = QuietSetup();
+  experiment.setup.sharing = sharing;
+  experiment.setup.requests_per_s = 2.0;
+  experiment.schedule = [=](std::uint64_t seed) {
+    Schedule schedule = EmptySchedule(seed, relays, kLength);
+    schedule.steps.push_back({kFailsAt, FaultAction::kFailServer, {"s3"}});
+    return schedule;
   };
-  e.read = [relays](const WorldResult& r, Figures& f) {
-    auto after = r.figures.avoided_after_s;
-    f["relays that avoided it, part"] = static_cast<double>(after.size()) / static_cast<double>(relays);
-    after.resize(relays, 55.0);  // Not within the time.
-    f["until half avoid it, s"] = Percentile(after, 0.5);
-    f["until nine in ten avoid it, s"] = Percentile(after, 0.9);
+  experiment.read_metrics = [=](const SimulatedFleetResults& results, Metrics& metrics) {
+    std::vector<double> delays_s = results.metrics.ejection_delays_s;
+    metrics["relays that avoided it, part"] =
+        static_cast<double>(delays_s.size()) / static_cast<double>(relays);
+    // Those that did not within the time count with all of it.
+    delays_s.resize(relays, static_cast<double>((kLength - kFailsAt).count()));
+    metrics["until half avoid it, s"] = Percentile(delays_s, 0.5);
+    metrics["until nine in ten avoid it, s"] = Percentile(delays_s, 0.9);
   };
-  return e;
+  return experiment;
 }
 
-Experiment Wrong(std::size_t relays) {
-  Experiment e{"sound server wrongly judged", "three relays with bad links to all", relays, {}, {}, {}};
-  e.setup.history = false;
-  e.setup.connections = 0.1;
-  e.setup.demand = 0.05;
-  e.setup.tries = 3.0;
-  e.schedule = [relays](std::uint64_t seed) {
-    Schedule s = Base(seed, relays, 40);
-    for (std::size_t k = 0; k < std::min<std::size_t>(3, relays - 1); ++k)
-      Add(s, 8000, "badlink", {RelayName(k)});
-    return s;
+// How long sound servers are ejected if three relays see failures at all of them.
+Experiment WrongEvidence(std::size_t relays) {
+  Experiment experiment;
+  experiment.name = "sound server wrongly judged";
+  experiment.condition = "three relays with bad links to all";
+  experiment.relays = relays;
+  experiment.setup = QuietSetup();
+  experiment.setup.requests_per_s = 3.0;
+  experiment.schedule = [relays](std::uint64_t seed) {
+    Schedule schedule = EmptySchedule(seed, relays, seconds(40));
+    for (std::size_t k = 0; k < std::min<std::size_t>(3, relays - 1); ++k) {
+      schedule.steps.push_back({seconds(8), FaultAction::kBreakServerLinks, {RelayName(k)}});
+    }
+    return schedule;
   };
-  e.read = [](const WorldResult& r, Figures& f) {
-    f["stretches of wrong avoidance"] = static_cast<double>(r.figures.wrongly_for_s.size());
-    f["until used again, median s"] = Percentile(r.figures.wrongly_for_s, 0.5);
-    f["until used again, most s"] = Percentile(r.figures.wrongly_for_s, 1.0);
+  experiment.read_metrics = [](const SimulatedFleetResults& results, Metrics& metrics) {
+    const std::vector<double>& ejections_s = results.metrics.wrong_ejections_s;
+    metrics["stretches of wrong avoidance"] = static_cast<double>(ejections_s.size());
+    metrics["until used again, median s"] = Percentile(ejections_s, 0.5);
+    metrics["until used again, most s"] = Percentile(ejections_s, 1.0);
   };
-  return e;
+  return experiment;
 }
 
+// How many datagrams and bytes relays send without faults.
 Experiment Traffic(std::size_t relays, double demand) {
-  Experiment e{"traffic", fmt::format("calm, {} of all budgets wanted", demand), relays, {}, {}, {}};
-  e.setup.demand = demand;
-  e.setup.history = false;
-  e.setup.connections = 1.0;
-  e.setup.tries = 2.0;
-  e.schedule = [relays](std::uint64_t seed) { return Base(seed, relays, 30); };
-  e.read = [](const WorldResult& r, Figures& f) {
-    f["bytes a second for each relay, at the most"] = r.figures.bytes_per_relay_s;
-    f["datagrams a second for each relay"] = r.figures.datagrams_per_relay_s;
+  Experiment experiment;
+  experiment.name = "traffic";
+  experiment.condition = fmt::format("calm, {} of all budgets wanted", demand);
+  experiment.relays = relays;
+  experiment.setup.demand = demand;
+  experiment.setup.record_history = false;
+  experiment.setup.connections_per_s = 1.0;
+  experiment.setup.requests_per_s = 2.0;
+  experiment.schedule = [relays](std::uint64_t seed) { return EmptySchedule(seed, relays, seconds(30)); };
+  experiment.read_metrics = [](const SimulatedFleetResults& results, Metrics& metrics) {
+    metrics["bytes a second for each relay, at the most"] = results.metrics.bytes_per_relay_s;
+    metrics["datagrams a second for each relay"] = results.metrics.datagrams_per_relay_s;
   };
-  return e;
+  return experiment;
+}
+
+// The names of the first third of the relays, as a schedule lists them.
+std::string FirstThird(std::size_t relays) {
+  std::string names;
+  for (std::size_t k = 0; k < std::max<std::size_t>(1, relays / 3); ++k) {
+    names += (k > 0 ? "," : "") + RelayName(k);
+  }
+  return names;
+}
+
+std::vector<Experiment> AllExperiments() {
+  std::vector<Experiment> all;
+  for (const std::size_t relays : {std::size_t{3}, std::size_t{10}, std::size_t{30}, std::size_t{100}}) {
+    for (const bool sharing : {true, false}) {
+      all.push_back(QuotaUse(relays, QuotaDemand::kOneRelay, sharing));
+      all.push_back(QuotaUse(relays, QuotaDemand::kAllRelays, sharing));
+    }
+    all.push_back(Totals(relays, "no loss", {}));
+    all.push_back(Totals(relays, "30% lost", {{milliseconds(0), FaultAction::kSetLoss, {"30"}}}));
+    all.push_back(Totals(relays, "60% lost", {{milliseconds(0), FaultAction::kSetLoss, {"60"}}}));
+    all.push_back(Totals(relays, "a third cut off from 20 s on",
+                         {{seconds(20), FaultAction::kPartition, {FirstThird(relays)}}}));
+  }
+  for (const std::size_t relays : {std::size_t{3}, std::size_t{30}, std::size_t{100}, kLargeFleet}) {
+    all.push_back(FailingServer(relays, true));
+    all.push_back(FailingServer(relays, false));
+    all.push_back(WrongEvidence(relays));
+    all.push_back(Traffic(relays, 0.6));
+    all.push_back(Traffic(relays, 0.1));
+  }
+  return all;
+}
+
+// Plays the experiment with each seed, in a thread of its own.
+std::vector<Metrics> RunExperiment(const Experiment& experiment, std::uint64_t seeds) {
+  if (experiment.relays >= kLargeFleet) seeds = std::min(seeds, kMaxLargeFleetSeeds);
+  std::vector<Metrics> metrics(seeds);
+  std::vector<std::thread> threads;
+  threads.reserve(seeds);
+  for (std::size_t k = 0; k < seeds; ++k) {
+    threads.emplace_back([&experiment, &metrics, k] {
+      experiment.read_metrics(Play(experiment.schedule(k + 1), experiment.setup), metrics[k]);
+    });
+  }
+  for (std::thread& thread : threads) thread.join();
+  return metrics;
+}
+
+void PrintRows(const Experiment& experiment, const std::vector<Metrics>& metrics) {
+  for (const auto& [name, first_value] : metrics.front()) {
+    std::vector<double> values;
+    values.reserve(metrics.size());
+    for (const Metrics& of_seed : metrics) values.push_back(of_seed.at(name));
+    std::cout << fmt::format("{},{},\"{}\",\"{}\",{:.4g},{:.4g},{:.4g}\n", experiment.name, experiment.relays,
+                             experiment.condition, name, Percentile(values, 0.5), Percentile(values, 0),
+                             Percentile(values, 1))
+              << std::flush;
+  }
 }
 
 int Main(int argc, char** argv) {
   CLI::App app("Measures a simulated fleet; CSV on standard output.");
   std::uint64_t seeds = 5;
-  std::size_t most = 1000;
+  std::size_t max_relays = 1000;
   std::string only;
   app.add_option("--seeds", seeds)->check(CLI::Range(1, 1000));
-  app.add_option("--most", most, "largest fleet")->check(CLI::Range(3, 4000));
+  app.add_option("--most", max_relays, "largest fleet")->check(CLI::Range(3, 4000));
   app.add_option("--only", only, "experiments whose name begins so");
   CLI11_PARSE(app, argc, argv);
-  std::vector<Experiment> all;
-  const auto step = [](std::int64_t ms, std::string verb, std::vector<std::string> words) {
-    return Step{std::chrono::milliseconds(ms), std::move(verb), std::move(words)};
-  };
-  for (const std::size_t n : {std::size_t{3}, std::size_t{10}, std::size_t{30}, std::size_t{100}}) {
-    for (const bool sharing : {true, false}) {
-      all.push_back(Use(n, true, sharing));
-      all.push_back(Use(n, false, sharing));
-    }
-    all.push_back(Totals(n, "no loss", {}));
-    all.push_back(Totals(n, "30% lost", {step(0, "loss", {"30"})}));
-    all.push_back(Totals(n, "60% lost", {step(0, "loss", {"60"})}));
-    std::string third;
-    for (std::size_t k = 0; k < std::max<std::size_t>(1, n / 3); ++k)
-      third += (k > 0 ? "," : "") + RelayName(k);
-    all.push_back(Totals(n, "a third cut off from 20 s on", {step(20000, "split", {third})}));
-  }
-  for (const std::size_t n : {std::size_t{3}, std::size_t{30}, std::size_t{100}, std::size_t{1000}}) {
-    all.push_back(Bad(n, true));
-    all.push_back(Bad(n, false));
-    all.push_back(Wrong(n));
-    all.push_back(Traffic(n, 0.6));
-    all.push_back(Traffic(n, 0.1));
-  }
   std::cout << "experiment,relays,condition,figure,median,least,most\n";
-  for (const Experiment& e : all) {
-    if (e.relays > most || !e.name.starts_with(only)) continue;
-    std::vector<Figures> figures(e.relays >= 1000 ? std::min<std::uint64_t>(seeds, 2) : seeds);
-    std::vector<std::thread> threads;
-    threads.reserve(figures.size());
-    for (std::size_t k = 0; k < figures.size(); ++k)
-      threads.emplace_back([&, k] { e.read(Play(e.schedule(k + 1), e.setup), figures[k]); });
-    for (auto& t : threads) t.join();
-    for (const auto& [name, first] : figures[0]) {
-      std::vector<double> v;
-      v.reserve(figures.size());
-      for (auto& f : figures) v.push_back(f[name]);
-      std::cout << fmt::format("{},{},\"{}\",\"{}\",{:.4g},{:.4g},{:.4g}\n", e.name, e.relays, e.condition,
-                               name, Percentile(v, 0.5), Percentile(v, 0), Percentile(v, 1))
-                << std::flush;
-    }
+  for (const Experiment& experiment : AllExperiments()) {
+    if (experiment.relays > max_relays || !experiment.name.starts_with(only)) continue;
+    PrintRows(experiment, RunExperiment(experiment, seeds));
   }
   return 0;
 }
--- a/tools/fleet_schedules.cpp
+++ b/tools/fleet_schedules.cpp
@@ -1,4 +1,5 @@
-// Plays fault schedules of a simulated fleet and checks each history: `fleet_schedules --seeds 10000`.
+// Plays fault schedules of a simulated fleet and checks each history: `fleet_schedules --seeds 10000`. Prints
+// the violations, with the schedules shrunk. Exit status: 0 none, 2 error, 3 a bound was violated.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -11,6 +12,7 @@
 #include <iostream>
 #include <mutex>
 #include <sstream>
+#include <stdexcept>
 #include <string>
 #include <thread>
 #include <vector>
@@ -22,77 +24,121 @@
 
 namespace {
 
+using stoatrun::history::Check;
+using stoatrun::history::Findings;
+using stoatrun::simulation::Play;
 using stoatrun::simulation::Schedule;
+using stoatrun::simulation::SimulatedFleetResults;
 
-struct Sums {
-  std::size_t played = 0, broken = 0, spends = 0, holds = 0, sums = 0, hearsays = 0, oversized = 0,
-              unbalanced = 0, false_twins = 0;
-};
+constexpr int kExitError = 2, kExitViolation = 3;
 
-int Main(int argc, char** argv) {
-  CLI::App app("Plays fault schedules of a simulated fleet and checks what happened.");
+struct Options {
   std::uint64_t first = 1, seeds = 100;
-  std::size_t relays = 5, threads = std::max(1U, std::thread::hardware_concurrency());
+  std::size_t relays = 5;
   std::uint64_t seconds = 30;
-  std::string file, keep;
-  app.add_option("--first", first, "first seed");
-  app.add_option("--seeds", seeds, "how many");
-  app.add_option("--relays", relays)->check(CLI::Range(1, 4096));
-  app.add_option("--seconds", seconds, "of each schedule")->check(CLI::Range(1, 3600));
-  app.add_option("--threads", threads)->check(CLI::Range(1, 256));
-  app.add_option("--file", file, "one schedule, as text; its history goes to standard output");
-  app.add_option("--keep", keep, "folder for shrunk schedules that broke a bound");
-  CLI11_PARSE(app, argc, argv);
+  std::size_t threads = std::max(1U, std::thread::hardware_concurrency());
+  std::string file;         // One schedule to play instead.
+  std::string keep_folder;  // For schedules that violated a bound; empty: they are printed only.
+};
+
+// Plays generated schedules of a range of seeds in several threads and adds up what was found.
+class ScheduleSweep {
+ public:
+  explicit ScheduleSweep(const Options& options) : options_(options), next_seed_(options.first) {}
 
-  if (!file.empty()) {
-    std::ifstream in(file);
-    std::ostringstream text;
-    if (!in || !(text << in.rdbuf())) throw std::runtime_error(file + ": can't be read");
-    const auto result = stoatrun::simulation::Play(Schedule::Parse(text.str(), file));
-    std::cout << result.history;
-    const auto found = stoatrun::history::Check(result.history);
-    for (const auto& b : found.breaches) std::cerr << b.at_us << ' ' << b.bound << ": " << b.what << '\n';
-    return found.Sound() ? 0 : 3;
+  // The exit status.
+  int Run() {
+    std::vector<std::thread> threads;
+    for (std::size_t k = 0; k < options_.threads; ++k) threads.emplace_back([this] { PlaySeeds(); });
+    for (std::thread& thread : threads) thread.join();
+    Report();
+    const std::size_t faults = violated_ + oversized_ + unbalanced_ + false_duplicates_;
+    return faults == 0 ? 0 : kExitViolation;
   }
-  std::atomic<std::uint64_t> next = first;
-  std::mutex lock;
-  Sums sums;
-  const auto work = [&] {
-    for (std::uint64_t seed = next++; seed < first + seeds; seed = next++) {
-      const Schedule schedule = Schedule::Draw(seed, relays, std::chrono::seconds(seconds));
-      const auto result = stoatrun::simulation::Play(schedule);
-      const auto found = stoatrun::history::Check(result.history);
-      Schedule shrunk;
-      if (!found.Sound()) {
-        shrunk = stoatrun::simulation::Shrink(schedule, [](const Schedule& s) {
-          return !stoatrun::history::Check(stoatrun::simulation::Play(s).history).Sound();
-        });
-      }
-      const std::lock_guard<std::mutex> hold(lock);
-      ++sums.played;
-      sums.spends += found.spends;
-      sums.holds += found.holds;
-      sums.sums += found.sums;
-      sums.hearsays += found.hearsays;
-      sums.oversized += result.figures.oversized;
-      sums.unbalanced += result.figures.unbalanced;
-      sums.false_twins += result.figures.false_twins;
-      if (found.Sound()) continue;
-      ++sums.broken;
-      const auto& b = found.breaches.front();
-      std::cout << fmt::format("seed {}: {} at {} us: {}\n{}", seed, b.bound, b.at_us, b.what, shrunk.Text());
-      if (!keep.empty()) std::ofstream(keep + "/seed-" + std::to_string(seed) + ".txt") << shrunk.Text();
+
+ private:
+  void PlaySeeds() {
+    const std::uint64_t end = options_.first + options_.seeds;
+    for (std::uint64_t seed = next_seed_++; seed < end; seed = next_seed_++) PlaySeed(seed);
+  }
+
+  void PlaySeed(std::uint64_t seed) {
+    const std::chrono::seconds length(options_.seconds);
+    const Schedule schedule = Schedule::Generate(seed, options_.relays, length);
+    const SimulatedFleetResults results = Play(schedule);
+    const Findings findings = Check(results.history);
+    Schedule shrunk;
+    if (!findings.Sound()) {
+      shrunk = stoatrun::simulation::Shrink(
+          schedule, [](const Schedule& shorter) { return !Check(Play(shorter).history).Sound(); });
     }
-  };
-  std::vector<std::thread> all;
-  for (std::size_t k = 0; k < threads; ++k) all.emplace_back(work);
-  for (auto& t : all) t.join();
-  std::cout << fmt::format(
-      "{} schedules, {} broke a bound; checked {} spends, {} holds, {} sums, {} lists of avoided servers\n"
-      "datagrams too large: {}, accounts that did not balance: {}, relays taken for twins: {}\n",
-      sums.played, sums.broken, sums.spends, sums.holds, sums.sums, sums.hearsays, sums.oversized,
-      sums.unbalanced, sums.false_twins);
-  return sums.broken + sums.oversized + sums.unbalanced + sums.false_twins == 0 ? 0 : 3;
+    const std::lock_guard<std::mutex> lock(mutex_);
+    Add(results, findings);
+    if (!findings.Sound()) ReportViolation(seed, findings, shrunk);
+  }
+
+  void Add(const SimulatedFleetResults& results, const Findings& findings) {
+    ++played_;
+    violated_ += findings.Sound() ? 0 : 1;
+    rate_units_spent_ += findings.rate_units_spent;
+    units_acquired_ += findings.units_acquired;
+    total_reports_ += findings.total_reports;
+    ejection_reports_ += findings.ejection_reports;
+    oversized_ += results.metrics.oversized_datagrams;
+    unbalanced_ += results.metrics.unbalanced_counts;
+    false_duplicates_ += results.metrics.false_duplicates;
+  }
+
+  void ReportViolation(std::uint64_t seed, const Findings& findings, const Schedule& shrunk) const {
+    const auto& first = findings.violations.front();
+    std::cout << fmt::format("seed {}: {} at {} us: {}\n{}", seed, NameOf(first.bound), first.at_us,
+                             first.what, shrunk.ToText());
+    if (options_.keep_folder.empty()) return;
+    std::ofstream(fmt::format("{}/seed-{}.txt", options_.keep_folder, seed)) << shrunk.ToText();
+  }
+
+  void Report() const {
+    std::cout << fmt::format(
+        "{} schedules, {} broke a bound; checked {} spends, {} holds, {} sums, {} lists of avoided servers\n"
+        "datagrams too large: {}, accounts that did not balance: {}, relays taken for twins: {}\n",
+        played_, violated_, rate_units_spent_, units_acquired_, total_reports_, ejection_reports_, oversized_,
+        unbalanced_, false_duplicates_);
+  }
+
+  const Options& options_;
+  std::atomic<std::uint64_t> next_seed_;
+  std::mutex mutex_;  // Guards the output and all below.
+  std::size_t played_ = 0, violated_ = 0;
+  std::size_t rate_units_spent_ = 0, units_acquired_ = 0, total_reports_ = 0, ejection_reports_ = 0;
+  std::size_t oversized_ = 0, unbalanced_ = 0, false_duplicates_ = 0;
+};
+
+// Prints the history of one schedule; violations go to standard error.
+int PlayFile(const std::string& path) {
+  std::ifstream in(path);
+  std::ostringstream text;
+  if (!in || !(text << in.rdbuf())) throw std::runtime_error(path + ": can't be read");
+  const SimulatedFleetResults results = Play(Schedule::Parse(text.str(), path));
+  std::cout << results.history;
+  const Findings findings = Check(results.history);
+  for (const auto& violation : findings.violations) {
+    std::cerr << violation.at_us << ' ' << NameOf(violation.bound) << ": " << violation.what << '\n';
+  }
+  return findings.Sound() ? 0 : kExitViolation;
+}
+
+int Main(int argc, char** argv) {
+  CLI::App app("Plays fault schedules of a simulated fleet and checks what happened.");
+  Options options;
+  app.add_option("--first", options.first, "first seed");
+  app.add_option("--seeds", options.seeds, "how many");
+  app.add_option("--relays", options.relays)->check(CLI::Range(1, 4096));
+  app.add_option("--seconds", options.seconds, "of each schedule")->check(CLI::Range(1, 3600));
+  app.add_option("--threads", options.threads)->check(CLI::Range(1, 256));
+  app.add_option("--file", options.file, "one schedule, as text; its history goes to standard output");
+  app.add_option("--keep", options.keep_folder, "folder for shrunk schedules that broke a bound");
+  CLI11_PARSE(app, argc, argv);
+  return options.file.empty() ? ScheduleSweep(options).Run() : PlayFile(options.file);
 }
 
 }  // namespace
@@ -102,6 +148,6 @@
     return Main(argc, argv);
   } catch (const std::exception& e) {
     std::cerr << "fleet_schedules: " << e.what() << '\n';
-    return 2;
+    return kExitError;
   }
 }
