--- a/src/simulation/relay_workload.cpp
+++ b/src/simulation/relay_workload.cpp
@@ -53,8 +53,8 @@
 }
 
 void RelayWorkload::Spend(SimulatedRelay& relay, const std::string& quota) {
-  fleet::Out out;
-  if (relay.node->Spend(state_.LocalTime(relay), quota, out)) {
+  fleet::Outbox out;
+  if (relay.node->TryAcquire(state_.LocalTime(relay), quota, out)) {
     if (state_.Now() >= state_.setup.warm_up) ++spent_units_[quota];
     state_.history.RateUnitSpent(relay.name, quota);
   }
@@ -86,14 +86,14 @@
   const std::size_t group = state_.random.Below(kGroups + 1);
   const std::string group_name = group < kGroups ? GroupName(group) : "";
   const auto class_index = static_cast<std::uint32_t>(state_.random.Below(2));
-  connection->count_handle = relay.node->Own().Take(class_index, group_name);
+  connection->count_handle = relay.node->LocalConnections().Begin(class_index, group_name);
   state_.history.ConnectionTaken(relay.name);
   relay.connections.push_back(connection);
   if (!group_name.empty()) {
-    fleet::Out out;
-    const bool admitted = relay.node->Spend(state_.LocalTime(relay), group_name, out);
+    fleet::Outbox out;
+    const bool admitted = relay.node->TryAcquire(state_.LocalTime(relay), group_name, out);
     network_.Send(relay, out);
-    if (!admitted) return Close(relay, *connection, Outcome::kRefused);
+    if (!admitted) return Close(relay, *connection, Outcome::kRejected);
     connection->quota = group_name;
     state_.history.UnitAcquired(relay.name, group_name);
   }
@@ -110,7 +110,7 @@
 
 void RelayWorkload::Close(SimulatedRelay& relay, SimulatedConnection& connection, Outcome outcome) {
   connection.ended = true;
-  relay.node->Own().Finish(connection.count_handle, outcome);
+  relay.node->LocalConnections().End(connection.count_handle, outcome);
   if (!connection.quota.empty()) {
     relay.node->Release(connection.quota);
     state_.history.UnitReleased(relay.name, connection.quota);
@@ -121,7 +121,7 @@
 void RelayWorkload::CloseExcess(SimulatedRelay& relay) {
   for (std::size_t group = 0; group < kGroups; ++group) {
     const std::string quota = GroupName(group);
-    std::uint32_t excess = relay.node->Purses().Excess(state_.LocalTime(relay), quota);
+    std::uint32_t excess = relay.node->Quotas().Excess(state_.LocalTime(relay), quota);
     for (const ConnectionPtr& connection : relay.connections) {
       if (excess == 0) break;
       if (connection->ended || connection->quota != quota) continue;
@@ -142,7 +142,7 @@
 void RelayWorkload::ScheduleRequest(SimulatedRelay& relay) {
   state_.After(relay, state_.RandomInterval(state_.setup.requests_per_s), [this, &relay] {
     const SimulatedServer& server = state_.RandomServer();
-    relay.node->NoteSent(state_.LocalTime(relay), server.name);
+    relay.node->OnRequestSent(state_.LocalTime(relay), server.name);
     Observe(relay, server);
     ScheduleRequest(relay);
   });
@@ -150,8 +150,8 @@
 
 void RelayWorkload::Observe(SimulatedRelay& relay, const SimulatedServer& server) {
   const bool failing = relay.server_links_broken || server.failing;
-  const auto verdict = failing ? fleet::Verdict::kFailing : fleet::Verdict::kFine;
-  relay.node->Servers().Observe(state_.LocalTime(relay), server.name, verdict);
+  const auto verdict = failing ? fleet::HealthVerdict::kFailing : fleet::HealthVerdict::kHealthy;
+  relay.node->Outliers().Observe(state_.LocalTime(relay), server.name, verdict);
   state_.history.ServerObserved(relay.name, server.name, failing);
 }
 
--- a/src/simulation/relay_workload.h
+++ b/src/simulation/relay_workload.h
@@ -35,7 +35,7 @@
 
  private:
   enum class RateQuota { kSlowStart, kRetry };
-  using Outcome = fleet::Accounts::End;
+  using Outcome = fleet::LocalConnectionCounts::Outcome;
   using ConnectionPtr = std::shared_ptr<SimulatedConnection>;
 
   std::uint32_t UnitsOf(RateQuota quota) const;
--- a/src/simulation/simulated_fleet.cpp
+++ b/src/simulation/simulated_fleet.cpp
@@ -62,7 +62,7 @@
       relay->name = RelayName(k);
       relay->clock_offset = seconds(1000 + static_cast<std::int64_t>(state_.random.Below(1'000'000)));
       const double drift = state_.random.Unit() * 2 - 1;
-      relay->clock_rate = 1 + drift * kClockRateMargin * fleet::kClockRate;
+      relay->clock_rate = 1 + drift * kClockRateMargin * fleet::kMaxClockDrift;
       state_.relays.push_back(std::move(relay));
     }
   }
@@ -70,18 +70,18 @@
   fleet::Settings SettingsOf(std::size_t index) const {
     fleet::Settings settings;
     settings.fleet = "lab";
-    settings.self = static_cast<fleet::Slot>(index);
-    settings.slots = static_cast<std::uint32_t>(state_.schedule.relays);
+    settings.self = static_cast<fleet::MemberId>(index);
+    settings.fleet_size = static_cast<std::uint32_t>(state_.schedule.relays);
     for (std::size_t peer = 0; peer < state_.schedule.relays; ++peer) {
-      if (peer != index) settings.peers.push_back({static_cast<fleet::Slot>(peer), RelayName(peer)});
+      if (peer != index) settings.peers.push_back({static_cast<fleet::MemberId>(peer), RelayName(peer)});
     }
-    settings.each = {{"cold", state_.SlowStartUnits(), kRateWindow}};
-    settings.budgets = {{kRetryQuota, state_.RetryUnits(), kRateWindow}};
+    settings.quota_templates = {{"cold", state_.SlowStartUnits(), kRateWindow}};
+    settings.quotas = {{kRetryQuota, state_.RetryUnits(), kRateWindow}};
     for (std::size_t group = 0; group < kGroups; ++group) {
-      settings.budgets.push_back({GroupName(group), state_.GroupUnits(), Micros(0)});
+      settings.quotas.push_back({GroupName(group), state_.GroupUnits(), Micros(0)});
     }
-    settings.taken_per_s = 50;
-    settings.most_open = 500;
+    settings.max_accepted_per_s = 50;
+    settings.max_open = 500;
     return settings;
   }
 
@@ -89,11 +89,11 @@
     const fleet::Settings settings = SettingsOf(0);
     FleetDescription fleet;
     for (const auto& relay : state_.relays) fleet.relays.push_back(relay->name);
-    for (const auto& quota : settings.budgets) {
+    for (const auto& quota : settings.quotas) {
       fleet.quotas.push_back({quota.name, quota.units, quota.window.count()});
     }
     fleet.quotas.push_back({kSlowStartQuotaPrefix, state_.SlowStartUnits(), kRateWindow.count()});
-    fleet.max_ejected_fraction = settings.most_avoided;
+    fleet.max_ejected_fraction = settings.max_ejected_fraction;
     fleet.evidence_us = kEvidence.count();
     fleet.own_us = kOwnObservation.count();
     fleet.ejection_us = kEjection.count();
@@ -125,7 +125,7 @@
     const std::uint64_t generation =
         state_.random.Chance(kClockSetBack) ? 1 + state_.random.Below(kMaxSetBackGeneration) : wall_clock;
     const std::uint64_t seed = state_.random.Next();
-    const fleet::Life incarnation{generation, state_.random.Next() | 1U};
+    const fleet::Incarnation incarnation{generation, state_.random.Next() | 1U};
     relay.node = std::make_unique<fleet::Node>(SettingsOf(relay.index), relay.name, incarnation, seed,
                                                state_.LocalTime(relay));
     ListServers(relay);
@@ -136,13 +136,13 @@
   }
 
   void ListServers(SimulatedRelay& relay) {
-    std::vector<std::pair<std::string, std::int64_t>> listed;
-    for (const SimulatedServer& server : state_.servers) listed.emplace_back(server.name, server.start);
-    relay.node->Servers().Listed(listed);
+    std::vector<FleetClient::ListedEndpoint> listed;
+    for (const SimulatedServer& server : state_.servers) listed.push_back({server.name, server.start});
+    relay.node->Outliers().SetEndpoints(listed);
   }
 
   void Tick(SimulatedRelay& relay) {
-    fleet::Out out;
+    fleet::Outbox out;
     relay.node->Tick(state_.LocalTime(relay), out);
     network_.Send(relay, out);
     workload_.CloseExcess(relay);
@@ -175,7 +175,7 @@
   void Leave(SimulatedRelay& relay) {
     if (!relay.node || relay.paused) return;
     workload_.CloseAll(relay);
-    fleet::Out out;
+    fleet::Outbox out;
     relay.node->Leave(state_.LocalTime(relay), out);
     network_.Send(relay, out);
     Kill(relay);
--- a/src/simulation/simulated_network.cpp
+++ b/src/simulation/simulated_network.cpp
@@ -13,10 +13,10 @@
 
 }  // namespace
 
-void SimulatedNetwork::Send(SimulatedRelay& sender, fleet::Out& out) {
+void SimulatedNetwork::Send(SimulatedRelay& sender, fleet::Outbox& out) {
   for (fleet::Outgoing& outgoing : out) {
     const std::size_t size = SizeOf(outgoing.datagram);
-    if (size > fleet::kMostDatagram) ++state_.metrics.oversized_datagrams;
+    if (size > fleet::kMaxDatagramBytes) ++state_.metrics.oversized_datagrams;
     if (sender.misreports) AddFalseEvidence(sender, outgoing.datagram);
     ++state_.metrics.datagrams;
     state_.metrics.datagram_bytes += size;
@@ -60,7 +60,7 @@
   if (same_run && contacts_.insert({sender.index, sender_run, receiver.index, receiver.run}).second) {
     state_.history.FirstContact(receiver.name, sender.name);
   }
-  fleet::Out out;
+  fleet::Outbox out;
   receiver.node->OnDatagram(state_.LocalTime(receiver), datagram, out);
   Send(receiver, out);
 }
@@ -69,10 +69,10 @@
   const SimulatedServer& server = state_.RandomServer();
   fleet::Evidence evidence;
   evidence.author = datagram.from;
-  evidence.life = datagram.life;
-  evidence.server = server.name;
-  evidence.server_start = server.start;
-  evidence.verdict = fleet::Verdict::kFailing;
+  evidence.incarnation = datagram.incarnation;
+  evidence.endpoint = server.name;
+  evidence.endpoint_start = server.start;
+  evidence.verdict = fleet::HealthVerdict::kFailing;
   evidence.observations = kFalseObservations;
   evidence.version = kFalseVersionBase + state_.events.Added();
   evidence.age = Micros(0);
--- a/src/simulation/simulated_network.h
+++ b/src/simulation/simulated_network.h
@@ -21,7 +21,7 @@
   NetworkFaults& Faults() { return faults_; }
 
   // Sends what a relay has put out, and clears `out`.
-  void Send(SimulatedRelay& sender, fleet::Out& out);
+  void Send(SimulatedRelay& sender, fleet::Outbox& out);
 
  private:
   using DatagramPtr = std::shared_ptr<const fleet::Datagram>;
--- a/src/simulation/simulation_state.h
+++ b/src/simulation/simulation_state.h
@@ -29,7 +29,7 @@
 inline constexpr const char* kSlowStartQuotaPrefix = "cold:";
 
 struct SimulatedConnection {
-  fleet::Accounts::Ticket count_handle;
+  fleet::LocalConnectionCounts::Handle count_handle;
   std::string quota;  // Of which it holds a unit; empty: none.
   bool ended = false;
 };
--- a/src/simulation/status_recorder.cpp
+++ b/src/simulation/status_recorder.cpp
@@ -13,9 +13,8 @@
 
 double Seconds(Micros duration) { return static_cast<double>(duration.count()) / 1e6; }
 
-template <typename Bounds>
-ReportedTotals::Interval ToInterval(const Bounds& bounds) {
-  return {bounds.low, bounds.high};
+ReportedTotals::Interval ToInterval(const fleet::Interval& interval) {
+  return {interval.low, interval.high};
 }
 
 }  // namespace
@@ -28,22 +27,22 @@
 void StatusRecorder::RecordCounts(SimulatedRelay& relay) {
   if (!relay.node->Balanced()) ++state_.metrics.unbalanced_counts;
   for (const auto& member : relay.node->Members().Members()) {
-    state_.metrics.false_duplicates += member.twins ? 1 : 0;
+    state_.metrics.false_duplicates += member.duplicate ? 1 : 0;
   }
-  const fleet::Tally counts = relay.node->Own().Sum();
-  state_.history.CountsReported(relay.name,
-                                {counts.taken, counts.served, counts.refused, counts.failed, counts.open});
+  const fleet::ConnectionCounts counts = relay.node->LocalConnections().Sum();
+  state_.history.CountsReported(
+      relay.name, {counts.accepted, counts.served, counts.rejected, counts.failed, counts.open});
 }
 
 void StatusRecorder::RecordTotals(SimulatedRelay& relay) {
   const auto total = relay.node->Sum(state_.LocalTime(relay));
   state_.history.TotalsReported(
-      relay.name, {total.oldest.count(), ToInterval(total.taken), ToInterval(total.served),
-                   ToInterval(total.refused), ToInterval(total.failed), ToInterval(total.open)});
+      relay.name, {total.oldest.count(), ToInterval(total.accepted), ToInterval(total.served),
+                   ToInterval(total.rejected), ToInterval(total.failed), ToInterval(total.open)});
 }
 
 void StatusRecorder::RecordEjected(SimulatedRelay& relay) {
-  const std::set<std::string> ejected = relay.node->Servers().OnHearsay(state_.LocalTime(relay));
+  const std::set<std::string> ejected = relay.node->Outliers().EndpointsToEject(state_.LocalTime(relay));
   MeasureEjectionDelay(relay, ejected);
   MeasureWrongEjections(relay, ejected);
   for (const std::string& server : ejected) ScheduleCheck(relay, server);
@@ -52,8 +51,8 @@
 
 void StatusRecorder::MeasureEjectionDelay(SimulatedRelay& relay, const std::set<std::string>& ejected) {
   if (state_.first_failure_at.count() == 0 || relay.ejected_failing_at.count() > 0) return;
-  const auto own = relay.node->Servers().Own(state_.LocalTime(relay), state_.first_failing_server);
-  const bool on_own_evidence = own && *own != fleet::Verdict::kFine;
+  const auto own = relay.node->Outliers().OwnVerdict(state_.LocalTime(relay), state_.first_failing_server);
+  const bool on_own_evidence = own && *own != fleet::HealthVerdict::kHealthy;
   if (on_own_evidence || ejected.contains(state_.first_failing_server)) {
     relay.ejected_failing_at = state_.Now();
   }
--- a/tests/simulation/schedules_test.cpp
+++ b/tests/simulation/schedules_test.cpp
@@ -23,7 +23,7 @@
 history::Findings PlayAndCheck(const Schedule& schedule) { return history::Check(Play(schedule).history); }
 
 TEST_CASE("no bound is violated in generated schedules of three, five and nine relays") {
-  fleet::planted = Fault::kNone;
+  fleet::injected_fault = Fault::kNone;
   std::size_t rate_units_spent = 0, units_acquired = 0, ejection_reports = 0;
   std::size_t total_reports = 0, unbounded_totals = 0;
   for (std::uint64_t seed = 1; seed <= 120; ++seed) {
@@ -90,26 +90,26 @@
     {Fault::kLeaseIgnoresPause, "a lease that ignores pauses", Bound::kRateQuota},
     {Fault::kLeaseCountsFromGrant, "a lease that counts from its grant", Bound::kRateQuota,
      kAlternatingDemand},
-    {Fault::kLenderForgetsWindow, "a lender that ignores the window", Bound::kRateQuota},
-    {Fault::kLenderForgetsRestart, "a full share at a restart", Bound::kRateQuota},
+    {Fault::kLenderIgnoresWindow, "a lender that ignores the window", Bound::kRateQuota},
+    {Fault::kLenderIgnoresRestart, "a full share at a restart", Bound::kRateQuota},
     {Fault::kGrantTakenTwice, "a grant that counts twice", Bound::kRateQuota},
-    {Fault::kLevelEndsByClock, "a concurrency lease that its lender ends by the clock",
+    {Fault::kConcurrencyLeaseEndsByClock, "a concurrency lease that its lender ends by the clock",
      Bound::kConcurrencyQuota},
-    {Fault::kLoansForgottenByRestart, "a restarted lender that asks nobody for lent leases",
+    {Fault::kLentLeasesForgottenByRestart, "a restarted lender that asks nobody for lent leases",
      Bound::kConcurrencyQuota},
-    {Fault::kCountWithoutLife, "counts without their incarnation", Bound::kFleetTotals},
+    {Fault::kCountWithoutIncarnation, "counts without their incarnation", Bound::kFleetTotals},
     {Fault::kCountAddedTwice, "late counts that are added", Bound::kFleetTotals},
     {Fault::kAgeWithoutTransit, "ages without the transit time", Bound::kFleetTotals},
-    {Fault::kJudgementWithoutEnd, "evidence that never expires", Bound::kEjection},
-    {Fault::kOneWitnessIsEnough, "one witness that suffices", Bound::kEjection},
-    {Fault::kNoCapOnHearsay, "ejections without a cap", Bound::kEjection},
-    {Fault::kHearsayBeforeOwn, "remote evidence before own observations", Bound::kEjection},
+    {Fault::kEvidenceNeverExpires, "evidence that never expires", Bound::kEjection},
+    {Fault::kOneWitnessSuffices, "one witness that suffices", Bound::kEjection},
+    {Fault::kNoEjectionCap, "ejections without a cap", Bound::kEjection},
+    {Fault::kRemoteEvidenceFirst, "remote evidence before own observations", Bound::kEjection},
 };
 
 TEST_CASE("the checker finds each injected fault, and the schedule shrinks") {
   for (const InjectedFault& injected : kInjectedFaults) {
     SECTION(injected.name) {
-      fleet::planted = injected.fault;
+      fleet::injected_fault = injected.fault;
       Schedule violating;
       bool found = false;
       for (std::uint64_t seed = 1; seed <= 4000 && !found; ++seed) {
@@ -129,15 +129,15 @@
       CHECK(shrunk.steps.size() <= violating.steps.size());
       // The text format keeps the whole schedule.
       CHECK_FALSE(PlayAndCheck(Schedule::Parse(shrunk.ToText(), "shrunk")).Sound());
-      fleet::planted = Fault::kNone;
+      fleet::injected_fault = Fault::kNone;
       CHECK(PlayAndCheck(shrunk).Sound());
     }
   }
-  fleet::planted = Fault::kNone;
+  fleet::injected_fault = Fault::kNone;
 }
 
 TEST_CASE("schedules that once violated a bound are sound now") {
-  fleet::planted = Fault::kNone;
+  fleet::injected_fault = Fault::kNone;
   std::size_t played = 0;
   for (const auto& entry : std::filesystem::directory_iterator(FLEET_SCHEDULES)) {
     std::ifstream in(entry.path());
