--- a/bench/fleet_logs.py
+++ b/bench/fleet_logs.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Adds up the debug logs of many relays: one relay's log tells little of what all do together.
+"""Aggregates the debug logs of many relays by second, or by host and second.
 
-    bench/fleet_logs.py DIR            a row a second: lists, watches, legs, probes, declines, cuts, moves
-    bench/fleet_logs.py DIR --hosts    for each issuer host and second: reported load and count, legs, probes
+    bench/fleet_logs.py DIR            a row per second: endpoint lists, watches, attempts, probes, rejections, cuts
+    bench/fleet_logs.py DIR --hosts    for each host and second: reported load and count, attempts, probes
 
-DIR holds one `*.log` a relay, written with STOATRUN_LOG=debug. Seconds count from the first record of all.
+DIR holds one `*.log` per relay, written with STOATRUN_LOG=debug. Seconds count from the first record of all.
 """
 
 import argparse
@@ -13,7 +13,7 @@
 import re
 import sys
 
-# What a record is counted as: the first pattern that fits its words.
+# The kind of a record: the first pattern that its words match.
 KINDS = [
     ("list", re.compile(r"^info list .*complete ")),
     ("changes", re.compile(r"^info list .*changes ")),
@@ -31,58 +31,63 @@
 
 
 def records(folder):
-    """(milliseconds since the first of all, words), in order of time."""
+    """(milliseconds since the first record of all, words), in order of time."""
     found = []
     for path in sorted(pathlib.Path(folder).glob("*.log")):
         for line in path.read_text(errors="replace").splitlines():
             parts = line.split(" ", 2)
             if len(parts) == 3 and parts[1].isdigit():
                 found.append((int(parts[1]), parts[2]))
-    found.sort(key=lambda r: r[0])
+    found.sort(key=lambda record: record[0])
     return [(at - found[0][0], words) for at, words in found]
 
 
 def kind_of(words):
+    """The name of the record's kind, or None."""
     return next((name for name, pattern in KINDS if pattern.search(words)), None)
 
 
 def by_second(all_records):
+    """Prints how many records of each kind all relays wrote in each second."""
     names = [name for name, _ in KINDS]
     table = collections.defaultdict(collections.Counter)
     for at, words in all_records:
         table[at // 1000][kind_of(words)] += 1
-    print("  s " + " ".join(f"{n:>12}" for n in names))
+    print("  s " + " ".join(f"{name:>12}" for name in names))
     for second in range(max(table) + 1):
-        print(f"{second:3} " + " ".join(f"{table[second][n]:12}" for n in names))
-    print("all " + " ".join(f"{sum(row[n] for row in table.values()):12}" for n in names))
+        print(f"{second:3} " + " ".join(f"{table[second][name]:12}" for name in names))
+    print("all " + " ".join(f"{sum(row[name] for row in table.values()):12}" for name in names))
 
 
 def by_host(all_records):
-    told = collections.defaultdict(lambda: collections.defaultdict(list))
+    """Prints for each host the reported load and the records of each kind by second."""
+    reports = collections.defaultdict(lambda: collections.defaultdict(list))
     counts = collections.defaultdict(lambda: collections.defaultdict(collections.Counter))
-    first = {}
+    first_seen = {}
     for at, words in all_records:
         host, kind = HOST.search(words), kind_of(words)
         if not host or not kind:
             continue
-        first.setdefault(host[1], at)
+        first_seen.setdefault(host[1], at)
         counts[host[1]][kind][at // 1000] += 1
         if report := REPORT.search(words):
-            told[host[1]][at // 1000].append((float(report[2]), float(report[1])))
+            reports[host[1]][at // 1000].append((float(report[2]), float(report[1])))
     seconds = range(all_records[-1][0] // 1000 + 1)
-    for host in sorted(first, key=first.get):
+    for host in sorted(first_seen, key=first_seen.get):
         print(host)
         for row, index in (("load", 0), ("count", 1)):
-            cells = [[t[index] for t in told[host][s]] for s in seconds]
-            print(f"  {row:12}" + " ".join(f"{sum(c) / len(c):5.2f}" if c else "    ." for c in cells))
+            cells = [[report[index] for report in reports[host][second]] for second in seconds]
+            means = [f"{sum(cell) / len(cell):5.2f}" if cell else "    ." for cell in cells]
+            print(f"  {row:12}" + " ".join(means))
         for kind, per_second in counts[host].items():
-            print(f"  {kind:12}" + " ".join(f"{per_second[s]:5}" if per_second[s] else "    ." for s in seconds))
+            numbers = [f"{per_second[second]:5}" if per_second[second] else "    ." for second in seconds]
+            print(f"  {kind:12}" + " ".join(numbers))
 
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("folder")
-    parser.add_argument("--hosts", action="store_true", help="a block for each host instead of a row a second")
+    parser.add_argument("--hosts", action="store_true", help="a block for each host instead of a row per second")
     options = parser.parse_args()
     all_records = records(options.folder)
     if not all_records:
--- a/bench/fleet_plots.py
+++ b/bench/fleet_plots.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""Draws what fleet_measure printed: bench/fleet_plots.py FIGURES.csv FOLDER writes one SVG an experiment and figure.
+"""Draws what fleet_measure printed: bench/fleet_plots.py METRICS.csv FOLDER writes one SVG per experiment and metric.
 
-Bars: the median over seeds; the line on each: least to most.
+A bar shows the median over seeds, the line on it the range from the least to the greatest value.
 """
 import csv
 import html
@@ -10,41 +10,57 @@
 import sys
 from collections import defaultdict
 
-WIDTH, ROW, LEFT, RIGHT = 760, 22, 330, 90
+WIDTH, ROW_HEIGHT = 760, 22
+LEFT, RIGHT = 330, 90  # Margins: for the labels, and for the values.
 
 
-def draw(title, rows):
-    most = max(float(r["most"]) for r in rows) or 1.0
-    height = 40 + ROW * len(rows)
-    out = [f'<svg xmlns="http://www.w3.org/2000/svg" width="{WIDTH}" height="{height}" font-family="sans-serif" font-size="12">',
-           f'<rect width="{WIDTH}" height="{height}" fill="white"/>',
-           f'<text x="8" y="20" font-size="14">{html.escape(title)}</text>']
-    scale = (WIDTH - LEFT - RIGHT) / most
-    for k, r in enumerate(rows):
-        y = 36 + k * ROW
-        median, least, top = (float(r[c]) for c in ("median", "least", "most"))
-        label = f'{r["relays"]} relays, {r["condition"]}'
-        out.append(f'<text x="{LEFT - 6}" y="{y + 12}" text-anchor="end">{html.escape(label)}</text>')
-        out.append(f'<rect x="{LEFT}" y="{y + 2}" width="{max(median, 0) * scale:.1f}" height="12" fill="#6a8caf"/>')
-        out.append(f'<line x1="{LEFT + max(least, 0) * scale:.1f}" x2="{LEFT + top * scale:.1f}" y1="{y + 8}" y2="{y + 8}" stroke="black"/>')
-        out.append(f'<text x="{LEFT + top * scale + 6:.1f}" y="{y + 12}">{median:.3g}</text>')
-    return "\n".join(out + ["</svg>", ""])
+def row_svg(row, top, scale):
+    """A labelled bar; `top` and `scale` in pixels."""
+    median, least, greatest = (float(row[column]) for column in ("median", "least", "most"))
+    label = f'{row["relays"]} relays, {row["condition"]}'
+    end = LEFT + greatest * scale
+    return [
+        f'<text x="{LEFT - 6}" y="{top + 12}" text-anchor="end">{html.escape(label)}</text>',
+        f'<rect x="{LEFT}" y="{top + 2}" width="{max(median, 0) * scale:.1f}" height="12" fill="#6a8caf"/>',
+        f'<line x1="{LEFT + max(least, 0) * scale:.1f}" x2="{end:.1f}" y1="{top + 8}" y2="{top + 8}" stroke="black"/>',
+        f'<text x="{end + 6:.1f}" y="{top + 12}">{median:.3g}</text>',
+    ]
+
+
+def chart_svg(title, rows):
+    greatest = max(float(row["most"]) for row in rows) or 1.0
+    scale = (WIDTH - LEFT - RIGHT) / greatest
+    height = 40 + ROW_HEIGHT * len(rows)
+    lines = [
+        f'<svg xmlns="http://www.w3.org/2000/svg" width="{WIDTH}" height="{height}" font-family="sans-serif" font-size="12">',
+        f'<rect width="{WIDTH}" height="{height}" fill="white"/>',
+        f'<text x="8" y="20" font-size="14">{html.escape(title)}</text>',
+    ]
+    for index, row in enumerate(rows):
+        lines += row_svg(row, 36 + index * ROW_HEIGHT, scale)
+    return "\n".join(lines + ["</svg>", ""])
+
+
+def read_charts(path):
+    """The rows of the CSV by (experiment, metric)."""
+    charts = defaultdict(list)
+    with open(path, newline="") as csv_file:
+        for row in csv.DictReader(csv_file):
+            charts[(row["experiment"], row["figure"])].append(row)
+    return charts
 
 
 def main():
     if len(sys.argv) != 3:
         sys.exit(__doc__)
-    groups = defaultdict(list)
-    with open(sys.argv[1], newline="") as f:
-        for row in csv.DictReader(f):
-            groups[(row["experiment"], row["figure"])].append(row)
-    os.makedirs(sys.argv[2], exist_ok=True)
-    for (experiment, figure), rows in groups.items():
-        if all(float(r["most"]) == 0 for r in rows):
+    csv_path, folder = sys.argv[1:]
+    os.makedirs(folder, exist_ok=True)
+    for (experiment, metric), rows in read_charts(csv_path).items():
+        if all(float(row["most"]) == 0 for row in rows):
             continue
-        name = re.sub(r"[^a-z0-9]+", "-", f"{experiment} {figure}".lower()).strip("-")
-        with open(os.path.join(sys.argv[2], name + ".svg"), "w") as f:
-            f.write(draw(f"{experiment}: {figure}", rows))
+        name = re.sub(r"[^a-z0-9]+", "-", f"{experiment} {metric}".lower()).strip("-")
+        with open(os.path.join(folder, name + ".svg"), "w") as svg_file:
+            svg_file.write(chart_svg(f"{experiment}: {metric}", rows))
 
 
 if __name__ == "__main__":
--- a/fault_injection/datagram_switch.cpp
+++ b/fault_injection/datagram_switch.cpp
@@ -30,25 +30,25 @@
       std::make_unique<DescriptorWatcher>(harness_.loop, fd, [this, relay] { Receive(relay); });
 }
 
-void DatagramSwitch::Receive(std::size_t to) {
+void DatagramSwitch::Receive(std::size_t receiver) {
   std::array<char, kReceiveBytes> buffer;
   while (true) {
     sockaddr_in from{};
     socklen_t size = sizeof from;
-    const ssize_t count = recvfrom(ports_[to].socket->Fd(), buffer.data(), buffer.size(), 0,
+    const ssize_t count = recvfrom(ports_[receiver].socket->Fd(), buffer.data(), buffer.size(), 0,
                                    reinterpret_cast<sockaddr*>(&from), &size);
     if (count < 0) return;
     // The last byte of a relay's address is its index and one.
     const std::size_t sender = (ntohl(from.sin_addr.s_addr) & 0xff) - 1;
     if (sender >= ports_.size()) continue;
-    Forward(sender, to, std::string(buffer.data(), static_cast<std::size_t>(count)));
+    Forward(sender, receiver, std::string(buffer.data(), static_cast<std::size_t>(count)));
   }
 }
 
-void DatagramSwitch::Forward(std::size_t from, std::size_t to, const std::string& datagram) {
+void DatagramSwitch::Forward(std::size_t sender, std::size_t receiver, const std::string& datagram) {
   ++harness_.results.datagrams;
   harness_.results.datagram_bytes += datagram.size();
-  if (ports_[to].recorded.size() < kMaxRecorded) ports_[to].recorded.push_back(datagram);
+  if (ports_[receiver].recorded.size() < kMaxRecorded) ports_[receiver].recorded.push_back(datagram);
   RandomSource& random = harness_.random;
   const int copies = random.Percent(faults_.DuplicationPercent()) ? 2 : 1;
   for (int copy = 0; copy < copies; ++copy) {
@@ -57,11 +57,12 @@
     if (random.Percent(faults_.CorruptionPercent())) Corrupt(sent);
     const auto spread = static_cast<double>((faults_.MaxDelay() - faults_.MinDelay()).count());
     const Micros delay = faults_.MinDelay() + Micros(static_cast<std::int64_t>(random.Unit() * spread));
-    const std::uint64_t run = harness_.relays[from]->run;
+    const std::uint64_t run = harness_.relays[sender]->run;
     if (delay.count() == 0) {
-      Deliver(from, run, to, sent);
+      Deliver(sender, run, receiver, sent);
     } else {
-      harness_.loop.After(delay, [this, from, run, to, sent] { Deliver(from, run, to, sent); });
+      harness_.loop.After(delay,
+                          [this, sender, run, receiver, sent] { Deliver(sender, run, receiver, sent); });
     }
   }
 }
@@ -72,30 +73,31 @@
   byte = static_cast<char>(byte ^ 0x55);
 }
 
-void DatagramSwitch::Deliver(std::size_t from, std::uint64_t sender_run, std::size_t to,
+void DatagramSwitch::Deliver(std::size_t sender_index, std::uint64_t sender_run, std::size_t receiver_index,
                              const std::string& datagram) {
-  if (faults_.Blocks(from, to)) return;
-  const ManagedRelay& sender = *harness_.relays[from];
-  const ManagedRelay& receiver = *harness_.relays[to];
+  if (faults_.Blocks(sender_index, receiver_index)) return;
+  const ManagedRelay& sender = *harness_.relays[sender_index];
+  const ManagedRelay& receiver = *harness_.relays[receiver_index];
   if (!receiver.process.IsRunning()) return;
-  Send(from, harness_.network.RelayIp(to), datagram);
-  if (receiver.duplicate.IsRunning()) Send(from, harness_.network.DuplicateIp(to), datagram);
+  Send(sender_index, harness_.network.RelayIp(receiver_index), datagram);
+  if (receiver.duplicate.IsRunning())
+    Send(sender_index, harness_.network.DuplicateIp(receiver_index), datagram);
   const bool same_run = sender.process.IsRunning() && sender.run == sender_run;
   if (!same_run || receiver.paused || faults_.CorruptionPercent() != 0) return;
-  if (contacts_.insert({from, sender.run, to, receiver.run}).second) {
+  if (contacts_.insert({sender_index, sender.run, receiver_index, receiver.run}).second) {
     harness_.history.FirstContact(receiver.name, sender.name);
   }
 }
 
-void DatagramSwitch::SendGarbage(std::size_t to, std::uint64_t count) {
+void DatagramSwitch::SendGarbage(std::size_t receiver, std::uint64_t count) {
   for (std::uint64_t number = 0; number < count; ++number) {
-    const std::size_t from = harness_.random.Below(ports_.size());
-    Send(from, harness_.network.RelayIp(to), GarbageDatagram(to, number));
+    const std::size_t sender = harness_.random.Below(ports_.size());
+    Send(sender, harness_.network.RelayIp(receiver), GarbageDatagram(receiver, number));
   }
 }
 
-std::string DatagramSwitch::GarbageDatagram(std::size_t to, std::uint64_t number) {
-  const std::vector<std::string>& recorded = ports_[to].recorded;
+std::string DatagramSwitch::GarbageDatagram(std::size_t receiver, std::uint64_t number) {
+  const std::vector<std::string>& recorded = ports_[receiver].recorded;
   if (number % 2 == 0 || recorded.empty()) {
     std::string noise(harness_.random.Below(kMaxNoiseBytes), '\0');
     for (char& byte : noise) byte = static_cast<char>(harness_.random.Bits());
@@ -109,10 +111,10 @@
   return datagram;
 }
 
-void DatagramSwitch::Send(std::size_t from, const std::string& to_ip, const std::string& datagram) {
-  const sockaddr_in to = SocketAddress(to_ip, kGossipPort);
-  sendto(ports_[from].socket->Fd(), datagram.data(), datagram.size(), 0,
-         reinterpret_cast<const sockaddr*>(&to), sizeof to);
+void DatagramSwitch::Send(std::size_t sender, const std::string& receiver_ip, const std::string& datagram) {
+  const sockaddr_in address = SocketAddress(receiver_ip, kGossipPort);
+  sendto(ports_[sender].socket->Fd(), datagram.data(), datagram.size(), 0,
+         reinterpret_cast<const sockaddr*>(&address), sizeof address);
 }
 
 }  // namespace stoatrun::fault_injection
--- a/fault_injection/datagram_switch.h
+++ b/fault_injection/datagram_switch.h
@@ -27,7 +27,7 @@
 
   // Sends the relay so many datagrams that no peer sent: noise, truncated ones, ones of another schema or
   // fleet, and old ones once more.
-  void SendGarbage(std::size_t to, std::uint64_t count);
+  void SendGarbage(std::size_t receiver, std::uint64_t count);
 
  private:
   // The peer address of one relay.
@@ -37,13 +37,14 @@
   };
 
   void Open(std::size_t relay);
-  void Receive(std::size_t to);
-  void Forward(std::size_t from, std::size_t to, const std::string& datagram);
-  void Deliver(std::size_t from, std::uint64_t sender_run, std::size_t to, const std::string& datagram);
+  void Receive(std::size_t receiver);
+  void Forward(std::size_t sender, std::size_t receiver, const std::string& datagram);
+  void Deliver(std::size_t sender, std::uint64_t sender_run, std::size_t receiver,
+               const std::string& datagram);
   void Corrupt(std::string& datagram);
-  std::string GarbageDatagram(std::size_t to, std::uint64_t number);
-  // Sends from the peer address of `from`, as the receiver expects of that peer.
-  void Send(std::size_t from, const std::string& to_ip, const std::string& datagram);
+  std::string GarbageDatagram(std::size_t receiver, std::uint64_t number);
+  // Sends from the peer address of `sender`, as the receiver expects of that peer.
+  void Send(std::size_t sender, const std::string& receiver_ip, const std::string& datagram);
 
   Harness& harness_;
   simulation::NetworkFaults faults_{Micros(0)};
--- a/fault_injection/line_connection.cpp
+++ b/fault_injection/line_connection.cpp
@@ -19,11 +19,11 @@
 
 }  // namespace
 
-sockaddr_in SocketAddress(const std::string& ip, int port) {
+sockaddr_in SocketAddress(const std::string& host, int port) {
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_port = htons(static_cast<std::uint16_t>(port));
-  inet_pton(AF_INET, ip.c_str(), &address.sin_addr);
+  inet_pton(AF_INET, host.c_str(), &address.sin_addr);
   return address;
 }
 
@@ -32,13 +32,13 @@
       on_line_(std::move(on_line)),
       on_closed_(std::move(on_closed)) {}
 
-int LineConnection::Connect(const std::string& ip, int port) {
+int LineConnection::Connect(const std::string& host, int port) {
   const int fd = NewTcpSocket();
   if (fd < 0) return -1;
   const int enable = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enable, sizeof enable);
-  const sockaddr_in to = SocketAddress(ip, port);
-  if (connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0 && errno != EINPROGRESS) {
+  const sockaddr_in address = SocketAddress(host, port);
+  if (connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 && errno != EINPROGRESS) {
     close(fd);
     return -1;
   }
@@ -92,16 +92,16 @@
   return true;
 }
 
-int ListenTcp(const std::string& ip, int port) {
+int ListenTcp(const std::string& host, int port) {
   const int fd = NewTcpSocket();
   const int enable = 1;
   if (fd >= 0) setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enable, sizeof enable);
-  const sockaddr_in address = SocketAddress(ip, port);
+  const sockaddr_in address = SocketAddress(host, port);
   if (fd < 0 || bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
       listen(fd, kListenBacklog) != 0) {
     const int error = errno;
     if (fd >= 0) close(fd);
-    throw std::system_error(error, std::generic_category(), "listen on " + ip + ":" + std::to_string(port));
+    throw std::system_error(error, std::generic_category(), "listen on " + host + ":" + std::to_string(port));
   }
   return fd;
 }
--- a/fault_injection/line_connection.h
+++ b/fault_injection/line_connection.h
@@ -14,7 +14,7 @@
 namespace stoatrun::fault_injection {
 
 // An IPv4 address with a port, for the socket functions.
-sockaddr_in SocketAddress(const std::string& ip, int port);
+sockaddr_in SocketAddress(const std::string& host, int port);
 
 // A TCP connection that receives lines. The loop must outlive it. A callback may close it, but not destroy
 // it.
@@ -26,7 +26,7 @@
   // Takes over the connected or connecting descriptor.
   LineConnection(EventLoop& loop, int fd, OnLine on_line, OnClosed on_closed);
   // A descriptor on which a connection is made, or a negative number if it was rejected at once.
-  static int Connect(const std::string& ip, int port);
+  static int Connect(const std::string& host, int port);
 
   // Sends at once; a closed connection passes it over.
   void Send(std::string_view text);
@@ -50,7 +50,7 @@
 };
 
 // A listening socket. Throws std::system_error.
-int ListenTcp(const std::string& ip, int port);
+int ListenTcp(const std::string& host, int port);
 
 // Accepts a waiting connection, non-blocking; a negative number if there is none.
 int AcceptTcp(int listen_fd);
--- a/fault_injection/relay_settings.cpp
+++ b/fault_injection/relay_settings.cpp
@@ -9,8 +9,8 @@
 namespace stoatrun::fault_injection {
 namespace {
 
-// `ip`: where the process listens.
-std::string ConfigText(const Harness& harness, const ManagedRelay& relay, const std::string& ip) {
+// `host`: the IP address on which the process listens.
+std::string ConfigText(const Harness& harness, const ManagedRelay& relay, const std::string& host) {
   std::string groups, group_quotas;
   for (std::size_t group = 0; group < kGroups; ++group) {
     groups += fmt::format(R"({}{{"name":"{}"}})", group > 0 ? "," : "", GroupName(group));
@@ -29,20 +29,20 @@
       R"("retryAfter":true,"maxRetryAfter":2000000}},)"
       R"("invariants":{{"askWithin":10000000,"cold":{},"coldFrom":0.32,"fall":1000000,"fallMultiple":3.0,)"
       R"("stopSendingWithin":250000}}}}}})",
-      relay.name, ip, kClientPort, harness.network.DiscoveryIp(relay.index), kDiscoveryPort,
-      harness.schedule.seed + relay.index + 1, ip, kManagementPort,
+      relay.name, host, kClientPort, harness.network.DiscoveryIp(relay.index), kDiscoveryPort,
+      harness.schedule.seed + relay.index + 1, host, kManagementPort,
       ServerListJson(harness, relay, AllServers(harness)), harness.schedule.relays, groups, group_quotas,
       kSlowStart.count());
 }
 
-std::string OperatorText(const Harness& harness, const ManagedRelay& relay, const std::string& ip) {
+std::string OperatorText(const Harness& harness, const ManagedRelay& relay, const std::string& host) {
   std::string text = fmt::format("fleet {{\n  name: \"rig\"\n  places: {}\n", harness.schedule.relays);
   for (const auto& peer : harness.relays) {
     const bool self = peer->index == relay.index;
     if (peer->removed && !self) continue;
     text += fmt::format("  peer {{ place: {} name: \"{}\" address: \"{}:{}\"", peer->index, peer->name,
                         harness.network.PeerIp(peer->index), kGossipPort);
-    if (self) text += fmt::format(" listen: \"{}:{}\"", ip, kGossipPort);
+    if (self) text += fmt::format(" listen: \"{}:{}\"", host, kGossipPort);
     text += " }\n";
   }
   text += fmt::format("  budget {{ kind: COLD_SENDS units: {} }}\n", harness.setup.slow_start_units);
@@ -60,10 +60,10 @@
   return {base + ".json", base + ".txtpb", base + ".log"};
 }
 
-void WriteFiles(const Harness& harness, const ManagedRelay& relay, const std::string& ip,
+void WriteFiles(const Harness& harness, const ManagedRelay& relay, const std::string& host,
                 const RelayProcess::Files& files) {
-  WriteFile(files.config, ConfigText(harness, relay, ip));
-  WriteFile(files.operator_file, OperatorText(harness, relay, ip));
+  WriteFile(files.config, ConfigText(harness, relay, host));
+  WriteFile(files.operator_file, OperatorText(harness, relay, host));
 }
 
 }  // namespace
--- a/src/simulation/network_faults.cpp
+++ b/src/simulation/network_faults.cpp
@@ -35,9 +35,9 @@
   }
 }
 
-bool NetworkFaults::Blocks(std::size_t from, std::size_t to) const {
-  if (cut_links_.contains({from, to})) return true;
-  return !partition_.empty() && partition_.contains(from) != partition_.contains(to);
+bool NetworkFaults::Blocks(std::size_t sender, std::size_t receiver) const {
+  if (cut_links_.contains({sender, receiver})) return true;
+  return !partition_.empty() && partition_.contains(sender) != partition_.contains(receiver);
 }
 
 }  // namespace stoatrun::simulation
--- a/src/simulation/network_faults.h
+++ b/src/simulation/network_faults.h
@@ -21,19 +21,22 @@
   // Applies the step if it changes the network; false if it does something else.
   bool Apply(const Step& step);
 
-  // Whether a cut or the partition keeps datagrams of `from` away from `to`.
-  bool Blocks(std::size_t from, std::size_t to) const;
+  // Whether a cut or the partition keeps datagrams of `sender` away from `receiver`.
+  bool Blocks(std::size_t sender, std::size_t receiver) const;
 
-  // Of a hundred datagrams, so many are dropped, delivered twice, or have a byte changed.
+  // Of a hundred datagrams, so many are dropped.
   std::uint64_t LossPercent() const { return loss_percent_; }
+  // So many are delivered twice.
   std::uint64_t DuplicationPercent() const { return duplication_percent_; }
+  // So many have one byte changed.
   std::uint64_t CorruptionPercent() const { return corruption_percent_; }
-  // The one-way delay is uniform between these.
+  // The least one-way delay; delays are uniform between both.
   Micros MinDelay() const { return min_delay_; }
+  // The greatest one-way delay.
   Micros MaxDelay() const { return max_delay_; }
 
  private:
-  std::set<std::pair<std::size_t, std::size_t>> cut_links_;  // From, to.
+  std::set<std::pair<std::size_t, std::size_t>> cut_links_;  // Sender, receiver.
   std::set<std::size_t> partition_;                          // One side; empty: no partition.
   std::uint64_t loss_percent_ = 0, duplication_percent_ = 0, corruption_percent_ = 0;
   Micros min_delay_{0}, max_delay_;
--- a/src/simulation/relay_faults.h
+++ b/src/simulation/relay_faults.h
@@ -8,6 +8,7 @@
 
 namespace stoatrun::simulation {
 
+// Both fleets keep one for each relay; none of these by default.
 struct RelayFaults {
   bool server_links_broken = false;  // Every server fails for this relay alone.
   bool misreports = false;           // It reports failures of servers that work.
--- a/src/simulation/simulated_network.cpp
+++ b/src/simulation/simulated_network.cpp
@@ -27,13 +27,13 @@
   out.clear();
 }
 
-void SimulatedNetwork::Transmit(const SimulatedRelay& sender, std::size_t to,
+void SimulatedNetwork::Transmit(const SimulatedRelay& sender, std::size_t receiver_index,
                                 const fleet::Datagram& datagram) {
   if (state_.random.Below(100) < faults_.LossPercent()) return;
   const std::int64_t spread_us = (faults_.MaxDelay() - faults_.MinDelay()).count() + 1;
   const auto extra = state_.random.Below(static_cast<std::size_t>(std::max<std::int64_t>(1, spread_us)));
   const Micros delay = faults_.MinDelay() + Micros(static_cast<std::int64_t>(extra));
-  SimulatedRelay& receiver = *state_.relays[to];
+  SimulatedRelay& receiver = *state_.relays[receiver_index];
   state_.events.At(state_.Now() + delay,
                    [this, &sender, &receiver, sent = std::make_shared<const fleet::Datagram>(datagram)] {
                      Arrive(sender, receiver, sent);
--- a/src/simulation/simulated_network.h
+++ b/src/simulation/simulated_network.h
@@ -29,7 +29,7 @@
   using DatagramPtr = std::shared_ptr<const fleet::Datagram>;
 
   // Puts the datagram on its way, or drops it.
-  void Transmit(const SimulatedRelay& sender, std::size_t to, const fleet::Datagram& datagram);
+  void Transmit(const SimulatedRelay& sender, std::size_t receiver_index, const fleet::Datagram& datagram);
   void Arrive(const SimulatedRelay& sender, SimulatedRelay& receiver, const DatagramPtr& datagram);
   void Process(const SimulatedRelay& sender, std::uint64_t sender_run, SimulatedRelay& receiver,
                const fleet::Datagram& datagram);
