--- a/fault_injection/process_fleet.cpp
+++ b/fault_injection/process_fleet.cpp
@@ -14,12 +14,12 @@
 #include "fake_servers.h"
 #include "harness.h"
 #include "relay_settings.h"
+#include "simulation/fault_target.h"
 #include "status_poller.h"
 
 namespace stoatrun::fault_injection {
 namespace {
 
-using simulation::FaultAction;
 using simulation::Step;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -40,7 +40,7 @@
 constexpr Micros kCatchUp = milliseconds(50);  // A continued relay is left alone for so long.
 constexpr auto kShutdownWait = seconds(5);
 
-class ProcessFleet {
+class ProcessFleet final : public simulation::FaultTarget {
  public:
   ProcessFleet(const simulation::Schedule& schedule, const ProcessFleetSetup& setup)
       : harness_(schedule, setup),
@@ -54,7 +54,10 @@
     harness_.history.FleetStarted(Describe());
     StartAll();
     for (const Step& step : harness_.schedule.steps) {
-      harness_.loop.After(step.at, [this, &step] { Apply(step); });
+      harness_.loop.After(step.at, [this, &step] {
+        harness_.history.StepApplied(step);
+        simulation::ApplyStep(step, *this);
+      });
     }
     harness_.loop.After(harness_.schedule.length, [this] { harness_.loop.Stop(); });
     harness_.loop.Run();
@@ -65,6 +68,85 @@
     return std::move(harness_.results);
   }
 
+  // ---- faults ----
+
+  simulation::NetworkFaults& Network() override { return switch_.Faults(); }
+
+  simulation::RelayFaults& FaultsOf(std::size_t relay) override { return harness_.relays[relay]->faults; }
+
+  void SetServerFailing(std::size_t server, bool failing) override {
+    harness_.servers[server].failing = failing;
+  }
+
+  void Leave(std::size_t relay) override { harness_.relays[relay]->process.Signal(SIGTERM); }
+
+  void SendGarbage(std::size_t relay, std::uint64_t datagrams) override {
+    switch_.SendGarbage(relay, datagrams);
+  }
+
+  void Start(std::size_t index) override {
+    ManagedRelay& relay = *harness_.relays[index];
+    if (relay.process.IsRunning()) return;
+    ++relay.run;
+    relay.paused = false;
+    relay.process.Start(harness_.setup.program, FilesOfRelay(harness_, relay));
+    harness_.history.RunStarted(relay.name);
+  }
+
+  void Kill(std::size_t index) override {
+    ManagedRelay& relay = *harness_.relays[index];
+    if (!relay.process.IsRunning()) return;
+    relay.process.KillAndWait();
+    OnRunEnded(relay);
+  }
+
+  void Pause(std::size_t index) override {
+    ManagedRelay& relay = *harness_.relays[index];
+    if (!relay.process.IsRunning()) return;
+    clients_.RecordUncertain(relay);
+    relay.paused = true;
+    relay.process.Signal(SIGSTOP);
+  }
+
+  void Resume(std::size_t index) override {
+    ManagedRelay& relay = *harness_.relays[index];
+    if (!relay.process.IsRunning()) return;
+    relay.process.Signal(SIGCONT);
+    harness_.loop.After(kCatchUp, [&relay] { relay.paused = false; });
+  }
+
+  void StartDuplicate(std::size_t index) override {
+    ManagedRelay& relay = *harness_.relays[index];
+    if (relay.duplicate.IsRunning()) return;
+    harness_.history.DuplicateStarted(relay.name);
+    WriteDuplicateFiles(harness_, relay);
+    relay.duplicate.Start(harness_.setup.program, FilesOfDuplicate(harness_, relay));
+  }
+
+  void StopDuplicate(std::size_t index) override {
+    ManagedRelay& relay = *harness_.relays[index];
+    if (!relay.duplicate.IsRunning()) return;
+    harness_.history.DuplicateStopped(relay.name);
+    relay.duplicate.KillAndWait();
+  }
+
+  // The others read their files again and know it no more; it goes on running.
+  void RemoveFromPeers(std::size_t index) override {
+    ManagedRelay& removed = *harness_.relays[index];
+    removed.removed = true;
+    harness_.history.RemovedFromPeers(removed.name);
+    for (auto& relay : harness_.relays) {
+      WriteRelayFiles(harness_, *relay);
+      if (relay->index != index) relay->process.Signal(SIGHUP);
+    }
+  }
+
+  void RestartServer(std::size_t index) override {
+    harness_.servers[index].started_at_ms = UnixMs();
+    harness_.history.ServerRestarted(harness_.servers[index].name);
+    discovery_.PushChange(index);
+  }
+
  private:
   simulation::FleetDescription Describe() const {
     simulation::FleetDescription fleet;
@@ -85,7 +167,7 @@
   void StartAll() {
     for (auto& relay : harness_.relays) {
       WriteRelayFiles(harness_, *relay);
-      Start(*relay);
+      Start(relay->index);
       harness_.loop.After(kFirstClients, [this, &relay = *relay] { clients_.Start(relay); });
       harness_.loop.After(kFirstPoll, [this, &relay = *relay] { status_.Start(relay); });
     }
@@ -132,22 +214,6 @@
     harness_.loop.After(kHeartbeat, [this] { OnHeartbeat(); });
   }
 
-  // ---- processes ----
-
-  void Start(ManagedRelay& relay) {
-    if (relay.process.IsRunning()) return;
-    ++relay.run;
-    relay.paused = false;
-    relay.process.Start(harness_.setup.program, FilesOfRelay(harness_, relay));
-    harness_.history.RunStarted(relay.name);
-  }
-
-  void Kill(ManagedRelay& relay) {
-    if (!relay.process.IsRunning()) return;
-    relay.process.KillAndWait();
-    OnRunEnded(relay);
-  }
-
   void OnRunEnded(ManagedRelay& relay) {
     clients_.RecordUncertain(relay);
     harness_.history.RunEnded(relay.name);
@@ -156,98 +222,6 @@
     status_.OnRunEnded(relay);
   }
 
-  void Pause(ManagedRelay& relay) {
-    if (!relay.process.IsRunning()) return;
-    clients_.RecordUncertain(relay);
-    relay.paused = true;
-    relay.process.Signal(SIGSTOP);
-  }
-
-  void Resume(ManagedRelay& relay) {
-    if (!relay.process.IsRunning()) return;
-    relay.process.Signal(SIGCONT);
-    harness_.loop.After(kCatchUp, [&relay] { relay.paused = false; });
-  }
-
-  void StartDuplicate(ManagedRelay& relay) {
-    if (relay.duplicate.IsRunning()) return;
-    harness_.history.DuplicateStarted(relay.name);
-    WriteDuplicateFiles(harness_, relay);
-    relay.duplicate.Start(harness_.setup.program, FilesOfDuplicate(harness_, relay));
-  }
-
-  void StopDuplicate(ManagedRelay& relay) {
-    if (!relay.duplicate.IsRunning()) return;
-    harness_.history.DuplicateStopped(relay.name);
-    relay.duplicate.KillAndWait();
-  }
-
-  // The others read their files again and know it no more; it goes on running.
-  void RemoveFromPeers(ManagedRelay& removed) {
-    removed.removed = true;
-    harness_.history.RemovedFromPeers(removed.name);
-    for (auto& relay : harness_.relays) {
-      WriteRelayFiles(harness_, *relay);
-      if (relay->index != removed.index) relay->process.Signal(SIGHUP);
-    }
-  }
-
-  void RestartServer(std::size_t index) {
-    harness_.servers[index].started_at_ms = UnixMs();
-    harness_.history.ServerRestarted(harness_.servers[index].name);
-    discovery_.PushChange(index);
-  }
-
-  // ---- steps ----
-
-  void Apply(const Step& step) {
-    harness_.history.StepApplied(step);
-    if (switch_.Faults().Apply(step) || ApplyToServer(step)) return;
-    ManagedRelay& relay = *harness_.relays[step.Index(0)];
-    if (!relay.faults.Apply(step)) ApplyToProcess(relay, step);
-  }
-
-  bool ApplyToServer(const Step& step) {
-    switch (step.action) {
-      case FaultAction::kFailServer:
-        harness_.servers[step.Index(0)].failing = true;
-        return true;
-      case FaultAction::kRecoverServer:
-        harness_.servers[step.Index(0)].failing = false;
-        return true;
-      case FaultAction::kRestartServer:
-        RestartServer(step.Index(0));
-        return true;
-      default:
-        return false;
-    }
-  }
-
-  void ApplyToProcess(ManagedRelay& relay, const Step& step) {
-    switch (step.action) {
-      case FaultAction::kPause:
-        return Pause(relay);
-      case FaultAction::kResume:
-        return Resume(relay);
-      case FaultAction::kKill:
-        return Kill(relay);
-      case FaultAction::kStart:
-        return Start(relay);
-      case FaultAction::kLeave:
-        return relay.process.Signal(SIGTERM);
-      case FaultAction::kStartDuplicate:
-        return StartDuplicate(relay);
-      case FaultAction::kStopDuplicate:
-        return StopDuplicate(relay);
-      case FaultAction::kRemoveFromPeers:
-        return RemoveFromPeers(relay);
-      case FaultAction::kSendGarbage:
-        return switch_.SendGarbage(relay.index, step.Number(1));
-      default:
-        return;
-    }
-  }
-
   Harness harness_;
   DatagramSwitch switch_;
   FakeDiscovery discovery_;
--- a/src/simulation/simulated_fleet.cpp
+++ b/src/simulation/simulated_fleet.cpp
@@ -6,6 +6,7 @@
 
 #include "base/random.h"
 #include "fleet/node.h"
+#include "simulation/fault_target.h"
 #include "simulation/history_writer.h"
 #include "simulation/relay_workload.h"
 #include "simulation/simulated_network.h"
@@ -29,7 +30,7 @@
 // Clocks run fast or slow by up to so much of what is allowed.
 constexpr double kClockRateMargin = 0.95;
 
-class SimulatedFleet {
+class SimulatedFleet final : public FaultTarget {
  public:
   SimulatedFleet(const Schedule& schedule, const SimulatedFleetSetup& setup)
       : state_(schedule, setup), network_(state_), workload_(state_, network_), status_(state_, workload_) {}
@@ -41,17 +42,101 @@
       state_.servers.push_back({ServerName(k), false, 1});
     }
     for (auto& relay : state_.relays) {
-      state_.events.At(state_.RandomMilliseconds(0, 400), [this, &relay = *relay] { Start(relay); });
+      state_.events.At(state_.RandomMilliseconds(0, 400), [this, k = relay->index] { Start(k); });
     }
     workload_.DrawBusiest();
     for (const Step& step : state_.schedule.steps) {
-      state_.events.At(step.at, [this, &step] { Apply(step); });
+      state_.events.At(step.at, [this, &step] {
+        state_.history.StepApplied(step);
+        ApplyStep(step, *this);
+      });
     }
     state_.events.RunUntil(state_.schedule.length);
     FinishMetrics();
     return {state_.history.Text(), std::move(state_.metrics)};
   }
 
+  // ---- faults ----
+
+  NetworkFaults& Network() override { return network_.Faults(); }
+
+  RelayFaults& FaultsOf(std::size_t relay) override { return state_.relays[relay]->faults; }
+
+  void SetServerFailing(std::size_t server, bool failing) override {
+    state_.servers[server].failing = failing;
+    if (!failing || state_.first_failure_at.count() != 0) return;
+    state_.first_failure_at = state_.Now();
+    state_.first_failing_server = state_.servers[server].name;
+  }
+
+  void RestartServer(std::size_t server) override {
+    ++state_.servers[server].start;
+    state_.history.ServerRestarted(state_.servers[server].name);
+    for (auto& relay : state_.relays) {
+      if (relay->node) ListServers(*relay);
+    }
+  }
+
+  void Pause(std::size_t index) override {
+    SimulatedRelay& relay = *state_.relays[index];
+    relay.paused = relay.node != nullptr;
+  }
+
+  void Start(std::size_t index) override {
+    SimulatedRelay& relay = *state_.relays[index];
+    if (relay.node) return;
+    ++relay.run;
+    relay.paused = false;
+    relay.deferred.clear();
+    const auto wall_clock = kFirstGeneration + static_cast<std::uint64_t>(state_.Now().count() / 1000);
+    const std::uint64_t generation =
+        state_.random.Chance(kClockSetBack) ? 1 + state_.random.Below(kMaxSetBackGeneration) : wall_clock;
+    const std::uint64_t seed = state_.random.Next();
+    const fleet::Incarnation incarnation{generation, state_.random.Next() | 1U};
+    relay.node = std::make_unique<fleet::Node>(SettingsOf(relay.index), relay.name, incarnation, seed,
+                                               state_.LocalTime(relay));
+    ListServers(relay);
+    state_.history.RunStarted(relay.name);
+    state_.Repeat(relay, kTick, [this, &relay] { Tick(relay); });
+    status_.Start(relay);
+    workload_.Start(relay);
+  }
+
+  // All that came due meanwhile happens at once, in any order, as the first turn of an event loop does it.
+  void Resume(std::size_t index) override {
+    SimulatedRelay& relay = *state_.relays[index];
+    if (!relay.paused || !relay.node) return;
+    relay.paused = false;
+    auto deferred = std::exchange(relay.deferred, {});
+    state_.random.Shuffle(deferred);
+    const std::uint64_t run = relay.run;
+    for (const auto& callback : deferred) {
+      if (relay.node && relay.run == run) callback();
+    }
+  }
+
+  void Kill(std::size_t index) override {
+    SimulatedRelay& relay = *state_.relays[index];
+    if (!relay.node) return;
+    state_.history.RunEnded(relay.name);
+    relay.node.reset();
+    relay.connections.clear();
+    relay.deferred.clear();
+    relay.checking.clear();
+    relay.paused = false;
+    ++relay.run;
+  }
+
+  void Leave(std::size_t index) override {
+    SimulatedRelay& relay = *state_.relays[index];
+    if (!relay.node || relay.paused) return;
+    workload_.CloseAll(relay);
+    fleet::Outbox out;
+    relay.node->Leave(state_.LocalTime(relay), out);
+    network_.Send(relay, out);
+    Kill(index);
+  }
+
  private:
   // ---- setup ----
 
@@ -114,27 +199,6 @@
     }
   }
 
-  // ---- processes ----
-
-  void Start(SimulatedRelay& relay) {
-    if (relay.node) return;
-    ++relay.run;
-    relay.paused = false;
-    relay.deferred.clear();
-    const auto wall_clock = kFirstGeneration + static_cast<std::uint64_t>(state_.Now().count() / 1000);
-    const std::uint64_t generation =
-        state_.random.Chance(kClockSetBack) ? 1 + state_.random.Below(kMaxSetBackGeneration) : wall_clock;
-    const std::uint64_t seed = state_.random.Next();
-    const fleet::Incarnation incarnation{generation, state_.random.Next() | 1U};
-    relay.node = std::make_unique<fleet::Node>(SettingsOf(relay.index), relay.name, incarnation, seed,
-                                               state_.LocalTime(relay));
-    ListServers(relay);
-    state_.history.RunStarted(relay.name);
-    state_.Repeat(relay, kTick, [this, &relay] { Tick(relay); });
-    status_.Start(relay);
-    workload_.Start(relay);
-  }
-
   void ListServers(SimulatedRelay& relay) {
     std::vector<FleetClient::ListedEndpoint> listed;
     for (const SimulatedServer& server : state_.servers) listed.push_back({server.name, server.start});
@@ -149,94 +213,6 @@
     status_.RecordCounts(relay);
   }
 
-  // All that came due meanwhile happens at once, in any order, as the first turn of an event loop does it.
-  void Resume(SimulatedRelay& relay) {
-    if (!relay.paused || !relay.node) return;
-    relay.paused = false;
-    auto deferred = std::exchange(relay.deferred, {});
-    state_.random.Shuffle(deferred);
-    const std::uint64_t run = relay.run;
-    for (const auto& callback : deferred) {
-      if (relay.node && relay.run == run) callback();
-    }
-  }
-
-  void Kill(SimulatedRelay& relay) {
-    if (!relay.node) return;
-    state_.history.RunEnded(relay.name);
-    relay.node.reset();
-    relay.connections.clear();
-    relay.deferred.clear();
-    relay.checking.clear();
-    relay.paused = false;
-    ++relay.run;
-  }
-
-  void Leave(SimulatedRelay& relay) {
-    if (!relay.node || relay.paused) return;
-    workload_.CloseAll(relay);
-    fleet::Outbox out;
-    relay.node->Leave(state_.LocalTime(relay), out);
-    network_.Send(relay, out);
-    Kill(relay);
-  }
-
-  // ---- steps ----
-
-  // Actions that only real processes know (garbage, duplicates, removal) are passed over.
-  void Apply(const Step& step) {
-    state_.history.StepApplied(step);
-    if (network_.Faults().Apply(step) || ApplyToServer(step)) return;
-    SimulatedRelay& relay = *state_.relays[step.Index(0)];
-    if (!relay.faults.Apply(step)) ApplyToProcess(relay, step);
-  }
-
-  bool ApplyToServer(const Step& step) {
-    switch (step.action) {
-      case FaultAction::kFailServer:
-        state_.servers[step.Index(0)].failing = true;
-        if (state_.first_failure_at.count() == 0) {
-          state_.first_failure_at = state_.Now();
-          state_.first_failing_server = step.arguments[0];
-        }
-        return true;
-      case FaultAction::kRecoverServer:
-        state_.servers[step.Index(0)].failing = false;
-        return true;
-      case FaultAction::kRestartServer:
-        RestartServer(state_.servers[step.Index(0)]);
-        return true;
-      default:
-        return false;
-    }
-  }
-
-  void RestartServer(SimulatedServer& server) {
-    ++server.start;
-    state_.history.ServerRestarted(server.name);
-    for (auto& relay : state_.relays) {
-      if (relay->node) ListServers(*relay);
-    }
-  }
-
-  void ApplyToProcess(SimulatedRelay& relay, const Step& step) {
-    switch (step.action) {
-      case FaultAction::kPause:
-        relay.paused = relay.node != nullptr;
-        return;
-      case FaultAction::kResume:
-        return Resume(relay);
-      case FaultAction::kKill:
-        return Kill(relay);
-      case FaultAction::kStart:
-        return Start(relay);
-      case FaultAction::kLeave:
-        return Leave(relay);
-      default:
-        return;
-    }
-  }
-
   SimulationState state_;
   SimulatedNetwork network_;
   RelayWorkload workload_;
