--- a/fault_injection/datagram_switch.cpp
+++ b/fault_injection/datagram_switch.cpp
@@ -80,8 +80,9 @@
   const ManagedRelay& receiver = *harness_.relays[receiver_index];
   if (!receiver.process.IsRunning()) return;
   Send(sender_index, harness_.network.RelayIp(receiver_index), datagram);
-  if (receiver.duplicate.IsRunning())
+  if (receiver.duplicate.IsRunning()) {
     Send(sender_index, harness_.network.DuplicateIp(receiver_index), datagram);
+  }
   const bool same_run = sender.process.IsRunning() && sender.run == sender_run;
   if (!same_run || receiver.paused || faults_.CorruptionPercent() != 0) return;
   if (contacts_.insert({sender_index, sender.run, receiver_index, receiver.run}).second) {
--- a/fault_injection/history/count_checker.cpp
+++ b/fault_injection/history/count_checker.cpp
@@ -70,8 +70,9 @@
 void CountChecker::OnCountsReported(const std::string& relay_name, const Record& record) {
   ++state_.findings.count_reports;
   Values said{};
-  for (std::size_t count = 0; count < kCounts; ++count)
+  for (std::size_t count = 0; count < kCounts; ++count) {
     said[count] = IntegerField(record, kCountNames[count]);
+  }
   const auto [taken, served, rejected, failed, open] = said;
   if (taken != served + rejected + failed + open) {
     state_.AddViolation(Bound::kCounts,
