--- a/fault_injection/history/history_checker.cpp
+++ b/fault_injection/history/history_checker.cpp
@@ -97,7 +97,7 @@
 
   // The events at a relay, by their names in records.
   static const std::map<std::string, Handler>& Handlers() {
-    static const std::map<std::string, Handler> handlers{
+    static const std::map<std::string, Handler> kHandlers{
         {"up", &HistoryChecker::OnRunStarted},           {"down", &HistoryChecker::OnRunEnded},
         {"told", &HistoryChecker::OnFirstContact},       {"removed", &HistoryChecker::OnRemovedFromPeers},
         {"twin", &HistoryChecker::OnDuplicateStarted},   {"untwin", &HistoryChecker::OnDuplicateStopped},
@@ -108,7 +108,7 @@
         {"saw", &HistoryChecker::OnServerObserved},      {"said", &HistoryChecker::OnFailureClaimed},
         {"hearsay", &HistoryChecker::OnEjectedReported},
     };
-    return handlers;
+    return kHandlers;
   }
 
   void OnRunStarted(const std::string& relay, const Record& /*record*/) {
--- a/fault_injection/main.cpp
+++ b/fault_injection/main.cpp
@@ -38,9 +38,9 @@
 };
 
 std::string ReadFile(const std::string& path) {
-  std::ifstream in(path);
+  std::ifstream file(path);
   std::ostringstream text;
-  if (!in || !(text << in.rdbuf() || in.peek() == std::ifstream::traits_type::eof())) {
+  if (!file || !(text << file.rdbuf() || file.peek() == std::ifstream::traits_type::eof())) {
     throw std::runtime_error(path + ": can't be read");
   }
   return text.str();
--- a/fault_injection/relay_settings.cpp
+++ b/fault_injection/relay_settings.cpp
@@ -40,9 +40,9 @@
   for (const auto& peer : harness.relays) {
     const bool self = peer->index == relay.index;
     if (peer->removed && !self) continue;
-    text += fmt::format("  peer {{ place: {} name: \"{}\" address: \"{}:{}\"", peer->index, peer->name,
+    text += fmt::format(R"(  peer {{ place: {} name: "{}" address: "{}:{}")", peer->index, peer->name,
                         harness.network.PeerIp(peer->index), kGossipPort);
-    if (self) text += fmt::format(" listen: \"{}:{}\"", host, kGossipPort);
+    if (self) text += fmt::format(R"( listen: "{}:{}")", host, kGossipPort);
     text += " }\n";
   }
   text += fmt::format("  budget {{ kind: COLD_SENDS units: {} }}\n", harness.setup.slow_start_units);
--- a/tools/fleet_schedules.cpp
+++ b/tools/fleet_schedules.cpp
@@ -115,9 +115,9 @@
 
 // Prints the history of one schedule; violations go to standard error.
 int PlayFile(const std::string& path) {
-  std::ifstream in(path);
+  std::ifstream file(path);
   std::ostringstream text;
-  if (!in || !(text << in.rdbuf())) throw std::runtime_error(path + ": can't be read");
+  if (!file || !(text << file.rdbuf())) throw std::runtime_error(path + ": can't be read");
   const SimulatedFleetResults results = Play(Schedule::Parse(text.str(), path));
   std::cout << results.history;
   const Findings findings = Check(results.history);
