--- a/src/fleet/io/fleet_member.h
+++ b/src/fleet/io/fleet_member.h
@@ -1,4 +1,4 @@
-// The fleet as the proxy uses it: a FleetClient ended this relay's node and gossip transport.
+// The fleet as the proxy uses it: a FleetClient on top of this relay's node and gossip transport.
 #ifndef STOATRUN_FLEET_IO_FLEET_MEMBER_H_
 #define STOATRUN_FLEET_IO_FLEET_MEMBER_H_
 
