--- a/bench/fleet_logs.py
+++ b/bench/fleet_logs.py
@@ -15,18 +15,18 @@
 
 # The kind of a record: the first pattern that its words match.
 KINDS = [
-    ("list", re.compile(r"^info list .*complete ")),
-    ("changes", re.compile(r"^info list .*changes ")),
+    ("list", re.compile(r"^info endpoint update .*complete ")),
+    ("changes", re.compile(r"^info endpoint update .*changes ")),
     ("watch failed", re.compile(r"^info watch failed")),
-    ("leg", re.compile(r"^debug leg number=")),
-    ("leg ended", re.compile(r"^debug leg ended")),
+    ("attempt", re.compile(r"^debug attempt number=")),
+    ("ended", re.compile(r"^debug attempt ended")),
     ("probe", re.compile(r"^debug probe .* ok ")),
     ("probe failed", re.compile(r"^debug probe ")),
-    ("decline", re.compile(r"^debug decline ")),
-    ("cut", re.compile(r"^debug cut ")),
-    ("silent", re.compile(r"^info silent host")),
+    ("reject", re.compile(r"^debug reject ")),
+    ("conn. lost", re.compile(r"^debug connection lost ")),
+    ("silent", re.compile(r"^info endpoint silent")),
 ]
-HOST = re.compile(r"host=(\S+)")
+HOST = re.compile(r"endpoint=(\S+)")
 REPORT = re.compile(r"report=(?:outstanding|inflight)=([\d.]+),.*x0=([\d.]+)")
 
 
--- a/src/cli/relay_process.cpp
+++ b/src/cli/relay_process.cpp
@@ -135,7 +135,7 @@
   if (usage_recorder_) usage_recorder_->AddFields(record);
   if (export_client_) export_client_->AddFields(record);
   if (gossip_transport_) {
-    record.Field("legs_held_back", proxy_->Counts().attempts_denied_by_quota);
+    record.Field("attempts_denied_by_quota", proxy_->Counts().attempts_denied_by_quota);
     gossip_transport_->AddFields(record);
   }
 }
--- a/src/proxy/endpoint_updater.cpp
+++ b/src/proxy/endpoint_updater.cpp
@@ -16,7 +16,7 @@
 void EndpointUpdater::Apply(const EndpointUpdate& update, EndpointSource source) {
   upstream_.ApplyUpdate(update);
   fleet_.OnEndpointUpdate(update);
-  LogLine(Level::kInfo, "list")
+  LogLine(Level::kInfo, "endpoint update")
       .Field("revision", update.revision)
       .Flag("complete", update.complete)
       .Flag("changes", !update.complete)
--- a/src/proxy/graceful_shutdown.cpp
+++ b/src/proxy/graceful_shutdown.cpp
@@ -42,7 +42,7 @@
   if (phase_ != Phase::kServing) return false;
   phase_ = Phase::kAccepting;
   began_at_ = loop_.Now();
-  LogLine(Level::kInfo, "draining").Field("authorisations", sessions_.Size());
+  LogLine(Level::kInfo, "draining").Field("requests", sessions_.Size());
   timer_.Set(began_at_);
   return true;
 }
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -141,7 +141,7 @@
     shutdown(client.Get(), SHUT_WR);
     const bool requested = read(client.Get(), input.data(), input.size()) > 0;
     if (capacity_log_.Allows(loop_.Now())) {
-      LogLine(Level::kWarn, "turned away without a descriptor,")
+      LogLine(Level::kWarn, "client rejected, no descriptor left,")
           .Field("asked", requested)
           .Field("told", answered)
           .Field("left_out", capacity_log_.TakeSuppressed());
--- a/src/proxy/message_latency_reporter.cpp
+++ b/src/proxy/message_latency_reporter.cpp
@@ -38,7 +38,7 @@
   last.slow = slow;
   last.reported_at = loop_.Now();
   LogLine(Level::kDebug, "slow messages")
-      .Field("host", endpoints_.IdOf(endpoint))
+      .Field("endpoint", endpoints_.IdOf(endpoint))
       .Field("take_us", latency.count());
   balancer_.HandleEvent(ToMessageLatencyReported(endpoint, latency));
 }
--- a/src/proxy/operator_drain.cpp
+++ b/src/proxy/operator_drain.cpp
@@ -19,7 +19,7 @@
 void OperatorDrain::Drain() {
   ++counters_.drain_calls;
   if (schedule_.Draining()) return;
-  LogLine(Level::kInfo, "drain called").Field("authorisations", sessions_.Size());
+  LogLine(Level::kInfo, "drain called").Field("requests", sessions_.Size());
   schedule_.Drain(loop_.Now());
   downstream_.SetHealthy(false);
   Step();
@@ -28,7 +28,7 @@
 void OperatorDrain::Activate(bool healthy) {
   ++counters_.activations;
   if (!schedule_.Draining()) return;
-  LogLine(Level::kInfo, "activated").Field("authorisations", sessions_.Size());
+  LogLine(Level::kInfo, "activated").Field("requests", sessions_.Size());
   schedule_.Activate();
   timer_.Cancel();
   downstream_.SetHealthy(healthy);
--- a/src/proxy/session_controller.cpp
+++ b/src/proxy/session_controller.cpp
@@ -172,10 +172,10 @@
   const AttemptRequest request{session->before_timeout, session->after_timeout, true,
                                std::min(timeout, session->request.deadline - Now())};
   session->attempt = parts_.upstream.Open(session_id, endpoint, request);
-  LogLine(Level::kDebug, "leg")
+  LogLine(Level::kDebug, "attempt")
       .Field("number", session->attempt_count)
-      .Field("of", session_id.ToUint64())
-      .Field("host", parts_.upstream.Endpoints().IdOf(endpoint));
+      .Field("session", session_id.ToUint64())
+      .Field("endpoint", parts_.upstream.Endpoints().IdOf(endpoint));
 }
 
 void SessionController::CancelAttempt(SlotId session_id, std::uint32_t attempt_number) {
@@ -193,7 +193,7 @@
   ++parts_.counters.rejected;
   std::string line = "BUSY";
   if (retry_after.count() > 0) line += ' ' + std::to_string((retry_after.count() + 999) / 1000);
-  LogLine(Level::kDebug, "decline").Field("of", session_id.ToUint64()).Field("line", line);
+  LogLine(Level::kDebug, "reject").Field("session", session_id.ToUint64()).Field("line", line);
   Answer(session_id, line + "\r\n", FleetClient::ConnectionOutcome::kRejected);
 }
 
@@ -284,10 +284,10 @@
   if (session == nullptr) return;
   session->attempt = {};
   const EndpointIndex endpoint = session->endpoint;
-  LogLine(Level::kDebug, "leg ended")
+  LogLine(Level::kDebug, "attempt ended")
       .Field("number", session->attempt_count)
-      .Field("of", session_id.ToUint64())
-      .Field("host", parts_.upstream.Endpoints().IdOf(endpoint))
+      .Field("session", session_id.ToUint64())
+      .Field("endpoint", parts_.upstream.Endpoints().IdOf(endpoint))
       .Field("how", static_cast<int>(end));
   if (session->IsResumed()) {
     if (!parts_.resumption.RetryAfter(*session, end)) {
@@ -322,7 +322,8 @@
   if (attempt_end == AttemptEnd::kBroken && client_left) attempt_end = AttemptEnd::kAbandoned;
   if (attempt_end == AttemptEnd::kBroken) {
     ++parts_.counters.attempts_connection_lost;
-    LogLine(Level::kDebug, "cut").Field("host", parts_.upstream.Endpoints().IdOf(session->endpoint));
+    LogLine(Level::kDebug, "connection lost")
+        .Field("endpoint", parts_.upstream.Endpoints().IdOf(session->endpoint));
     if (end == ConnectionEnd::kReset) parts_.downstream.Reset(session->client);
   }
   EndEstablished(*session, attempt_end, {});
@@ -330,7 +331,7 @@
 
 void SessionController::OnProbeCompleted(EndpointIndex endpoint, bool succeeded, std::string_view report) {
   LogLine(Level::kDebug, "probe")
-      .Field("host", parts_.upstream.Endpoints().IdOf(endpoint))
+      .Field("endpoint", parts_.upstream.Endpoints().IdOf(endpoint))
       .Flag("ok", succeeded)
       .Field("report", report);
   parts_.balancer.HandleEvent(ToProbeCompleted(endpoint, succeeded, report));
@@ -362,8 +363,8 @@
     case Session::State::kEstablished:
       // A machine that vanished sends nothing, and its connections would stay open for ever.
       ++parts_.counters.silent_hosts;
-      LogLine(Level::kInfo, "silent host, its client is moved")
-          .Field("host", parts_.upstream.Endpoints().IdOf(session->endpoint));
+      LogLine(Level::kInfo, "endpoint silent, client migrated")
+          .Field("endpoint", parts_.upstream.Endpoints().IdOf(session->endpoint));
       EndEstablished(*session, AttemptEnd::kBroken, kMoveLine);
       return;
   }
