--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -33,21 +33,22 @@
   return text;
 }
 
-void CompareMessages(const Message& from, const Message& to, const std::string& path,
+void CompareMessages(const Message& before, const Message& after, const std::string& path,
                      OperatorFileChange& change) {
-  const auto* reflection = from.GetReflection();
-  const auto* descriptor = from.GetDescriptor();
+  const auto* reflection = before.GetReflection();
+  const auto* descriptor = before.GetDescriptor();
   for (int number = 0; number < descriptor->field_count(); ++number) {
     const FieldDescriptor* field = descriptor->field(number);
     const std::string name = FieldPath(path, field->name());
     const bool reloadable = field->options().GetExtension(config::at_reload);
     if (!field->is_repeated() && field->cpp_type() == FieldDescriptor::CPPTYPE_MESSAGE) {
-      if (!reloadable && reflection->HasField(from, field) != reflection->HasField(to, field)) {
+      if (!reloadable && reflection->HasField(before, field) != reflection->HasField(after, field)) {
         change.restart_required.push_back(name);
       } else {
-        CompareMessages(reflection->GetMessage(from, field), reflection->GetMessage(to, field), name, change);
+        CompareMessages(reflection->GetMessage(before, field), reflection->GetMessage(after, field), name,
+                        change);
       }
-    } else if (ValueText(from, field) != ValueText(to, field)) {
+    } else if (ValueText(before, field) != ValueText(after, field)) {
       (reloadable ? change.reloadable : change.restart_required).push_back(name);
     }
   }
@@ -124,9 +125,10 @@
   return ParseOperatorText(text.str(), path);
 }
 
-OperatorFileChange CompareOperatorFiles(const config::OperatorFile& from, const config::OperatorFile& to) {
+OperatorFileChange CompareOperatorFiles(const config::OperatorFile& before,
+                                        const config::OperatorFile& after) {
   OperatorFileChange change;
-  CompareMessages(from, to, {}, change);
+  CompareMessages(before, after, {}, change);
   return change;
 }
 
--- a/src/config/operator_file.h
+++ b/src/config/operator_file.h
@@ -35,7 +35,8 @@
 };
 
 // A field that is not set equals one that is set to its default.
-OperatorFileChange CompareOperatorFiles(const config::OperatorFile& from, const config::OperatorFile& to);
+OperatorFileChange CompareOperatorFiles(const config::OperatorFile& before,
+                                        const config::OperatorFile& after);
 
 // The file's text with all defaults filled in.
 std::string FormatOperatorFile(const config::OperatorFile& file);
--- a/src/config/operator_file_checks.cpp
+++ b/src/config/operator_file_checks.cpp
@@ -158,7 +158,7 @@
   }
 
   void AddProblem(const char* list, int index, const std::string& message) {
-    const auto location = locations_.GetLocation(fleet_.GetDescriptor()->FindFieldByName(list), index);
+    const auto location = locations_.GetLocation(config::Fleet::descriptor()->FindFieldByName(list), index);
     problems_.AddError(location.line, location.column, "fleet." + std::string(list) + "." + message);
   }
 
@@ -208,7 +208,7 @@
                        OperatorFileProblems& problems) {
   SchemaChecker(problems).Check(file, locations, {}, {0, 0});
   if (!file.has_fleet()) return;
-  const auto* fleet_field = file.GetDescriptor()->FindFieldByName("fleet");
+  const auto* fleet_field = config::OperatorFile::descriptor()->FindFieldByName("fleet");
   const auto* fleet_locations = locations.GetTreeForNested(fleet_field, kNotRepeated);
   if (fleet_locations != nullptr) FleetChecker(file.fleet(), *fleet_locations, problems).Check();
 }
