--- a/tests/proxy/base_utilities_test.cpp
+++ b/tests/proxy/base_utilities_test.cpp
@@ -57,11 +57,11 @@
 TEST_CASE("a timer that is set again by its own callback waits for the next call") {
   TimerQueue all;
   int runs = 0;
-  Timer again(all, [&] {
+  Timer timer(all, [&] {
     ++runs;
-    again.Set(Micros(1));
+    timer.Set(Micros(1));
   });
-  again.Set(Micros(1));
+  timer.Set(Micros(1));
   all.RunExpired(Micros(5));
   CHECK(runs == 1);
   all.RunExpired(Micros(5));
@@ -77,10 +77,10 @@
 
 // Callers of a service that takes calls in turn, 50 ms each, also those whose callers gave up after 2 s. All
 // come at once. Gives how many of a hundred were served within 30 s.
-int ServedOfAHundred(unsigned callers_told) {
+int ServedOfAHundred(unsigned assumed_callers) {
   using std::chrono::milliseconds;
   std::vector<Backoff> waits;
-  for (std::uint64_t k = 0; k < 100; ++k) waits.emplace_back(callers_told, Micros(6'000'000), k);
+  for (std::uint64_t k = 0; k < 100; ++k) waits.emplace_back(assumed_callers, Micros(6'000'000), k);
   using Call = std::pair<Micros, std::size_t>;
   std::priority_queue<Call, std::vector<Call>, std::greater<>> calls;
   for (std::size_t k = 0; k < 100; ++k) calls.emplace(waits[k].InitialDelay(), k);
--- a/tests/proxy/client_disconnect_test.cpp
+++ b/tests/proxy/client_disconnect_test.cpp
@@ -72,7 +72,7 @@
     Play("a flood 12000\na reset\nwait 150");
     CHECK(Counts().client_disconnects == 1);
   }
-  SECTION("the host's") {
+  SECTION("the endpoint's") {
     Play("s-1 flood 12000\ns-1 reset\nwait 150");
     CHECK(Counts().attempts_connection_lost == 1);
   }
--- a/tests/proxy/endpoint_update_test.cpp
+++ b/tests/proxy/endpoint_update_test.cpp
@@ -62,7 +62,7 @@
   Play(kEstablishSession);
 }
 
-// The module asks for no pushed list, so the relay once never held a watch: it served for the whole day by
+// The balancer asks for no pushed list, so the proxy once never held a watch: it served for the whole day by
 // the list that it was started with.
 TEST_CASE("where endpoint lists are pushed the proxy keeps the watch by itself, and renews it") {
   LoopbackFixture fixture({"s-1"}, {.fleet_size = 100, .discovery_mode = "automatic"});
@@ -95,7 +95,7 @@
   CHECK(Counts().attempts_not_connected <= 5);
 }
 
-// Discovery serves calls in turn: a hundred relays that lose their watches together overran it for good.
+// Discovery serves calls in turn: a hundred proxies that lose their watches together overran it for good.
 TEST_CASE("one proxy of a hundred begins its watch with jitter and retries late") {
   LoopbackFixture fixture({"s-1"}, {.fleet_size = 100});
   fixture.Play("wait 4000\ndiscovery watches 1\ndiscovery refuse\ndiscovery close\nwait 1000");
@@ -104,8 +104,8 @@
   fixture.Play(kEstablishSession);
 }
 
-// The old address closes its watches soon after: to wait for that, or for a back-off grown there, would leave
-// the relay deaf for seconds. Another service counts its own revisions, so the whole list is asked for.
+// The old address closes its watches soon after: to wait for that, or for a backoff grown there, would leave
+// the proxy deaf for seconds. Another service counts its own revisions, so the whole list is asked for.
 TEST_CASE_METHOD(SingleEndpointFixture,
                  "a reload moves the watch at once and the old list stays until the new one arrives") {
   Play(R"(discovery send {"revision":41,"members":[]})");
--- a/tests/proxy/listener_test.cpp
+++ b/tests/proxy/listener_test.cpp
@@ -119,7 +119,7 @@
   const int file = open("/dev/null", O_RDONLY);
   const int unbound = socket(AF_INET, SOCK_STREAM, 0);
   const int datagram = socket(AF_INET, SOCK_DGRAM, 0);
-  const auto refused = [&](int fd, const std::string& why) {
+  const auto check_rejected = [&](int fd, const std::string& why) {
     INFO(why);
     REQUIRE_THROWS_AS(downstream.AdoptListener(fd), ConfigError);
     try {
@@ -128,10 +128,10 @@
       CHECK_THAT(e.what(), Catch::Contains("PROXY_ACCEPT_FD: descriptor " + std::to_string(fd) + " " + why));
     }
   };
-  refused(file, "is not a socket");
-  refused(unbound, "does not listen");
-  refused(datagram, "is not a TCP socket");
-  refused(987, "is not open");
+  check_rejected(file, "is not a socket");
+  check_rejected(unbound, "does not listen");
+  check_rejected(datagram, "is not a TCP socket");
+  check_rejected(987, "is not open");
   CHECK_FALSE(downstream.IsInherited());
   for (const int fd : {file, unbound, datagram}) close(fd);
 }
--- a/tests/proxy/request_test.cpp
+++ b/tests/proxy/request_test.cpp
@@ -55,7 +55,7 @@
   CHECK(Counts().attempts == 0);
 }
 
-// Served, the second would share the first one's place at its host.
+// Served, the second would share the first one's place at its endpoint.
 TEST_CASE_METHOD(SingleEndpointFixture,
                  "the id of an open connection is rejected for a new client, and is free after its end") {
   Play(kEstablishSession);
@@ -83,7 +83,7 @@
 }
 
 class FewDescriptorsFixture
-    : public LoopbackFixture {  // 96 descriptors: at most 16 clients, and 16 callers at the least.
+    : public LoopbackFixture {  // At most 16 sessions, and at least 16 clients without a request.
  public:
   FewDescriptorsFixture() : LoopbackFixture({"s-1"}, {.descriptor_limit = 96}) {}
 };
--- a/tests/proxy/session_test.cpp
+++ b/tests/proxy/session_test.cpp
@@ -70,13 +70,13 @@
   SECTION("the client's end") {
     Play("a half\ns-1 expect-end\ns-1 send BYE\ns-1 close\na expect BYE\na expect-end");
   }
-  SECTION("the client's end, where the host never ends") {
+  SECTION("the client's end, where the endpoint never ends") {
     Play("a half\ns-1 expect-end\nwait 900\na expect-end");
   }
   SECTION("the client's break") { Play("a reset\ns-1 expect-reset"); }
-  SECTION("the host's end") { Play("s-1 close\na expect-end"); }
-  SECTION("the host's break") { Play("s-1 reset\na expect-reset"); }
-  SECTION("the host's MOVE") { Play("s-1 send MOVE\ns-1 close\na expect MOVE\na expect-end"); }
+  SECTION("the endpoint's end") { Play("s-1 close\na expect-end"); }
+  SECTION("the endpoint's break") { Play("s-1 reset\na expect-reset"); }
+  SECTION("the endpoint's MOVE") { Play("s-1 send MOVE\ns-1 close\na expect MOVE\na expect-end"); }
 }
 
 // A machine that vanishes leaves its connections open: nothing but the missing answer shows it.
@@ -105,7 +105,7 @@
   CHECK(Counts().silent_hosts == 0);
 }
 
-// The host takes nothing while the client sends far more than all buffers hold, and then ends.
+// The endpoint takes nothing while the client sends far more than all buffers hold, and then ends.
 TEST_CASE_METHOD(
     SingleEndpointFixture,
     "lines for a slow endpoint are buffered within bounds and none is lost at the client's end") {
