--- a/tests/balancer/golden_actions_test.cpp
+++ b/tests/balancer/golden_actions_test.cpp
@@ -24,10 +24,10 @@
  public:
   explicit Generator(std::uint64_t seed) : state_(seed) {}
   std::uint64_t Below(std::uint64_t n) {
-    std::uint64_t z = (state_ += 0x9e3779b97f4a7c15ULL);
-    z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
-    z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
-    return (z ^ (z >> 31)) % n;
+    std::uint64_t bits = (state_ += 0x9e3779b97f4a7c15ULL);
+    bits = (bits ^ (bits >> 30)) * 0xbf58476d1ce4e5b9ULL;
+    bits = (bits ^ (bits >> 27)) * 0x94d049bb133111ebULL;
+    return (bits ^ (bits >> 31)) % n;
   }
   bool OneIn(std::uint64_t n) { return Below(n) == 0; }
   double Part() { return static_cast<double>(Below(1000)) / 1000; }
@@ -272,12 +272,12 @@
 
 // Every setting other than as it stands by itself.
 Settings AllSettings() {
-  Settings s = DefaultSettings();
-  s.replicas = 3;
-  s.zone = ZoneId(1);
-  s.list_mode = ListMode::kSubscribed;
-  s.max_retry_after = Milliseconds(2000);
-  s.zone_crossing_cost = 0.02;
+  Settings settings = DefaultSettings();
+  settings.replicas = 3;
+  settings.zone = ZoneId(1);
+  settings.list_mode = ListMode::kSubscribed;
+  settings.max_retry_after = Milliseconds(2000);
+  settings.zone_crossing_cost = 0.02;
   ClassSettings keyed;
   keyed.setup_latency_objective = Milliseconds(500);
   keyed.idempotency = Idempotency::kIdempotencyKey;
@@ -288,16 +288,16 @@
   zoned.deduplication_scope = DeduplicationScope::kZone;
   ClassSettings unsafe;
   unsafe.setup_latency_objective = Milliseconds(400);
-  s.classes.insert(s.classes.end(), {keyed, zoned, unsafe});
-  return s;
+  settings.classes.insert(settings.classes.end(), {keyed, zoned, unsafe});
+  return settings;
 }
 
 Settings WithAnswers() {
-  Settings s = AllSettings();
-  s.list_mode = ListMode::kPushed;
-  s.report_mode = ReportMode::kWithAnswers;
-  s.probes_allowed = false;
-  return s;
+  Settings settings = AllSettings();
+  settings.list_mode = ListMode::kPushed;
+  settings.report_mode = ReportMode::kWithAnswers;
+  settings.probes_allowed = false;
+  return settings;
 }
 
 // Compared line by line: the first one that differs is shown, with its number.
