--- a/tests/admin/drain_schedule_test.cpp
+++ b/tests/proxy/drain_schedule_test.cpp
@@ -39,8 +39,9 @@
   few_connections.Drain(Micros(0));
   std::vector<std::int64_t> migrated_at;
   for (Micros time(400'000); time < Micros(2'600'000); time += Micros(50'000)) {
-    if (few_connections.Advance(time, 4 - migrated_at.size()).migrations > 0)
+    if (few_connections.Advance(time, 4 - migrated_at.size()).migrations > 0) {
       migrated_at.push_back(time.count());
+    }
   }
   REQUIRE(migrated_at.size() == 4);
   CHECK(migrated_at.front() >= 700'000);  // A quarter of the 2.2 s after the wait, less a step or two.
