--- a/simulator_adapter/message_reader.h
+++ b/simulator_adapter/message_reader.h
@@ -41,18 +41,26 @@
     return *value;
   }
 
-  // Each reads a required value of its type; `field` names it in errors.
+  // Required values: each function takes the next value and throws JsonError, which names `field`, if it is
+  // null, missing or of another type.
+
+  // An integer of 0 or more.
   std::uint64_t Unsigned(std::string_view field) { return json::AsUnsigned(Required(field), Where(field)); }
+  // An integer of either sign.
   std::int64_t Signed(std::string_view field) { return json::AsSigned(Required(field), Where(field)); }
+  // A number, with or without a fraction.
   double Number(std::string_view field) { return json::AsNumber(Required(field), Where(field)); }
+  // A JSON boolean.
   bool Bool(std::string_view field) { return json::AsBool(Required(field), Where(field)); }
+  // A JSON string; the view is valid as long as the parser's current document.
   std::string_view Text(std::string_view field) { return json::AsText(Required(field), Where(field)); }
 
-  // Optional values of one type each.
+  // An optional integer of 0 or more; `fallback` if it is null or missing.
   std::uint64_t UnsignedOr(std::string_view field, std::uint64_t fallback) {
     const json::element* value = Optional();
     return value == nullptr ? fallback : json::AsUnsigned(*value, Where(field));
   }
+  // An optional JSON boolean; `fallback` if it is null or missing.
   bool BoolOr(std::string_view field, bool fallback) {
     const json::element* value = Optional();
     return value == nullptr ? fallback : json::AsBool(*value, Where(field));
