--- a/src/base/random.h
+++ b/src/base/random.h
@@ -13,13 +13,21 @@
 
 namespace stoatrun::fleet {
 
+// A 64-bit Mersenne Twister with portable draws. Equal seeds give equal sequences. Not thread-safe; not for
+// secrets.
 class Random {
  public:
+  // Starts the sequence of `seed`.
   explicit Random(std::uint64_t seed) : engine_(seed) {}
+  // The next 64 random bits.
   std::uint64_t Next() { return engine_(); }
+  // Uniform in [0, 1), with the 53 bits that a double holds.
   double Unit() { return static_cast<double>(engine_() >> 11U) * 0x1.0p-53; }
+  // In [0, n), for n above 0; the bias of the remainder is negligible for n far below 2^64.
   std::size_t Below(std::size_t n) { return static_cast<std::size_t>(engine_() % n); }
+  // True with probability `p`.
   bool Chance(double p) { return Unit() < p; }
+  // Puts the items into a random order (Fisher-Yates).
   template <typename T>
   void Shuffle(std::vector<T>& all) {
     for (std::size_t k = all.size(); k > 1; --k) std::swap(all[k - 1], all[Below(k)]);
--- a/src/base/timed_queue.h
+++ b/src/base/timed_queue.h
@@ -12,10 +12,12 @@
 
 namespace stoatrun {
 
+// The pending tasks of one owner.
 class TimedQueue {
  public:
   using Time = std::chrono::microseconds;
 
+  // Adds a task that falls due at `due`; it runs within RunDue.
   void Add(Time due, std::function<void()> task) { tasks_.emplace(due, std::move(task)); }
   // Runs the tasks that are due at `now`, those that they add included.
   void RunDue(Time now) {
