--- a/src/fleet/connection_counts.cpp
+++ b/src/fleet/connection_counts.cpp
@@ -40,7 +40,7 @@
 // ---- reports in ----
 
 CountsRecord& FleetCounts::Expect(Micros now, MemberId member_id, MemberCounts& member,
-                                  const Incarnation& incarnation) {
+                                  const Incarnation& incarnation) const {
   const auto [at, fresh] = member.incarnations.try_emplace(incarnation.id);
   CountsRecord& record = at->second;
   record.incarnation = std::max(record.incarnation, incarnation);
@@ -60,8 +60,9 @@
 }
 
 bool FleetCounts::IsAcceptable(const MemberCounts& member, const CountsUpdate& update) const {
-  if (!update.incarnation || update.parts == 0 || update.parts > kMaxParts || update.part >= update.parts)
+  if (!update.incarnation || update.parts == 0 || update.parts > kMaxParts || update.part >= update.parts) {
     return false;
+  }
   const auto known = member.incarnations.find(update.incarnation.id);
   if (known == member.incarnations.end()) return update.incarnation.generation > member.merged_generation;
   // The own present counts are exact.
@@ -88,11 +89,13 @@
   }
   CountsRecord& record = Expect(now, update.member_id, member, update.incarnation);
   std::optional<Micros> age;
-  if (!update.ended)
+  if (!update.ended) {
     age = IsInjected(Fault::kAgeWithoutTransit) ? update.age : SumOfBounds(update.age, transit);
+  }
   if (update.version < record.version) {
-    if (IsInjected(Fault::kCountAddedTwice))
+    if (IsInjected(Fault::kCountAddedTwice)) {
       record.rows.insert(record.rows.end(), update.rows.begin(), update.rows.end());
+    }
     return;
   }
   const bool replaces = update.version > record.version;
@@ -126,8 +129,8 @@
   if (member == members_.end() || member_id == settings_.self) return;
   if (!member->second.incarnations.contains(incarnation.id) && member->second.Covers(incarnation)) return;
   CountsRecord& record = Expect(now, member_id, member->second, incarnation);
-  // It may have been taken for the former of a run that it follows, before it raised its generation above
-  // that.
+  // Before it raised its generation it may have been taken for the predecessor of an incarnation that it
+  // follows, and so for one that has ended.
   record.ended = false;
   record.gap.reset();
 }
@@ -137,7 +140,7 @@
   const auto found = members_.find(member_id);
   if (found == members_.end() || !incarnation) return;
   MemberCounts& member = found->second;
-  // Nothing was reported of the new incarnation yet, but that it began after the former's last report.
+  // Nothing is known of the new incarnation yet except that it began after the former one's last report.
   const auto former = member.incarnations.find(incarnation.id);
   if (present && former != member.incarnations.end() && !member.incarnations.contains(present.id)) {
     CountsRecord fresh;
@@ -158,8 +161,9 @@
   page.basis = member_list_sync_.BasisBitmap();
   for (auto at = members_.lower_bound(from); at != members_.end(); ++at) {
     const std::size_t before = page.incarnations.size();
-    for (const auto& [id, record] : at->second.incarnations)
+    for (const auto& [id, record] : at->second.incarnations) {
       page.incarnations.push_back({at->first, record.incarnation});
+    }
     if (SizeOf(page) > max_bytes && before > 0) {
       page.incarnations.resize(before);
       page.next = at->first;
@@ -174,8 +178,9 @@
     const auto member = members_.find(member_id);
     if (member == members_.end() || !incarnation) continue;
     // Until its reports come nothing else is known of it.
-    if (member->second.incarnations.contains(incarnation.id) || !member->second.Covers(incarnation))
+    if (member->second.incarnations.contains(incarnation.id) || !member->second.Covers(incarnation)) {
       Expect(now, member_id, member->second, incarnation);
+    }
   }
   return member_list_sync_.OnPage(now, peer, page, settings_);
 }
--- a/src/fleet/connection_counts.h
+++ b/src/fleet/connection_counts.h
@@ -47,9 +47,11 @@
   struct Key {
     std::uint32_t class_index = 0;
     std::string group;
+    // NOLINTNEXTLINE(modernize-use-nullptr): the generated comparison with 0 is taken for one with a pointer.
     auto operator<=>(const Key&) const = default;
   };
 
+  // `seed`: of the random choice of digests.
   FleetCounts(const Settings& settings, std::uint64_t seed);
 
   // Sets this relay's own rows, which are exact as of `now`.
@@ -107,7 +109,8 @@
 
  private:
   // The record of an incarnation that was heard of; made if there is none.
-  CountsRecord& Expect(Micros now, MemberId member_id, MemberCounts& member, const Incarnation& incarnation);
+  CountsRecord& Expect(Micros now, MemberId member_id, MemberCounts& member,
+                       const Incarnation& incarnation) const;
   // The ends and bounds that an update of a known version brings.
   static void ApplyBounds(Micros now, const MemberCounts& member, CountsRecord& record,
                           const CountsUpdate& update, std::optional<Micros> age);
--- a/src/fleet/counts_exchange.cpp
+++ b/src/fleet/counts_exchange.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // A bound on an age is worth its bytes if it is tighter by so much.
-constexpr Micros kWorthSending = std::chrono::seconds(2);
+constexpr Micros kMinTightening = std::chrono::seconds(2);
 constexpr std::size_t kMaxPartBytes = 800;
 
 // Rows in as many parts as it takes for each to fit a datagram; at least one.
@@ -55,7 +55,7 @@
   });
 }
 
-// Notes a member in `seen`. False: it was there before.
+// Adds a member to `seen`. Returns false if it was there before.
 bool FirstSeen(std::vector<MemberId>& seen, MemberId member_id) {
   if (std::find(seen.begin(), seen.end(), member_id) != seen.end()) return false;
   seen.push_back(member_id);
@@ -138,14 +138,14 @@
   std::vector<CountsDigest> out;
   for (const CountsDigest& digest : theirs) {
     const auto member = members_.find(digest.member_id);
-    // A member of several incarnations is reported as a whole, or not at all.
+    // Of a member with several incarnations all digests are sent, or none.
     if (member == members_.end() || member->second.incarnations.size() != 1) continue;
     const CountsRecord& record = member->second.incarnations.begin()->second;
     const auto age = record.AgeBound(now);
     const bool same_report =
         ShortIncarnationId(record.incarnation) == digest.run && record.version == digest.version;
     if (!same_report || record.ended || !age) continue;
-    if (digest.age && *digest.age <= *age + kWorthSending) continue;
+    if (digest.age && *digest.age <= *age + kMinTightening) continue;
     const CountsDigest fresher{digest.member_id, digest.run, record.version, age, false};
     if (SizeOf(fresher) > max_bytes) break;
     max_bytes -= SizeOf(fresher);
--- a/src/fleet/counts_interval.cpp
+++ b/src/fleet/counts_interval.cpp
@@ -66,16 +66,18 @@
 
 void IntervalSum::AddUnheard() {
   ++totals_.unheard;
-  for (Interval* interval : {&totals_.accepted, &totals_.served, &totals_.rejected, &totals_.failed})
+  for (Interval* interval : {&totals_.accepted, &totals_.served, &totals_.rejected, &totals_.failed}) {
     interval->Add(0, kUnbounded);
+  }
   totals_.open.Add(0, settings_.max_open);
 }
 
 void IntervalSum::AddIncomplete() {
   totals_.complete = false;
   for (Interval* interval :
-       {&totals_.accepted, &totals_.served, &totals_.rejected, &totals_.failed, &totals_.open})
+       {&totals_.accepted, &totals_.served, &totals_.rejected, &totals_.failed, &totals_.open}) {
     interval->Add(0, kUnbounded);
+  }
 }
 
 }  // namespace stoatrun::fleet
--- a/src/fleet/counts_record.cpp
+++ b/src/fleet/counts_record.cpp
@@ -68,8 +68,9 @@
   if (assembly.parts.size() < assembly.parts_wanted) return false;
   version = assembly.version;
   rows.clear();
-  for (const auto& [part, part_rows] : assembly.parts)
+  for (const auto& [part, part_rows] : assembly.parts) {
     rows.insert(rows.end(), part_rows.begin(), part_rows.end());
+  }
   age = assembly.age;
   age_at = assembly.at;
   gap.reset();
--- a/src/fleet/counts_record.h
+++ b/src/fleet/counts_record.h
@@ -1,4 +1,6 @@
 // What is known of the connection counts of one incarnation, and of all incarnations of one member.
+//
+// Plain values that FleetCounts (connection_counts.h) keeps and changes, on its thread.
 #ifndef STOATRUN_FLEET_COUNTS_RECORD_H_
 #define STOATRUN_FLEET_COUNTS_RECORD_H_
 
@@ -42,6 +44,7 @@
   std::optional<Micros> ReportedAge(Micros now) const { return ended ? gap : AgeBound(now); }
   // Takes `bound` if it is tighter than what is known.
   void TightenAge(Micros now, std::optional<Micros> bound);
+  // The same for the gap.
   void TightenGap(std::optional<Micros> bound);
   // Bounds the gap of an ended incarnation by its report's age when the end was heard of.
   void CloseGap(Micros now);
@@ -61,6 +64,7 @@
   bool Covers(const Incarnation& incarnation) const;
   // The record that ShortIncarnationId() names, or null.
   const CountsRecord* Find(std::uint32_t run) const;
+  // The same, to be changed.
   CountsRecord* Find(std::uint32_t run);
   // True if a later incarnation than the record's is known. Only then is an end that a peer reports believed:
   // the peer may have taken the order of the two for the wrong one.
--- a/src/fleet/hint_builder.h
+++ b/src/fleet/hint_builder.h
@@ -15,6 +15,7 @@
 // Deterministic and used on the node's thread; the node outlives it.
 class HintBuilder {
  public:
+  // `node`: the source of all hints.
   explicit HintBuilder(Node& node) : node_(node) {}
 
   // The name of the quota of sends to an endpoint that warms up.
--- a/src/fleet/injected_fault.h
+++ b/src/fleet/injected_fault.h
@@ -7,7 +7,7 @@
 
 namespace stoatrun::fleet {
 
-// One defect each that a bound of the fleet's shared state must not survive.
+// Each is a defect that breaks a bound of the fleet's shared state, or the quality of its sums and verdicts.
 enum class Fault {
   kNone,
   kLeaseIgnoresPause,            // The borrower checks the time when it borrows, not when it acquires.
--- a/src/fleet/io/codec.cpp
+++ b/src/fleet/io/codec.cpp
@@ -246,8 +246,9 @@
 bool Get(const wire::MemberListPage& page, MemberListPage* out) {
   if (page.runs_size() > kMaxItems) return false;
   *out = {page.from(), page.next(), page.complete(), page.basis(), {}};
-  for (const wire::MemberListPage::Run& run : page.runs())
+  for (const wire::MemberListPage::Run& run : page.runs()) {
     out->incarnations.push_back({run.member_id(), Get(run.incarnation())});
+  }
   return true;
 }
 
@@ -293,8 +294,9 @@
 
 bool Get(const wire::HeldLeases& held, HeldLeases* out) {
   *out = {Get(held.lender()), held.covers(), {}};
-  for (const wire::HeldLeases::Item& item : held.items())
+  for (const wire::HeldLeases::Item& item : held.items()) {
     out->items.push_back({item.quota(), item.lease(), item.units()});
+  }
   return true;
 }
 
@@ -350,8 +352,9 @@
 
 std::uint64_t ReadChecksum(std::string_view bytes) {
   std::uint64_t checksum = 0;
-  for (std::size_t k = 0; k < kChecksumBytes; ++k)
+  for (std::size_t k = 0; k < kChecksumBytes; ++k) {
     checksum |= std::uint64_t{static_cast<unsigned char>(bytes[kChecksumAt + k])} << (8 * k);
+  }
   return checksum;
 }
 
@@ -363,8 +366,9 @@
   const std::uint64_t checksum = Checksum(std::string_view(bytes).substr(kEnvelopeBytes), fleet);
   std::copy(kMagic.begin(), kMagic.end(), bytes.begin());
   bytes[kSchemaAt] = static_cast<char>(kSchema);
-  for (std::size_t k = 0; k < kChecksumBytes; ++k)
+  for (std::size_t k = 0; k < kChecksumBytes; ++k) {
     bytes[kChecksumAt + k] = static_cast<char>(checksum >> (8 * k));
+  }
   return bytes;
 }
 
--- a/src/fleet/io/fleet_member.cpp
+++ b/src/fleet/io/fleet_member.cpp
@@ -52,8 +52,9 @@
   LocalConnectionCounts::Handle counted{handle.row, handle.open};
   transport_.LocalNode().LocalConnections().End(counted, ToCountedEnd(outcome));
   handle.open = false;
-  if (handle.quota != 0)
+  if (handle.quota != 0) {
     transport_.LocalNode().Release(HintBuilder::ConnectionQuota(quota_groups_[handle.quota - 1]));
+  }
   handle.quota = 0;
 }
 
--- a/src/fleet/io/fleet_member.h
+++ b/src/fleet/io/fleet_member.h
@@ -15,7 +15,7 @@
 // Used on the event loop's thread; `loop` and `transport` outlive it.
 class FleetMember : public FleetClient {
  public:
-  // `quota_groups`: groups whose connections count against a quota of the complete fleet.
+  // `quota_groups`: groups whose connections count against a quota of the whole fleet.
   FleetMember(EventLoop& loop, GossipTransport& transport, std::vector<std::string> quota_groups);
 
   ConnectionHandle BeginConnection(std::size_t class_index, std::string_view group) override;
--- a/src/fleet/io/gossip_transport.cpp
+++ b/src/fleet/io/gossip_transport.cpp
@@ -172,8 +172,9 @@
   for (const Membership::Member& member : node_.Members().Members()) {
     LoggedMember& logged = logged_members_[member.member_id];
     LogMemberState(member, logged);
-    if (member.duplicate && !std::exchange(logged.duplicate, true))
+    if (member.duplicate && !std::exchange(logged.duplicate, true)) {
       LogLine(Level::kError, "fleet: two processes run under one name").Field("name", member.name);
+    }
   }
   if (node_.Members().HasDuplicate() && !std::exchange(logged_duplicate_, true)) {
     LogLine(Level::kError, "fleet: another process runs under this relay's name").Field("name", setup_.name);
--- a/src/fleet/io/gossip_transport.h
+++ b/src/fleet/io/gossip_transport.h
@@ -61,6 +61,7 @@
   bool TryAcquire(const std::string& quota);
   // The node behind the socket.
   Node& LocalNode() { return node_; }
+  // The same, for reading.
   const Node& LocalNode() const { return node_; }
   // This relay's name.
   const std::string& Name() const { return setup_.name; }
--- a/src/fleet/io/status.cpp
+++ b/src/fleet/io/status.cpp
@@ -93,8 +93,9 @@
 
   std::uint32_t FleetSizeStatedBy(MemberId member_id) const {
     std::uint32_t fleet_size = node_.Setup().fleet_size;
-    for (const FleetSizeMismatch& mismatch : node_.FleetSizeMismatches())
+    for (const FleetSizeMismatch& mismatch : node_.FleetSizeMismatches()) {
       fleet_size = mismatch.member_id == member_id ? mismatch.fleet_size : fleet_size;
+    }
     return fleet_size;
   }
 
--- a/src/fleet/member_list_sync.cpp
+++ b/src/fleet/member_list_sync.cpp
@@ -42,8 +42,9 @@
 
 std::optional<MemberId> MemberListSync::OnPage(Micros now, MemberId peer, const MemberListPage& page,
                                                const Settings& settings) {
-  if (!reading_ || reading_->peer != peer || reading_->next != page.from || page.next <= page.from)
+  if (!reading_ || reading_->peer != peer || reading_->next != page.from || page.next <= page.from) {
     return std::nullopt;
+  }
   std::set<MemberId> basis = ParseBasis(page.basis);
   basis.insert(peer);
   // What holds of all pages: the peer's knowledge only grows, so that is what it held at the first.
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -17,7 +17,8 @@
 constexpr double kUnconfirmedFactor = 3.0;
 constexpr std::size_t kMaxFormer = 16;  // Incarnations remembered of a name.
 // An incarnation that ended can still be heard of with a generation that it rose to before its end, as often
-// as it rose, which is once or twice. Two processes that run at once raise themselves in turn without end.
+// as it rose, which is once or twice. Two processes that run at once raise their generations in turn without
+// end.
 constexpr unsigned kDuplicateRaises = 4;
 constexpr int kPausedTicks = 4;  // So many ticks late: the process was stopped, not merely busy.
 
@@ -52,7 +53,7 @@
     added.name = peer.name;
     added.since = now;
     members.push_back(added);
-    ForgetStateOf(peer.member_id);
+    EraseStateOf(peer.member_id);
   }
   std::sort(members.begin(), members.end(),
             [](const Member& a, const Member& b) { return a.member_id < b.member_id; });
@@ -66,7 +67,7 @@
   next_in_order_ = 0;
 }
 
-void Membership::ForgetStateOf(MemberId member_id) {
+void Membership::EraseStateOf(MemberId member_id) {
   former_.erase(member_id);
   returns_.erase(member_id);
   pending_gossip_.erase(member_id);
@@ -114,9 +115,11 @@
   QueueGossip(member.member_id);
 }
 
-void Membership::WorsenHealth(unsigned by) { health_score_ = std::min(health_score_ + by, kMaxHealthScore); }
+void Membership::WorsenHealth(unsigned amount) {
+  health_score_ = std::min(health_score_ + amount, kMaxHealthScore);
+}
 
-// Lifeguard's: shrinks with the logarithm of the confirmations, and is longer while this relay itself is
+// After Lifeguard: shrinks with the logarithm of the confirmations, and is longer while this relay itself is
 // slow.
 Micros Membership::SuspicionTimeout(unsigned confirmations) const {
   const double fleet_size = static_cast<double>(members_.size()) + 1;
@@ -154,7 +157,8 @@
   QueueGossip(settings_.self);
 }
 
-// Another run of the own name. A former one can't raise its generation for ever; one that does runs now.
+// Another run under this relay's name. A former run can't go on raising its generation; one that does is
+// running now.
 void Membership::OnRivalIncarnation(const Incarnation& rival) {
   const auto [known, fresh] = rivals_.try_emplace(rival.id, rival.generation);
   if (!fresh && rival.generation > known->second) {
@@ -235,7 +239,8 @@
 void Membership::DetectPause(Micros now) {
   const Micros since_last = now - std::exchange(last_tick_, now);
   if (since_last <= settings_.tick * kPausedTicks) return;
-  // This process stood still. Nobody else did wrong, and its own suspicions get their time anew.
+  // This process was paused. Pings that went unacknowledged meanwhile are its own fault, and its suspicions
+  // get their full timeout anew.
   std::erase_if(pending_pings_, [](const auto& pending) { return !pending.second.on_behalf; });
   for (auto& [member_id, until] : suspected_until_) until += since_last;
   WorsenHealth(2);
@@ -248,8 +253,9 @@
     pending.indirect_sent = true;
     std::vector<MemberId> helpers;
     for (const Member& member : members_) {
-      if (member.state == MemberState::kAlive && member.member_id != pending.target)
+      if (member.state == MemberState::kAlive && member.member_id != pending.target) {
         helpers.push_back(member.member_id);
+      }
     }
     random_.Shuffle(helpers);
     if (helpers.size() > kHelpers) helpers.resize(kHelpers);
@@ -332,8 +338,9 @@
 }
 
 std::optional<MemberUpdate> Membership::UpdateAbout(MemberId member_id) const {
-  if (member_id == settings_.self)
+  if (member_id == settings_.self) {
     return MemberUpdate{settings_.self, self_, refutations_, MemberState::kAlive};
+  }
   const Member* member = Find(member_id);
   if (member == nullptr || !member->incarnation) return std::nullopt;
   return MemberUpdate{member_id, member->incarnation, member->refutations, member->state};
@@ -343,7 +350,7 @@
   return {settings_.self, self_, refutations_, MemberState::kLeft};
 }
 
-std::vector<MemberUpdate> Membership::UpdatesFor(MemberId to, std::size_t max_bytes) {
+std::vector<MemberUpdate> Membership::UpdatesFor(MemberId receiver, std::size_t max_bytes) {
   std::vector<MemberUpdate> out;
   const auto add = [&](const MemberUpdate& update) {
     const std::size_t size = SizeOf(update);
@@ -353,23 +360,23 @@
     return true;
   };
   // What is believed of the receiver itself, so that it can refute it, or learn of its former incarnation.
-  if (const auto update = UpdateAbout(to); update && update->state != MemberState::kAlive) add(*update);
+  if (const auto update = UpdateAbout(receiver); update && update->state != MemberState::kAlive) add(*update);
   std::vector<std::pair<unsigned, MemberId>> by_urgency;
   by_urgency.reserve(pending_gossip_.size());
   for (const auto& [member_id, times_left] : pending_gossip_) by_urgency.emplace_back(times_left, member_id);
   std::sort(by_urgency.rbegin(), by_urgency.rend());
   for (const auto& [times_left, member_id] : by_urgency) {
     const auto update = UpdateAbout(member_id);
-    if (!update || member_id == to) continue;
+    if (!update || member_id == receiver) continue;
     if (!add(*update)) return out;
     if (--pending_gossip_[member_id] == 0) pending_gossip_.erase(member_id);
   }
-  // Then one member in turn, gossiped often enough or not: a relay that missed the update learns it late, but
-  // does.
+  // Then one member in turn, even if its update was gossiped often enough: a relay that missed it learns it
+  // in the end.
   if (!members_.empty()) {
     const MemberId repeated = members_[next_repeated_++ % members_.size()].member_id;
     const auto update = UpdateAbout(repeated);
-    if (update && repeated != to) add(*update);
+    if (update && repeated != receiver) add(*update);
   }
   return out;
 }
--- a/src/fleet/membership.h
+++ b/src/fleet/membership.h
@@ -77,9 +77,9 @@
 
   // True if `incarnation` is the member's present one, so that its datagrams are heeded.
   bool IsPresent(MemberId member_id, const Incarnation& incarnation) const;
-  // Updates to piggyback on a datagram to `to`, the least gossiped first, within `max_bytes`. What `to`
-  // should know of itself goes first.
-  std::vector<MemberUpdate> UpdatesFor(MemberId to, std::size_t max_bytes);
+  // Updates to piggyback on a datagram to `receiver`, the least gossiped first, within `max_bytes`. What
+  // `receiver` should know of itself goes before these.
+  std::vector<MemberUpdate> UpdatesFor(MemberId receiver, std::size_t max_bytes);
   // The update by which this relay announces its graceful shutdown.
   MemberUpdate LeaveUpdate() const;
 
@@ -129,10 +129,10 @@
   Member* FindMutable(MemberId member_id);
   void SetState(Member& member, MemberState state, std::uint32_t refutations, Micros now);
   void QueueGossip(MemberId member_id);
-  void WorsenHealth(unsigned by);
+  void WorsenHealth(unsigned amount);
   Micros SuspicionTimeout(unsigned confirmations) const;
   std::optional<MemberUpdate> UpdateAbout(MemberId member_id) const;
-  void ForgetStateOf(MemberId member_id);
+  void EraseStateOf(MemberId member_id);
 
   Settings settings_;
   Incarnation self_;
--- a/src/fleet/message.cpp
+++ b/src/fleet/message.cpp
@@ -55,8 +55,9 @@
 
 std::size_t SizeOf(const HeldLeases& held) {
   std::size_t size = kNestedHeaderBytes + kIncarnationBytes + VarintBytes(held.covers);
-  for (const HeldLeases::Item& item : held.items)
+  for (const HeldLeases::Item& item : held.items) {
     size += kNestedHeaderBytes + TextBytes(item.quota) + VarintBytes(item.lease) + VarintBytes(item.units);
+  }
   return size;
 }
 
@@ -102,8 +103,9 @@
 std::size_t SizeOf(const MemberListPage& page) {
   std::size_t size = kNestedHeaderBytes + VarintBytes(page.from) + VarintBytes(page.next) + kFlagBytes +
                      TextBytes(page.basis);
-  for (const MemberIncarnation& run : page.incarnations)
+  for (const MemberIncarnation& run : page.incarnations) {
     size += kNestedHeaderBytes + VarintBytes(run.member_id) + kIncarnationBytes;
+  }
   return size;
 }
 
--- a/src/fleet/message.h
+++ b/src/fleet/message.h
@@ -1,7 +1,7 @@
 // The parts of the datagrams that relays send each other, as values; fleet/io/codec.h gives their form on the
 // wire.
 //
-// A datagram holds any of the parts. Each part is complete by itself and idempotent: datagrams may be lost,
+// A datagram holds any of the parts. Each part is self-contained and idempotent: datagrams may be lost,
 // duplicated, delayed or reordered, and a part that arrives again or late changes nothing that the first did
 // not.
 #ifndef STOATRUN_FLEET_MESSAGE_H_
@@ -24,8 +24,8 @@
 struct MemberUpdate {
   MemberId member_id = 0;
   Incarnation incarnation;
-  std::uint32_t refutations =
-      0;  // Raised by the member itself to refute a suspicion (SWIM's incarnation number).
+  // Raised by the member itself to refute a suspicion (SWIM's incarnation number).
+  std::uint32_t refutations = 0;
   MemberState state = MemberState::kAlive;
 };
 
@@ -154,6 +154,7 @@
   // The last request sent before this statement: a lease granted to a request up to it and missing in `items`
   // is not held and never will be.
   std::uint64_t covers = 0;
+  // A lease that the sender holds.
   struct Item {
     std::string quota;
     std::uint64_t lease = 0;
@@ -205,20 +206,34 @@
 // A datagram is kept below the smallest path MTU in use, so that it is never fragmented.
 constexpr std::size_t kMaxDatagramBytes = 1200;
 
-// Upper bounds, in bytes, on what a datagram and each of its parts takes on the wire.
+// Upper bound, in bytes, on what a datagram takes on the wire, its envelope and all parts included. The
+// bounds below are those of single parts, each with the tag and length that it adds to the datagram.
 std::size_t SizeOf(const Datagram& datagram);
+// Bound on an element of `member_updates`.
 std::size_t SizeOf(const MemberUpdate& update);
+// Bound on an element of `counts_updates`, with its rows.
 std::size_t SizeOf(const CountsUpdate& update);
+// Bound on one row within a CountsUpdate.
 std::size_t SizeOf(const ConnectionCountsRow& row);
+// Bound on an element of `digests`.
 std::size_t SizeOf(const CountsDigest& digest);
+// Bound on an element of `evidence`.
 std::size_t SizeOf(const Evidence& evidence);
+// Bound on an element of `unreported_sends`.
 std::size_t SizeOf(const UnreportedSends& sends);
+// Bound on an element of `idle_units`.
 std::size_t SizeOf(const IdleUnits& idle);
+// Bound on an element of `lease_requests`.
 std::size_t SizeOf(const LeaseRequest& request);
+// Bound on an element of `grants`.
 std::size_t SizeOf(const LeaseGrant& grant);
+// Bound on an element of `returns`.
 std::size_t SizeOf(const LeaseReturn& lease_return);
+// Bound on an element of `return_acks`.
 std::size_t SizeOf(const LeaseReturnAck& ack);
+// Bound on `held_leases`, with its items.
 std::size_t SizeOf(const HeldLeases& held);
+// Bound on `member_list`, with its incarnations.
 std::size_t SizeOf(const MemberListPage& page);
 
 // A datagram to be sent.
--- a/src/fleet/node.cpp
+++ b/src/fleet/node.cpp
@@ -76,9 +76,9 @@
 
 // ---- datagrams out ----
 
-Datagram& Node::To(Micros now, MemberId to, Outbox& out) {
+Datagram& Node::To(Micros now, MemberId receiver, Outbox& out) {
   const auto existing =
-      std::find_if(out.begin(), out.end(), [&](const Outgoing& outgoing) { return outgoing.to == to; });
+      std::find_if(out.begin(), out.end(), [&](const Outgoing& outgoing) { return outgoing.to == receiver; });
   if (existing != out.end()) return existing->datagram;
   Datagram datagram;
   datagram.from = settings_.self;
@@ -86,15 +86,17 @@
   datagram.incarnation = members_.SelfIncarnation();
   datagram.refutations = members_.SelfRefutations();
   datagram.fleet_size = settings_.fleet_size;
-  links_.Stamp(now, to, datagram);
+  links_.Stamp(now, receiver, datagram);
   ++counts_.out;
-  out.push_back({to, std::move(datagram)});
+  out.push_back({receiver, std::move(datagram)});
   return out.back().datagram;
 }
 
-Datagram& Node::GossipTo(Micros now, MemberId to, Outbox& out) {
-  Datagram& datagram = To(now, to, out);
-  if (datagram.member_updates.empty()) datagram.member_updates = members_.UpdatesFor(to, kMemberUpdateBytes);
+Datagram& Node::GossipTo(Micros now, MemberId receiver, Outbox& out) {
+  Datagram& datagram = To(now, receiver, out);
+  if (datagram.member_updates.empty()) {
+    datagram.member_updates = members_.UpdatesFor(receiver, kMemberUpdateBytes);
+  }
   return datagram;
 }
 
@@ -162,8 +164,9 @@
   }
 }
 
-// A concurrency lease that ended by this relay's clock and was not returned: the borrower may have lost it.
-void Node::AskAboutEndedLeases(Micros now, Outbox& out) {
+// Where a concurrency lease has ended by this relay's clock and was not returned, asks the borrower what it
+// holds: it may have lost the lease.
+void Node::RequestHeldLeases(Micros now, Outbox& out) {
   for (const QuotaLeases::Lease& lease : quotas_.Lent(now)) {
     if (lease.ended) To(now, lease.other, out).wants_held_leases = true;
   }
@@ -176,7 +179,7 @@
   SendPings(now, out);
   RequestLeases(now, out);
   SendLeaseReturns(now, out);
-  AskAboutEndedLeases(now, out);
+  RequestHeldLeases(now, out);
   if (now >= next_gossip_) Gossip(now, out);
   TrimAll(out);
 }
@@ -192,25 +195,26 @@
 void Node::Gossip(Micros now, Outbox& out) {
   const std::vector<Membership::Member>& members = members_.Members();
   next_gossip_ = now + GossipInterval(settings_.tick, members.size());
-  auto to = members_.AnyAlive();
-  if (!to && !members.empty()) to = members[random_.Below(members.size())].member_id;
-  if (!to) return;
-  Datagram& datagram = GossipTo(now, *to, out);
+  auto receiver = members_.AnyAlive();
+  if (!receiver && !members.empty()) receiver = members[random_.Below(members.size())].member_id;
+  if (!receiver) return;
+  Datagram& datagram = GossipTo(now, *receiver, out);
   datagram.periodic = true;
-  datagram.member_list_from = totals_.MemberListWanted(now, *to);
+  datagram.member_list_from = totals_.MemberListWanted(now, *receiver);
   datagram.evidence = outliers_.EvidenceToGossip(now, members_.SelfIncarnation(),
                                                  BytesLeft(datagram, kEvidenceBytes), members.size() + 1);
   datagram.digests = totals_.Digests(now, BytesLeft(datagram, kDigestBytes));
   AddLocalSends(now, datagram);
   AddIdleUnits(now, datagram);
-  datagram.wants_held_leases = datagram.wants_held_leases || quotas_.NeedsHeldFrom(*to);
+  datagram.wants_held_leases = datagram.wants_held_leases || quotas_.NeedsHeldFrom(*receiver);
 }
 
 void Node::AddLocalSends(Micros now, Datagram& datagram) const {
   for (const UnreportedSends& part : sends_.LocalSends(now)) {
     if (datagram.unreported_sends.size() < kMaxSendsGossiped &&
-        SizeOf(part) <= BytesLeft(datagram, kMaxDatagramBytes))
+        SizeOf(part) <= BytesLeft(datagram, kMaxDatagramBytes)) {
       datagram.unreported_sends.push_back(part);
+    }
   }
 }
 
@@ -219,8 +223,9 @@
   random_.Shuffle(idle);
   for (const IdleUnits& part : idle) {
     if (datagram.idle_units.size() < kMaxIdleGossiped &&
-        SizeOf(part) <= BytesLeft(datagram, kMaxDatagramBytes))
+        SizeOf(part) <= BytesLeft(datagram, kMaxDatagramBytes)) {
       datagram.idle_units.push_back(part);
+    }
   }
 }
 
@@ -277,8 +282,9 @@
   const Membership::Change change = members_.OnUpdate(now, update);
   if (change.left) totals_.OnIncarnationEnded(now, update.member_id, update.incarnation);
   if (!change.superseded) {
-    if (members_.IsPresent(update.member_id, update.incarnation) && update.state != MemberState::kLeft)
+    if (members_.IsPresent(update.member_id, update.incarnation) && update.state != MemberState::kLeft) {
       totals_.OnIncarnation(now, update.member_id, update.incarnation);
+    }
     return;
   }
   quotas_.OnIncarnationSuperseded(update.member_id, change.former);
@@ -297,8 +303,9 @@
     }
   }
   if (datagram.ack) {
-    if (const auto forwarded = members_.OnAck(now, datagram.from, *datagram.ack))
+    if (const auto forwarded = members_.OnAck(now, datagram.from, *datagram.ack)) {
       To(now, forwarded->to, out).ack = forwarded->nonce;
+    }
   }
 }
 
@@ -313,24 +320,30 @@
         totals_.MemberList(*datagram.member_list_from, kMemberListBytes);
   }
   if (!datagram.member_list) return;
-  if (const auto next = totals_.OnMemberList(now, datagram.from, *datagram.member_list))
+  if (const auto next = totals_.OnMemberList(now, datagram.from, *datagram.member_list)) {
     To(now, datagram.from, out).member_list_from = next;
+  }
 }
 
 void Node::OnLeases(Micros now, const Datagram& datagram, Outbox& out) {
   const MemberId from = datagram.from;
   const Incarnation& self = members_.SelfIncarnation();
-  for (const LeaseRequest& request : datagram.lease_requests)
+  for (const LeaseRequest& request : datagram.lease_requests) {
     To(now, from, out).grants.push_back(quotas_.OnRequest(now, from, datagram.incarnation, request));
-  for (const LeaseGrant& grant : datagram.grants)
+  }
+  for (const LeaseGrant& grant : datagram.grants) {
     quotas_.OnGrant(now, from, datagram.incarnation, self, grant);
-  for (const LeaseReturn& lease_return : datagram.returns)
+  }
+  for (const LeaseReturn& lease_return : datagram.returns) {
     To(now, from, out).return_acks.push_back(quotas_.OnReturn(now, from, lease_return));
+  }
   for (const LeaseReturnAck& ack : datagram.return_acks) quotas_.OnReturnAck(from, ack);
-  if (datagram.wants_held_leases)
+  if (datagram.wants_held_leases) {
     To(now, from, out).held_leases = quotas_.HeldFrom(from, datagram.incarnation);
-  if (datagram.held_leases)
+  }
+  if (datagram.held_leases) {
     quotas_.OnHeldLeases(now, from, datagram.incarnation, self, *datagram.held_leases);
+  }
 }
 
 // Sends what the peer lacks. Asks for what this relay lacks only in answer to a gossip round, never in answer
--- a/src/fleet/node.h
+++ b/src/fleet/node.h
@@ -85,16 +85,16 @@
   const Settings& Setup() const { return settings_; }
   // Counters since the start.
   const Counts& GetCounts() const { return counts_; }
-  // Peers whose operator file states another size of the fleet: shares don't add up until that is mended.
+  // Peers whose operator file states another size of the fleet: shares don't add up until that is corrected.
   std::vector<FleetSizeMismatch> FleetSizeMismatches() const {
     return links_.FleetSizeMismatches(settings_.fleet_size);
   }
 
  private:
   // This turn's datagram to a member; made if there is none yet.
-  Datagram& To(Micros now, MemberId to, Outbox& out);
+  Datagram& To(Micros now, MemberId receiver, Outbox& out);
   // The same, with member updates piggybacked, where the datagram goes out regularly.
-  Datagram& GossipTo(Micros now, MemberId to, Outbox& out);
+  Datagram& GossipTo(Micros now, MemberId receiver, Outbox& out);
   void TrimAll(Outbox& out);
 
   // Parts of Tick, one module each.
@@ -102,7 +102,7 @@
   void SendPings(Micros now, Outbox& out);
   void RequestLeases(Micros now, Outbox& out);
   void SendLeaseReturns(Micros now, Outbox& out);
-  void AskAboutEndedLeases(Micros now, Outbox& out);
+  void RequestHeldLeases(Micros now, Outbox& out);
   void Gossip(Micros now, Outbox& out);
   void AddLocalSends(Micros now, Datagram& datagram) const;
   void AddIdleUnits(Micros now, Datagram& datagram);
--- a/src/fleet/outlier_consensus.cpp
+++ b/src/fleet/outlier_consensus.cpp
@@ -14,7 +14,7 @@
 constexpr Micros kObservationValid = seconds(5);
 constexpr std::size_t kMaxObservations = 32;    // Of one endpoint.
 constexpr std::size_t kMinBadObservations = 3;  // So many, and half of all at least, make a bad verdict.
-constexpr Micros kEvidenceValid = seconds(6);   // The longest that evidence outlives its making.
+constexpr Micros kEvidenceValid = seconds(6);   // How long evidence is valid at most.
 constexpr Micros kRepeatInterval = seconds(3);  // Of own evidence, while it holds.
 constexpr std::size_t kMinWitnesses = 2;
 constexpr Micros kRemoteOnlyLimit = seconds(2);  // On remote evidence alone no endpoint is ejected longer,
@@ -52,8 +52,9 @@
 void OutlierConsensus::Expire(Endpoint& endpoint, Micros now) const {
   auto& observations = endpoint.observations;
   while (!observations.empty() &&
-         (observations.front().at + kObservationValid <= now || observations.size() > kMaxObservations))
+         (observations.front().at + kObservationValid <= now || observations.size() > kMaxObservations)) {
     observations.pop_front();
+  }
   std::erase_if(endpoint.remote, [&](const auto& remote) { return !IsValid(remote.second, now); });
 }
 
@@ -64,15 +65,18 @@
   Endpoint& observed = endpoints_[endpoint];
   observed.observations.push_back({now, verdict});
   Expire(observed, now);
-  if (verdict == HealthVerdict::kHealthy && OwnVerdict(now, endpoint) == HealthVerdict::kHealthy)
+  if (verdict == HealthVerdict::kHealthy && OwnVerdict(now, endpoint) == HealthVerdict::kHealthy) {
     CountMisreports(now, endpoint, observed);
+  }
 }
 
 // The endpoint is healthy: evidence to the contrary is disproved, if it is older than what was observed now.
 void OutlierConsensus::CountMisreports(Micros now, const std::string& id, const Endpoint& endpoint) {
   for (const auto& [author, remote] : endpoint.remote) {
-    if (!IsBad(remote.evidence.verdict) || !IsValid(remote, now) || now - remote.made < kRemoteOnlyLimit / 2)
+    if (!IsBad(remote.evidence.verdict) || !IsValid(remote, now) ||
+        now - remote.made < kRemoteOnlyLimit / 2) {
       continue;
+    }
     if (reputation_.OnMisreport(now, author, id, remote.evidence.version)) ++counts_.contradicted;
   }
 }
@@ -89,8 +93,9 @@
     bad += IsBad(observation.verdict) ? 1 : 0;
   }
   if (all == 0) return std::nullopt;
-  if (!IsBad(at->second.observations.back().verdict))
+  if (!IsBad(at->second.observations.back().verdict)) {
     return 2 * bad > all ? std::nullopt : std::optional(HealthVerdict::kHealthy);
+  }
   if (bad < kMinBadObservations || 2 * bad < all) return std::nullopt;
   HealthVerdict most_frequent = HealthVerdict::kFailing;
   for (const auto& [verdict, count] : by_verdict) {
@@ -130,8 +135,9 @@
 void OutlierConsensus::OnIncarnationEnded(MemberId author, const Incarnation& incarnation) {
   for (auto& [id, endpoint] : endpoints_) {
     const auto known = endpoint.remote.find(author);
-    if (known != endpoint.remote.end() && known->second.evidence.incarnation.id == incarnation.id)
+    if (known != endpoint.remote.end() && known->second.evidence.incarnation.id == incarnation.id) {
       endpoint.remote.erase(known);
+    }
   }
   reputation_.Erase(author);
 }
@@ -169,8 +175,9 @@
     const auto listed = listed_.find(id);
     if (listed == listed_.end()) continue;
     const Votes votes = CountVotes(endpoint, listed->second, distrusted, now);
-    if (MayEjectRemotely(endpoint, votes, IsDecidedLocally(id, endpoint, now), now))
+    if (MayEjectRemotely(endpoint, votes, IsDecidedLocally(id, endpoint, now), now)) {
       candidates.push_back({votes.bad, id});
+    }
   }
   return MostWitnessed(std::move(candidates));
 }
@@ -295,8 +302,9 @@
   if (bad == 0 || view.ejected) return {};
   if (view.own) return "seen here";
   if (bad < kMinWitnesses) return "too few witnesses";
-  if (endpoint.remote_only_since && now >= *endpoint.remote_only_since + kRemoteOnlyLimit)
+  if (endpoint.remote_only_since && now >= *endpoint.remote_only_since + kRemoteOnlyLimit) {
     return "held long enough";
+  }
   return "witnesses not trusted, or too many servers";
 }
 
--- a/src/fleet/outlier_consensus.h
+++ b/src/fleet/outlier_consensus.h
@@ -3,15 +3,12 @@
 // evidence from doing harm:
 //  - own observations take precedence over remote evidence, whichever way they point;
 //  - an ejection on remote evidence needs at least two witnesses, and more of them than witnesses that find
-//  the
-//    endpoint healthy;
+//    the endpoint healthy;
 //  - an endpoint is ejected on remote evidence alone only for as long as an own health check takes, and at
-//  most a
-//    configured fraction of the listed endpoints is, whatever is claimed;
+//    most a configured fraction of the listed endpoints is, whatever is claimed;
 //  - evidence ends with its validity, with its author's incarnation, and with the process of its endpoint;
-//  - a witness that finds more than half of the endpoints bad shows that its own link is, and one whose
-//  evidence was
-//    often disproved here is distrusted for a while.
+//  - a witness that finds more than half of the endpoints bad shows that its own link is bad, and one whose
+//    evidence was often disproved here is distrusted for a while.
 //
 // Deterministic and not thread-safe; see node.h. Bounded: at most 8,192 endpoints, 32 observations of each.
 #ifndef STOATRUN_FLEET_OUTLIER_CONSENSUS_H_
@@ -55,6 +52,7 @@
     bool operator==(const DistrustedWitness&) const = default;
   };
 
+  // Uses the settings' fleet size and its cap on ejections.
   explicit OutlierConsensus(const Settings& settings) : settings_(settings) {}
 
   // Sets the endpoints that the present endpoint list holds. Evidence on others is dropped, as is what
--- a/src/fleet/peer_links.cpp
+++ b/src/fleet/peer_links.cpp
@@ -9,8 +9,8 @@
 
 }  // namespace
 
-void PeerLinks::Stamp(Micros now, MemberId to, Datagram& datagram) {
-  Link& link = links_[to];
+void PeerLinks::Stamp(Micros now, MemberId receiver, Datagram& datagram) {
+  Link& link = links_[receiver];
   datagram.seq = ++link.last_seq;
   if (link.heard_incarnation) {
     datagram.echo_run = ShortIncarnationId(link.heard_incarnation);
--- a/src/fleet/peer_links.h
+++ b/src/fleet/peer_links.h
@@ -23,7 +23,7 @@
   std::uint32_t fleet_size = 0;
 };
 
-// Used on the thread of the Node that owns it.
+// The datagrams exchanged with each peer. Used on the thread of the Node that owns it.
 class PeerLinks {
  public:
   // What the header of a received datagram shows.
@@ -33,11 +33,11 @@
     bool new_incarnation = false;   // The first datagram of this incarnation.
   };
 
-  // Numbers a datagram that is about to be sent and adds the echo of what came from `to`.
-  void Stamp(Micros now, MemberId to, Datagram& datagram);
+  // Numbers a datagram that is about to be sent and adds the echo of what came from `receiver`.
+  void Stamp(Micros now, MemberId receiver, Datagram& datagram);
   // Takes note of a received datagram. `self`: this relay's incarnation, to which an echo must refer.
   Receipt OnReceived(Micros now, const Datagram& datagram, const Incarnation& self);
-  // Forgets peers that the operator file no longer names.
+  // Drops what is kept of peers that the operator file no longer names.
   void Follow(const std::vector<Peer>& peers);
   // Peers that stated another size of the fleet than `fleet_size`, by id.
   std::vector<FleetSizeMismatch> FleetSizeMismatches(std::uint32_t fleet_size) const;
--- a/src/fleet/quota_account.cpp
+++ b/src/fleet/quota_account.cpp
@@ -12,12 +12,12 @@
 using std::chrono::seconds;
 
 constexpr Micros kDemandMemory = seconds(1);       // Or the window, if that is longer.
-constexpr Micros kRequestTimeout = seconds(1);     // A grant that comes later is not taken.
+constexpr Micros kRequestTimeout = seconds(1);     // A grant that comes later is not accepted.
 constexpr Micros kAccountIdleLimit = seconds(60);  // An unused account made from a template is dropped then.
 
 std::uint64_t Hash(const std::string& text) {  // FNV-1a: the same at every relay.
   std::uint64_t hash = 0xcbf29ce484222325ULL;
-  for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
+  for (const char symbol : text) hash = (hash ^ static_cast<unsigned char>(symbol)) * 0x100000001b3ULL;
   return hash;
 }
 
@@ -34,8 +34,9 @@
   const auto rank = [&](MemberId other) { return std::pair(Mixed(seed, other + 1), other); };
   const auto own = rank(member_id);
   std::uint32_t before = 0;
-  for (MemberId other = 0; other < fleet_size && before < remaining; ++other)
+  for (MemberId other = 0; other < fleet_size && before < remaining; ++other) {
     before += rank(other) < own ? 1 : 0;
+  }
   return integral + (before < remaining ? 1 : 0);
 }
 
@@ -56,8 +57,9 @@
   std::erase_if(requests, [&](const PendingRequest& request) { return now >= request.at + kRequestTimeout; });
   for (BorrowedLease& lease : borrowed) expire_acquired(lease.acquired_at);
   if (rule.IsConcurrencyQuota()) {
-    if (IsInjected(Fault::kConcurrencyLeaseEndsByClock))
+    if (IsInjected(Fault::kConcurrencyLeaseEndsByClock)) {
       std::erase_if(lent, [&](const LentLease& lease) { return now >= lease.ends; });
+    }
     return;
   }
   const Micros wait = IsInjected(Fault::kLenderIgnoresWindow) ? Micros(0) : window;
@@ -87,8 +89,9 @@
 std::uint32_t QuotaAccount::Allowed(std::uint32_t usable, Micros now) const {
   const std::uint32_t lent_out = LentOut();
   std::uint32_t allowed = usable > lent_out ? usable - lent_out : 0;
-  for (const BorrowedLease& lease : borrowed)
+  for (const BorrowedLease& lease : borrowed) {
     allowed += !lease.returning && now < lease.ends ? lease.units : 0;
+  }
   return allowed;
 }
 
--- a/src/fleet/quota_borrower.cpp
+++ b/src/fleet/quota_borrower.cpp
@@ -1,4 +1,4 @@
-// QuotaLeases as a borrower: leases requested, taken and returned.
+// QuotaLeases as a borrower: leases requested, accepted and returned.
 #include <algorithm>
 
 #include "fleet/injected_fault.h"
@@ -48,8 +48,9 @@
       // Units of a concurrency quota are returned as soon as what is in use fits without them.
       const std::uint32_t allowed = account.Allowed(Usable(account, now), now);
       if (account.rule.IsConcurrencyQuota() &&
-          account.in_use + lease.units <= allowed + (lasts ? 0 : lease.units))
+          account.in_use + lease.units <= allowed + (lasts ? 0 : lease.units)) {
         lease.returning = true;
+      }
       continue;
     }
     if (account.IsRenewing(lease.id) || now < lease.ends - kLeaseDuration / 2) continue;
@@ -81,7 +82,7 @@
   QuotaAccount& account = at->second;
   ++counts_.requested;
   account.requests.push_back({request.nonce, lender, request.units, now, request.renews});
-  // So much less lies idle there.
+  // That many fewer lie idle there.
   const auto idle = account.idle_at_peers.find(lender);
   if (idle != account.idle_at_peers.end()) idle->second.units -= std::min(idle->second.units, request.units);
 }
@@ -103,8 +104,9 @@
                                    });
     // Too late to be of use. The lender of a concurrency quota would wait without end: it gets the units
     // back.
-    if (account.rule.IsConcurrencyQuota() && grant.units > 0 && !known)
+    if (account.rule.IsConcurrencyQuota() && grant.units > 0 && !known) {
       account.borrowed.push_back({grant.lease, from, lender, grant.units, now, {}, true});
+    }
     return;
   }
   const QuotaAccount::PendingRequest request = *pending;
@@ -136,8 +138,9 @@
   }
   if (request.renews != 0) {
     // The lease that it renews has ended here. Units of a concurrency quota are still to be returned.
-    if (account.rule.IsConcurrencyQuota())
+    if (account.rule.IsConcurrencyQuota()) {
       account.borrowed.push_back({grant.lease, from, lender, grant.units, now, {}, true});
+    }
     return;
   }
   counts_.borrowed += grant.units;
@@ -148,8 +151,9 @@
   std::vector<LeaseReturn> out;
   for (const auto& [name, account] : accounts_) {
     for (const QuotaAccount::BorrowedLease& lease : account.borrowed) {
-      if (lease.returning && lease.lender == lender)
+      if (lease.returning && lease.lender == lender) {
         out.push_back({lease.id, lease.lender_incarnation, name, lease.units});
+      }
     }
   }
   return out;
@@ -169,7 +173,7 @@
   held.covers = last_nonce_;
   for (auto& [name, account] : accounts_) {
     if (!account.rule.IsConcurrencyQuota()) continue;
-    // A grant that is still under way is not taken any more: the statement must hold for ever.
+    // A grant that is still under way is no longer accepted: the statement must stay true.
     std::erase_if(account.requests,
                   [&](const QuotaAccount::PendingRequest& request) { return request.lender == lender; });
     for (const QuotaAccount::BorrowedLease& lease : account.borrowed) {
--- a/src/fleet/quota_leases.cpp
+++ b/src/fleet/quota_leases.cpp
@@ -14,7 +14,7 @@
 
 std::string TemplateOf(const std::string& quota) { return quota.substr(0, quota.find(':')); }
 
-// Bounds the memory of demand: more calls than that show no more.
+// Bounds the memory that recorded demand takes; calls beyond that would not change a decision.
 std::size_t MaxDemand(const QuotaRule& rule) { return 2 * static_cast<std::size_t>(rule.units) + 16; }
 
 }  // namespace
@@ -118,8 +118,9 @@
     return allowed > account->in_use ? allowed - account->in_use : 0;
   }
   std::uint32_t free = account->OwnFree(usable);
-  for (const QuotaAccount::BorrowedLease& lease : account->borrowed)
+  for (const QuotaAccount::BorrowedLease& lease : account->borrowed) {
     free += lease.units - static_cast<std::uint32_t>(lease.acquired_at.size());
+  }
   return free;
 }
 
@@ -159,8 +160,9 @@
 std::vector<QuotaLeases::Lease> QuotaLeases::Lent(Micros now) const {
   std::vector<Lease> out;
   for (const auto& [name, account] : accounts_) {
-    for (const QuotaAccount::LentLease& lease : account.lent)
+    for (const QuotaAccount::LentLease& lease : account.lent) {
       out.push_back({name, lease.borrower, lease.units, lease.ends, now >= lease.ends});
+    }
   }
   return out;
 }
@@ -168,8 +170,9 @@
 std::vector<QuotaLeases::Lease> QuotaLeases::Borrowed(Micros now) const {
   std::vector<Lease> out;
   for (const auto& [name, account] : accounts_) {
-    for (const QuotaAccount::BorrowedLease& lease : account.borrowed)
+    for (const QuotaAccount::BorrowedLease& lease : account.borrowed) {
       out.push_back({name, lease.lender, lease.units, lease.ends, now >= lease.ends});
+    }
   }
   return out;
 }
--- a/src/fleet/quota_leases.h
+++ b/src/fleet/quota_leases.h
@@ -6,13 +6,11 @@
 // than the quota, because of four rules, each kept by one relay alone:
 //  - a unit of the own share is acquired, or lent, only if it was not acquired within a window before;
 //  - a borrower acquires a unit of a lease at most once a window, and only while the lease lasts by its own
-//  clock,
-//    which it reads in the turn in which it acquires. The lease counts from the moment of its request;
-//  - a lender takes a unit for its own again only a window after the lease has ended by its clock, whatever
-//  it hears;
+//    clock, which it reads in the turn in which it acquires. The lease counts from the moment of its request;
+//  - a lender uses a lent unit itself again only a window after the lease has ended by its clock, whatever
+//    messages say;
 //  - a new incarnation knows nothing of what the former one acquired or lent: it has its share back only when
-//  the
-//    longest lease and a window have passed, and the part that is never lent when a window has passed.
+//    the longest lease and a window have passed, and the part that is never lent when a window has passed.
 // Clocks may differ in rate by kMaxClockDrift; each of these waits allows for it.
 //
 // A concurrency quota (connections of a group) has no window: a unit is in use until it is released, and a
--- a/src/fleet/quota_lender.cpp
+++ b/src/fleet/quota_lender.cpp
@@ -26,8 +26,9 @@
     const auto lease = std::find_if(
         account->lent.begin(), account->lent.end(),
         [&](const QuotaAccount::LentLease& lent) { return lent.id == request.renews && is_borrowers(lent); });
-    if (lease != account->lent.end() && TryRenew(now, *account, *lease, request.nonce))
+    if (lease != account->lent.end() && TryRenew(now, *account, *lease, request.nonce)) {
       return granted(*lease);
+    }
     ++counts_.rejected;
     return grant;
   }
@@ -43,7 +44,7 @@
   return granted(account->lent.back());
 }
 
-// Not if this relay needs its units, or if the lease is over and only its window still runs.
+// Fails if this relay needs the units, or if the lease has ended and only its window still runs.
 bool QuotaLeases::TryRenew(Micros now, QuotaAccount& account, QuotaAccount::LentLease& lease,
                            std::uint64_t nonce) {
   const std::uint32_t demand = account.Demand(now);
@@ -56,7 +57,7 @@
 }
 
 LeaseReturnAck QuotaLeases::OnReturn(Micros now, MemberId from, const LeaseReturn& lease_return) {
-  // A return to a former incarnation is as good: the present one counts the lease as lent, if any does.
+  // A return to a former incarnation is taken as well: the present one counts the lease as lent, if any does.
   const auto at = accounts_.find(lease_return.quota);
   if (at != accounts_.end() && at->second.rule.IsConcurrencyQuota()) {
     std::erase_if(at->second.lent, [&](const QuotaAccount::LentLease& lease) {
--- a/src/fleet/send_tracker.cpp
+++ b/src/fleet/send_tracker.cpp
@@ -15,8 +15,9 @@
 
 void SendTracker::OnRequestSent(Micros now, const std::string& endpoint) {
   sends_.push_back({now, endpoint});
-  while (sends_.size() > kMaxSends || (!sends_.empty() && sends_.front().at + kUnreportedFor <= now))
+  while (sends_.size() > kMaxSends || (!sends_.empty() && sends_.front().at + kUnreportedFor <= now)) {
     sends_.pop_front();
+  }
 }
 
 std::vector<UnreportedSends> SendTracker::LocalSends(Micros now) const {
--- a/src/fleet/send_tracker.h
+++ b/src/fleet/send_tracker.h
@@ -28,7 +28,7 @@
   void OnPeerReport(Micros now, MemberId peer, const std::vector<UnreportedSends>& sends);
   // The peer started anew or is no longer named: what it reported is void.
   void ErasePeer(MemberId peer);
-  // Forgets peers that the operator file no longer names.
+  // Drops the reports of peers that the operator file no longer names.
   void Follow(const std::vector<Peer>& peers);
 
   // Estimates what all other relays sent to `endpoint`: the recent reports are taken as a sample of the
--- a/src/fleet/types.h
+++ b/src/fleet/types.h
@@ -38,13 +38,15 @@
 // The largest relative rate error of a clock that every bound spanning two clocks allows for, on both sides.
 constexpr double kMaxClockDrift = 0.01;
 
-// The reading a fast clock may show after `t` of real time: waiting that long waits for at least `t`.
-inline Micros AtLeast(Micros t) {
-  return Micros(static_cast<std::int64_t>(static_cast<double>(t.count()) * (1 + kMaxClockDrift)) + 1);
+// The reading a fast clock may show after `duration` of real time: waiting that long waits for at least
+// `duration`.
+inline Micros AtLeast(Micros duration) {
+  return Micros(static_cast<std::int64_t>(static_cast<double>(duration.count()) * (1 + kMaxClockDrift)) + 1);
 }
-// The reading a slow clock may show after `t` of real time: waiting that long waits for at most `t`.
-inline Micros AtMost(Micros t) {
-  return Micros(static_cast<std::int64_t>(static_cast<double>(t.count()) * (1 - kMaxClockDrift)));
+// The reading a slow clock may show after `duration` of real time: waiting that long waits for at most
+// `duration`.
+inline Micros AtMost(Micros duration) {
+  return Micros(static_cast<std::int64_t>(static_cast<double>(duration.count()) * (1 - kMaxClockDrift)));
 }
 
 // The longest lease, in all fleets. A new run waits that long for what its former run lent, so the value must
--- a/tests/fleet/connection_counts_test.cpp
+++ b/tests/fleet/connection_counts_test.cpp
@@ -106,8 +106,9 @@
     relays.back().SetLocal(kStart, Incarnation{1, 10 + member}, 1, {});
   }
   const auto read = [&](MemberId reader, MemberId peer) {
-    if (relays[reader].MemberListWanted(kStart + seconds(3) * (reader + 3 * peer), peer))
+    if (relays[reader].MemberListWanted(kStart + seconds(3) * (reader + 3 * peer), peer)) {
       relays[reader].OnMemberList(kStart, peer, relays[peer].MemberList(0, 1000));
+    }
   };
   read(1, 2);
   CHECK_FALSE(relays[1].IsComplete());
--- a/tests/fleet/datagram_golden_test.cpp
+++ b/tests/fleet/datagram_golden_test.cpp
@@ -152,14 +152,14 @@
 // One datagram for each part, one with the header alone and one with all parts.
 std::vector<std::pair<std::string, Datagram>> Datagrams() {
   std::vector<std::pair<std::string, Datagram>> all{{"head", HeaderOnly()}};
-  Datagram whole = HeaderOnly();
+  Datagram full = HeaderOnly();
   for (const Part& part : Parts()) {
     Datagram datagram = HeaderOnly();
     part.add(datagram);
     all.emplace_back(part.file, datagram);
-    part.add(whole);
+    part.add(full);
   }
-  all.emplace_back("all", whole);
+  all.emplace_back("all", full);
   return all;
 }
 
@@ -217,7 +217,7 @@
          datagram.member_updates[3].refutations == 6));
 }
 
-// Connection counts, their digests and the member list.
+// Connection counts and their digests.
 void CheckCounts(const Datagram& datagram) {
   REQUIRE(datagram.counts_updates.size() == 2);
   CHECK((datagram.counts_updates[0].version == 900 && datagram.counts_updates[0].part == 1 &&
@@ -231,6 +231,10 @@
   REQUIRE(datagram.digests.size() == 2);
   CHECK((datagram.digests[0].run == 0xabcdef01 && datagram.digests[0].age == Micros(0) &&
          datagram.digests[0].ended));
+}
+
+// The member list, and the flags.
+void CheckMemberList(const Datagram& datagram) {
   CHECK(datagram.member_list_from == MemberId{0});
   REQUIRE(datagram.member_list);
   CHECK((datagram.member_list->from == 64 && datagram.member_list->next == 128 &&
@@ -278,6 +282,7 @@
   CheckHeader(datagram);
   CheckMembership(datagram);
   CheckCounts(datagram);
+  CheckMemberList(datagram);
   CheckEndpoints(datagram);
   CheckLeases(datagram);
 }
--- a/tests/fleet/node_test.cpp
+++ b/tests/fleet/node_test.cpp
@@ -122,7 +122,7 @@
     if (counted) acquired += acquired_now;
     fleet.Step();
   }
-  // The quota is 12 units a second, the own share 4; of each other's share a quarter is never lent.
+  // The quota is 12 units a second, of which the own share is 4: leases must bring at least as many again.
   CHECK(acquired >= 4 * 8);
   CHECK(acquired <= 4 * 12 + 12);
 
--- a/tests/fleet/outlier_consensus_test.cpp
+++ b/tests/fleet/outlier_consensus_test.cpp
@@ -23,9 +23,17 @@
 // Evidence of `author` that an endpoint fails, valid for six seconds.
 Evidence FailingEvidence(MemberId author, const std::string& endpoint, std::uint64_t version,
                          std::int64_t start = 1) {
-  return {
-      author,    Incarnation{1, author + 1U}, endpoint, start, HealthVerdict::kFailing, 9, version, Micros(0),
-      seconds(6)};
+  Evidence evidence;
+  evidence.author = author;
+  evidence.incarnation = Incarnation{1, author + 1U};
+  evidence.endpoint = endpoint;
+  evidence.endpoint_start = start;
+  evidence.verdict = HealthVerdict::kFailing;
+  evidence.observations = 9;
+  evidence.version = version;
+  evidence.age = Micros(0);
+  evidence.valid = seconds(6);
+  return evidence;
 }
 
 Settings SettingsFor(MemberId self, std::uint32_t fleet_size) {
@@ -40,6 +48,7 @@
 OutlierConsensus TenEndpoints() {
   OutlierConsensus consensus(SettingsFor(0, 10));
   std::vector<FleetClient::ListedEndpoint> listed;
+  listed.reserve(10);
   for (int endpoint = 0; endpoint < 10; ++endpoint) listed.push_back({"s" + std::to_string(endpoint), 1});
   consensus.SetEndpoints(listed);
   return consensus;
@@ -60,14 +69,16 @@
 
 TEST_CASE("remote evidence expires, and ejects no longer than an own health check takes") {
   OutlierConsensus consensus = TenEndpoints();
-  for (MemberId author = 1; author <= 3; ++author)
+  for (MemberId author = 1; author <= 3; ++author) {
     consensus.OnEvidence(kStart, FailingEvidence(author, "s1", 1), Micros(0));
+  }
   CHECK(consensus.EndpointsToEject(kStart).size() == 1);
   CHECK(consensus.EndpointsToEject(kStart + milliseconds(1900)).size() == 1);
   CHECK(consensus.EndpointsToEject(kStart + milliseconds(2100)).empty());
   // Reported anew it does not eject again at once.
-  for (MemberId author = 1; author <= 3; ++author)
+  for (MemberId author = 1; author <= 3; ++author) {
     consensus.OnEvidence(kStart + seconds(5), FailingEvidence(author, "s1", 2), Micros(0));
+  }
   CHECK(consensus.EndpointsToEject(kStart + seconds(5)).empty());
   // Evidence without a bound on its age, or too old by that bound, is dropped.
   for (MemberId author = 1; author <= 3; ++author) {
@@ -81,24 +92,28 @@
 TEST_CASE("no more than the configured fraction is ejected on remote evidence, whatever is claimed") {
   OutlierConsensus consensus = TenEndpoints();
   for (MemberId author = 1; author <= 9; ++author) {
-    for (int endpoint = 0; endpoint < 5; ++endpoint)
+    for (int endpoint = 0; endpoint < 5; ++endpoint) {
       consensus.OnEvidence(kStart, FailingEvidence(author, "s" + std::to_string(endpoint), 1), Micros(0));
+    }
   }
   CHECK(consensus.EndpointsToEject(kStart).size() == 3);
   // A witness that finds more than half of them bad shows that its own link is bad.
-  for (MemberId author = 1; author <= 9; ++author)
+  for (MemberId author = 1; author <= 9; ++author) {
     consensus.OnEvidence(kStart, FailingEvidence(author, "s5", 1), Micros(0));
+  }
   CHECK(consensus.EndpointsToEject(kStart).empty());
   CHECK(consensus.Distrusted(kStart).size() == 9);
 }
 
 TEST_CASE("evidence ends with the process of its endpoint and with the incarnation of its author") {
   OutlierConsensus consensus = TenEndpoints();
-  for (MemberId author = 1; author <= 3; ++author)
+  for (MemberId author = 1; author <= 3; ++author) {
     consensus.OnEvidence(kStart, FailingEvidence(author, "s1", 1, 0), Micros(0));  // Of an earlier process.
+  }
   CHECK(consensus.EndpointsToEject(kStart).empty());
-  for (MemberId author = 1; author <= 2; ++author)
+  for (MemberId author = 1; author <= 2; ++author) {
     consensus.OnEvidence(kStart, FailingEvidence(author, "s2", 1), Micros(0));
+  }
   consensus.OnIncarnationEnded(1, Incarnation{1, 2});
   CHECK(consensus.EndpointsToEject(kStart).empty());
 }
--- a/tests/fleet/quota_leases_test.cpp
+++ b/tests/fleet/quota_leases_test.cpp
@@ -41,8 +41,9 @@
     for (std::uint32_t units = 0; units < 40; ++units) {
       for (const char* name : {"retry", "cold:s1", "cold:s2"}) {
         std::uint32_t sum = 0;
-        for (MemberId member = 0; member < fleet_size; ++member)
+        for (MemberId member = 0; member < fleet_size; ++member) {
           sum += ShareOf(name, units, member, fleet_size);
+        }
         REQUIRE(sum == units);
       }
     }
@@ -131,8 +132,9 @@
 TEST_CASE("a concurrency quota's units return when the borrower returns them, not by the lender's clock") {
   QuotaLeases lender(ThreeMembers(0), 1, kStart), borrower(ThreeMembers(1), 2, kStart);
   for (QuotaLeases* leases : {&lender, &borrower}) {
-    for (MemberId member = 0; member < 3; ++member)
+    for (MemberId member = 0; member < 3; ++member) {
       leases->OnHeldLeases(kStart, member, Incarnation{1, 1 + member}, kIncarnation, {kIncarnation, 0, {}});
+    }
   }
   CHECK(AcquireAll(borrower, kSettled, "group") == 4);
   const LeaseRequest request = RequestFor(borrower, kSettled, "group");
@@ -180,8 +182,9 @@
 
 TEST_CASE("after a statement of held leases no grant for an earlier request is accepted") {
   QuotaLeases lender(ThreeMembers(0), 1, kStart), borrower(ThreeMembers(1), 2, kStart);
-  for (MemberId member = 0; member < 3; ++member)
+  for (MemberId member = 0; member < 3; ++member) {
     lender.OnHeldLeases(kStart, member, Incarnation{1, 1 + member}, kIncarnation, {kIncarnation, 0, {}});
+  }
   AcquireAll(borrower, kSettled, "group");
   const LeaseRequest request = RequestFor(borrower, kSettled, "group");
   borrower.OnRequestSent(kSettled, 0, request);
--- a/tests/fleet/status_golden_test.cpp
+++ b/tests/fleet/status_golden_test.cpp
@@ -59,8 +59,8 @@
     DeliverAll();
     Stop(member);
   }
-  void Receive(MemberId to, const Datagram& datagram) {
-    At(to).OnDatagram(now_, datagram, out_);
+  void Receive(MemberId receiver, const Datagram& datagram) {
+    At(receiver).OnDatagram(now_, datagram, out_);
     DeliverAll();
   }
   void Acquire(MemberId member, const std::string& quota, int times) {
