--- a/tests/proxy/loopback_fixture.h
+++ b/tests/proxy/loopback_fixture.h
@@ -20,7 +20,7 @@
 //   s-1 down | full | load X            refuses connections; lets them wait unanswered; the load it reports
 //   discovery send JSON | close | refuse | serve    a line of the watch; ends it; answers 503; serves again
 //   discovery raw TEXT    a part of a line; \n in it is a line end
-//   discovery mute | plain TEXT         accepts calls, answers nothing; sends TEXT as it is, but for \r and \n
+//   discovery mute | plain TEXT         accepts calls, answers nothing; sends TEXT, with \r and \n replaced
 //   discovery watches N | asked TEXT | expect-end   of the watches open there; likewise for discovery2
 //   reload discovery2     applies a configuration that names it
 //   wait MS | drain | stopped           drain: the graceful shutdown of SIGTERM
