--- a/tests/ledger/golden_test.cpp
+++ b/tests/ledger/golden_test.cpp
@@ -12,27 +12,13 @@
 
 #include "ledger/io/export_file.h"
 #include "ledger/io/store.h"
+#include "ledger/temporary_folder.h"
 
 namespace stoatrun::ledger {
 namespace {
 
 constexpr std::int64_t kHour = 1'800'000'000;
 
-class Folder {
- public:
-  Folder() {
-    std::string name = std::filesystem::temp_directory_path() / "stoatrun-XXXXXX";
-    path_ = mkdtemp(name.data());
-  }
-  ~Folder() { std::filesystem::remove_all(path_); }
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
-  const std::string& Path() const { return path_; }
-
- private:
-  std::string path_;
-};
-
 Posting MakePosting(std::uint64_t number, std::int64_t start_s, std::int64_t use_us, bool period_ended) {
   Posting posting;
   posting.number = number;
@@ -47,7 +33,7 @@
   return posting;
 }
 
-std::string ExportOf(Store& store, const Folder& folder) {
+std::string ExportOf(Store& store, const TemporaryFolder& folder) {
   const std::string path = folder.Path() + "/export.jsonl";
   WriteExport(store, 1, path);
   std::ifstream input(path, std::ios::binary);
@@ -57,7 +43,7 @@
 // Closed periods, a step of the clock, supplements, corrections, usage that was dropped, a crash, an open
 // period.
 TEST_CASE("every kind of record is exported as in the golden file") {
-  const Folder folder;
+  const TemporaryFolder folder;
   const StoreSetup setup{folder.Path(), "n0", "b0", nullptr, true, 5000};
   {
     Store store(setup);
@@ -91,7 +77,7 @@
 }
 
 TEST_CASE("unbalanced sums are exported as in the golden file") {
-  const Folder folder;
+  const TemporaryFolder folder;
   Store store({folder.Path(), "n1", "b1", nullptr, true, 250});
   store.BeginRun(kHour * 1'000'000, kHour);
   Posting one = MakePosting(1, kHour, 5'000'000, true);
--- a/tests/ledger/recorder_fixture.cpp
+++ b/tests/ledger/recorder_fixture.cpp
@@ -20,22 +20,17 @@
 RecorderFixture::RecorderFixture(InMemoryDisk* disk, std::string relay, const Receiver* receiver)
     : disk_(disk), relay_(std::move(relay)), receiver_(receiver) {
   SetLogLevel(static_cast<Level>(4));  // Above all levels: the tests provoke errors.
-  std::string name = std::filesystem::temp_directory_path() / "stoatrun-XXXXXX";
-  folder_ = mkdtemp(name.data());
   Start();
 }
 
-RecorderFixture::~RecorderFixture() {
-  Kill();
-  std::filesystem::remove_all(folder_);
-}
+RecorderFixture::~RecorderFixture() { Kill(); }
 
 void RecorderFixture::Start() {
   loop.emplace(Clock::Mode::kManual);
   loop->clock.Advance(monotonic);
   UsageRecorderSetup setup;
   setup.accounts = {seconds(60), {{"wetland", 1000}}, {"feed"}, 8};
-  setup.store = {folder_, relay_, "book", disk_ != nullptr ? disk_->Vfs() : nullptr, true, 1000};
+  setup.store = {folder_.Path(), relay_, "book", disk_ != nullptr ? disk_->Vfs() : nullptr, true, 1000};
   setup.checkpoint = seconds(1);
   setup.max_backlog_cells = max_backlog_cells;
   recorder.emplace(*loop, setup, [this] { return kWallStart + monotonic + wall_offset; });
@@ -84,7 +79,7 @@
 }
 
 Store RecorderFixture::Reader() {
-  return Store({folder_, "", "", disk_ != nullptr ? disk_->Vfs() : nullptr, false, 0});
+  return Store({folder_.Path(), "", "", disk_ != nullptr ? disk_->Vfs() : nullptr, false, 0});
 }
 
 RecorderFixture::Totals RecorderFixture::ReadTotals() {
--- a/tests/ledger/recorder_fixture.h
+++ b/tests/ledger/recorder_fixture.h
@@ -10,6 +10,7 @@
 
 #include "ledger/io/export_client.h"
 #include "ledger/io/usage_recorder.h"
+#include "ledger/temporary_folder.h"
 #include "standin/in_memory_disk.h"
 #include "standin/receiver.h"
 
@@ -47,7 +48,7 @@
     int unattested = 0, clock_steps = 0;  // Records; unrecorded usage is not counted as unattested.
   };
   Totals ReadTotals();
-  const std::string& Folder() const { return folder_; }
+  const std::string& Folder() const { return folder_.Path(); }
 
   Micros monotonic{0}, wall_offset{0};
   std::size_t max_backlog_cells = 1000;
@@ -59,7 +60,7 @@
   standin::InMemoryDisk* disk_;
   const std::string relay_;
   const standin::Receiver* receiver_;
-  std::string folder_;
+  const TemporaryFolder folder_;
 };
 
 }  // namespace stoatrun::ledger
--- a/tests/ledger/store_test.cpp
+++ b/tests/ledger/store_test.cpp
@@ -12,6 +12,7 @@
 #include <optional>
 
 #include "ledger/io/checked_vfs.h"
+#include "ledger/temporary_folder.h"
 #include "standin/in_memory_disk.h"
 
 namespace stoatrun::ledger {
@@ -21,23 +22,7 @@
 
 constexpr std::int64_t kHour = 1'800'000'000;
 
-// A folder of its own for the lock file and, where no InMemoryDisk is used, the database.
-class Folder {
- public:
-  Folder() {
-    std::string name = std::filesystem::temp_directory_path() / "stoatrun-XXXXXX";
-    path_ = mkdtemp(name.data());
-  }
-  ~Folder() { std::filesystem::remove_all(path_); }
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
-  const std::string& Path() const { return path_; }
-
- private:
-  std::string path_;
-};
-
-StoreSetup MakeSetup(const Folder& folder, const char* vfs = nullptr) {
+StoreSetup MakeSetup(const TemporaryFolder& folder, const char* vfs = nullptr) {
   return {folder.Path(), "n0", "b0", vfs, true, 5000};
 }
 
@@ -70,7 +55,7 @@
 
 // A run of a relay in steps, each of which may be cut off anywhere.
 struct Scenario {
-  const Folder& folder;
+  const TemporaryFolder& folder;
   InMemoryDisk& disk;
   std::optional<Store> store;
   std::int64_t applied_us = 0, pending_us = 0;  // Applied for sure; perhaps applied.
@@ -114,7 +99,7 @@
   std::int64_t applied_us = 0;
 };
 
-Baseline MeasureBaseline(const Folder& folder, const std::string& disk_name) {
+Baseline MeasureBaseline(const TemporaryFolder& folder, const std::string& disk_name) {
   InMemoryDisk disk(disk_name);
   Scenario scenario{folder, disk, {}};
   scenario.Run();
@@ -158,7 +143,7 @@
 }
 
 TEST_CASE("after a power loss at any call each posting is applied completely or not at all") {
-  const Folder folder;
+  const TemporaryFolder folder;
   const int calls = MeasureBaseline(folder, "count").calls;
   REQUIRE(calls > 100);
   for (int n = 1; n <= calls; ++n) {
@@ -211,7 +196,7 @@
 }
 
 TEST_CASE("an error at any call is reported, and a retried posting is applied once") {
-  const Folder folder;
+  const TemporaryFolder folder;
   const Baseline baseline = MeasureBaseline(folder, "errors");
   for (int n = 1; n <= baseline.calls; ++n) {
     for (const int code : {SQLITE_FULL, SQLITE_IOERR_WRITE, SQLITE_IOERR_FSYNC}) {
@@ -226,7 +211,7 @@
 }
 
 TEST_CASE("a flipped bit in any byte of the file is detected") {
-  const Folder folder;
+  const TemporaryFolder folder;
   const std::string path = Store::DatabasePath(folder.Path());
   {
     Store store(MakeSetup(folder));
@@ -263,7 +248,7 @@
 }
 
 TEST_CASE("unusable folders are rejected with the reason") {
-  const Folder folder;
+  const TemporaryFolder folder;
   const auto fault = [](const StoreSetup& setup) -> std::optional<StoreErrorCode> {
     try {
       const Store store(setup);
@@ -290,14 +275,14 @@
   CHECK(fault(setup) == StoreErrorCode::kNewerSchema);
   setup.folder = "/nonexistent";
   CHECK(fault(setup) == StoreErrorCode::kReadOnly);
-  const Folder fresh;
+  const TemporaryFolder fresh;
   CHECK(fault({fresh.Path(), "", "", nullptr, false, 0}) ==
         StoreErrorCode::kReadOnly);  // Nothing to read there.
 }
 
 // The ledger of an earlier release: its schema was 1, without the count of connections begun.
 TEST_CASE("an older schema is migrated and keeps its data") {
-  const Folder folder;
+  const TemporaryFolder folder;
   {
     Store store(MakeSetup(folder));
     store.BeginRun(kHour * 1'000'000, kHour);
@@ -316,7 +301,7 @@
 }
 
 TEST_CASE("corrections are records of their own and rejected where there is nothing to correct") {
-  const Folder folder;
+  const TemporaryFolder folder;
   Store store(MakeSetup(folder));
   store.BeginRun(kHour * 1'000'000, kHour);
   store.Apply(MakePosting(1, kHour, 1'000'000, true), {});
--- /dev/null
+++ b/tests/ledger/temporary_folder.h
@@ -0,0 +1,28 @@
+// A folder of its own for a test, removed with all that it holds.
+#ifndef STOATRUN_TESTS_LEDGER_TEMPORARY_FOLDER_H_
+#define STOATRUN_TESTS_LEDGER_TEMPORARY_FOLDER_H_
+
+#include <cstdlib>
+#include <filesystem>
+#include <string>
+
+namespace stoatrun::ledger {
+
+class TemporaryFolder {
+ public:
+  TemporaryFolder() {
+    std::string name = std::filesystem::temp_directory_path() / "stoatrun-XXXXXX";
+    path_ = mkdtemp(name.data());
+  }
+  ~TemporaryFolder() { std::filesystem::remove_all(path_); }
+  TemporaryFolder(const TemporaryFolder&) = delete;
+  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
+  const std::string& Path() const { return path_; }
+
+ private:
+  std::string path_;
+};
+
+}  // namespace stoatrun::ledger
+
+#endif  // STOATRUN_TESTS_LEDGER_TEMPORARY_FOLDER_H_
