--- a/src/proxy/balancer_driver.cpp
+++ b/src/proxy/balancer_driver.cpp
@@ -37,8 +37,8 @@
 
 void BalancerDriver::HandleEvent(balancer::Event event) {
   events_.push_back(std::move(event));
-  if (handling_) return;
-  handling_ = true;
+  if (is_handling_) return;
+  is_handling_ = true;
   while (!events_.empty()) {
     const balancer::Event next = std::move(events_.front());
     events_.pop_front();
@@ -46,7 +46,7 @@
     balancer_.Handle(loop_.Now(), next, actions_);
     for (const balancer::Action& action : actions_) std::visit(ActionVisitor{*this}, action);
   }
-  handling_ = false;
+  is_handling_ = false;
 }
 
 void BalancerDriver::StartTimer(Micros delay) { timers_.Add(*this).timer.Set(loop_.Now() + delay); }
--- a/src/proxy/balancer_driver.h
+++ b/src/proxy/balancer_driver.h
@@ -14,40 +14,40 @@
 
 namespace stoatrun {
 
-// Executes the balancer's actions. Each may call BalancerDriver::HandleEvent. An action for a session that
-// has ended, or is past the state that the action is for, has no effect.
+// Executes the balancer's actions. Each method may call BalancerDriver::HandleEvent. An action has no effect
+// on a session that has ended or that is no longer in the state to which the action applies.
 class ActionHandler {
  public:
   virtual ~ActionHandler() = default;
-  // Sends the session's request to `endpoint`, which has `timeout` to accept it.
+  // Sends the session's request to `endpoint`, which must accept it within `timeout`.
   virtual void OpenAttempt(SlotId session, EndpointIndex endpoint, Micros timeout) = 0;
-  // Cancels the session's attempt if it is the one with this number, counted from 0.
+  // Cancels the session's current attempt if its number, counted from 0, is `attempt_number`.
   virtual void CancelAttempt(SlotId session, std::uint32_t attempt_number) = 0;
-  // Rejects the request; the client is to retry after `retry_after` if that is positive.
+  // Rejects the request. A positive `retry_after` tells the client when to retry.
   virtual void Reject(SlotId session, Micros retry_after) = 0;
   // Answers the request with an error.
   virtual void Fail(SlotId session) = 0;
-  // Tells the client of an established session to reconnect, and ends the session.
+  // Tells the client of an established session to reconnect and ends the session.
   virtual void Migrate(SlotId session) = 0;
-  // Asks `endpoint` for its load report.
+  // Requests the load report of `endpoint`.
   virtual void Probe(EndpointIndex endpoint) = 0;
-  // Watches the endpoint list at discovery.
+  // Starts the watch on discovery's endpoint list.
   virtual void WatchEndpoints() = 0;
 };
 
 // Owns the balancer. Used by the event loop's thread only.
 //
-// HandleEvent may be called from within an action: the event is queued until all actions of the present event
-// are executed. So events are handled in the order in which they happened, and no action overtakes another.
-// An outermost call returns when the queue is empty. Any session may have been erased by then.
+// HandleEvent may be called from within an action: the event is queued until all actions of the current event
+// have been executed. This preserves the order of events and of actions. The outermost call returns when the
+// queue is empty; any session may have been erased by then.
 class BalancerDriver {
  public:
   // `loop` and `handler` must outlive the object.
   BalancerDriver(EventLoop& loop, const balancer::Settings& settings, ActionHandler& handler);
 
-  // Passes `event` to the balancer and executes the actions that follow.
+  // Passes `event` to the balancer and executes the resulting actions.
   void HandleEvent(balancer::Event event);
-  // The number of endpoints that the balancer has ejected now.
+  // The number of endpoints that are currently ejected.
   std::size_t EjectedCount() const { return balancer_.EjectedCount(loop_.Now()); }
 
  private:
@@ -69,7 +69,7 @@
   SlotMap<BalancerTimer> timers_;
   std::deque<balancer::Event> events_;
   std::vector<balancer::Action> actions_;
-  bool handling_ = false;
+  bool is_handling_ = false;
 };
 
 }  // namespace stoatrun
--- a/src/proxy/balancer_mapping.cpp
+++ b/src/proxy/balancer_mapping.cpp
@@ -34,7 +34,7 @@
   return balancer::Outcome::kUnknown;
 }
 
-// nullopt: `text` has no metrics.
+// Returns nullopt if `text` contains no metrics.
 std::optional<balancer::LoadReport> ToLoadReport(std::string_view text) {
   std::optional<balancer::LoadReport> report;
   ForEachMetric(text, [&](std::string_view name, double value) {
@@ -44,7 +44,7 @@
   return report;
 }
 
-balancer::RequestArrived ToArrival(SlotId session, const ConnectRequest& request) {
+balancer::RequestArrived MakeRequestArrived(SlotId session, const ConnectRequest& request) {
   balancer::RequestArrived event;
   event.id = ToRequestId(session);
   event.class_id = balancer::ClassId(static_cast<std::uint32_t>(request.class_index));
@@ -85,11 +85,11 @@
 EndpointIndex ToEndpointIndex(balancer::EndpointId id) { return static_cast<EndpointIndex>(id); }
 
 balancer::Event ToRequestArrived(SlotId session, const ConnectRequest& request) {
-  return ToArrival(session, request);
+  return MakeRequestArrived(session, request);
 }
 
 balancer::Event ToConnectionResumed(SlotId session, const ConnectRequest& request, EndpointIndex endpoint) {
-  return balancer::ConnectionResumed{ToArrival(session, request), ToEndpointId(endpoint)};
+  return balancer::ConnectionResumed{MakeRequestArrived(session, request), ToEndpointId(endpoint)};
 }
 
 balancer::Event ToAttemptEstablished(SlotId session, EndpointIndex endpoint) {
--- a/src/proxy/endpoint_table.cpp
+++ b/src/proxy/endpoint_table.cpp
@@ -5,17 +5,17 @@
 namespace stoatrun {
 
 void EndpointTable::Apply(const EndpointUpdate& update) {
-  std::vector<bool> named(entries_.size() + update.entries.size());
+  std::vector<bool> included(entries_.size() + update.entries.size());
   for (const Endpoint& endpoint : update.entries) {
     const EndpointIndex index = FindOrAdd(endpoint.id);
-    named[index] = true;
+    included[index] = true;
     Entry& entry = entries_[index];
     if (const auto address = Address::Parse(endpoint.address)) entry.address = address;
     entry.state = endpoint.state;
   }
   if (!update.complete) return;
   for (std::size_t k = 0; k < entries_.size(); ++k) {
-    if (!named[k]) entries_[k].state = EndpointState::kGone;
+    if (!included[k]) entries_[k].state = EndpointState::kGone;
   }
 }
 
--- a/src/proxy/endpoint_table.h
+++ b/src/proxy/endpoint_table.h
@@ -1,5 +1,5 @@
-// The endpoints that the proxy has heard of, each under an index that never changes. Used by the event loop's
-// thread only.
+// The table of all endpoints that the proxy has been told of, each with an index that never changes. Used by
+// the event loop's thread only.
 #ifndef STOATRUN_PROXY_ENDPOINT_TABLE_H_
 #define STOATRUN_PROXY_ENDPOINT_TABLE_H_
 
@@ -15,32 +15,32 @@
 
 namespace stoatrun {
 
-// Names an endpoint within this process; the balancer's name of it, too.
+// Identifies an endpoint within this process. Also the balancer's id of the endpoint.
 using EndpointIndex = std::uint32_t;
 
-// Maps endpoint ids to indexes, addresses and states. Endpoints are never removed, for the balancer may still
-// name one that is no longer listed.
+// Maps endpoint ids to indexes, addresses and states. Endpoints are never removed, because the balancer
+// may still refer to one that is no longer listed.
 class EndpointTable {
  public:
-  // One endpoint, as its last update gave it.
+  // An endpoint, according to the last update that included it.
   struct Entry {
     std::string id;
-    std::optional<Address> address;  // None until an update had a valid one.
+    std::optional<Address> address;  // nullopt until an update contains a valid one.
     EndpointState state = EndpointState::kReady;
   };
 
-  // Takes over the entries of `update`. A complete one marks all others as gone.
+  // Applies the entries of `update`. A complete update marks all other endpoints as gone.
   void Apply(const EndpointUpdate& update);
 
-  // The index of `id`; nullopt if no update has named it yet.
+  // The index of `id`; nullopt if no update has included it yet.
   std::optional<EndpointIndex> Find(const std::string& id) const;
   // The endpoint with a valid `index`.
   const Entry& Get(EndpointIndex index) const { return entries_[index]; }
   // The id of the endpoint with a valid `index`.
   const std::string& IdOf(EndpointIndex index) const { return entries_[index].id; }
-  // The number of endpoints ever heard of: all indexes are below it.
+  // The number of endpoints in the table, listed or gone. All valid indexes are below it.
   std::size_t Size() const { return entries_.size(); }
-  // The number of endpoints listed now, ready or draining.
+  // The number of endpoints that are currently listed, ready or draining.
   std::size_t ListedCount() const;
 
  private:
--- a/src/proxy/endpoint_updater.cpp
+++ b/src/proxy/endpoint_updater.cpp
@@ -10,7 +10,7 @@
       upstream_(upstream),
       fleet_(fleet),
       balancer_(balancer),
-      pushed_(site.balancer.list_mode == balancer::ListMode::kPushed),
+      lists_are_pushed_(site.balancer.list_mode == balancer::ListMode::kPushed),
       zones_(site.zone_names) {}
 
 void EndpointUpdater::Apply(const EndpointUpdate& update, EndpointSource source) {
@@ -29,8 +29,9 @@
 }
 
 void EndpointUpdater::OnWatchFailed() {
-  // A balancer that did not ask for the list is not told; discovery renews the watch in any case.
-  if (!pushed_) balancer_.HandleEvent(ToEndpointUpdateFailed());
+  // Where lists are pushed the balancer did not request the watch, so it is not notified. The discovery
+  // client renews the watch in either case.
+  if (!lists_are_pushed_) balancer_.HandleEvent(ToEndpointUpdateFailed());
 }
 
 }  // namespace stoatrun
--- a/src/proxy/endpoint_updater.h
+++ b/src/proxy/endpoint_updater.h
@@ -1,4 +1,5 @@
-// Applies updates of the endpoint list, from the configuration and from discovery, to all parts of the proxy.
+// Applies endpoint lists and updates, from the configuration and from discovery, to all components of the
+// proxy.
 #ifndef STOATRUN_PROXY_ENDPOINT_UPDATER_H_
 #define STOATRUN_PROXY_ENDPOINT_UPDATER_H_
 
@@ -19,11 +20,11 @@
 // Used by the event loop's thread only.
 class EndpointUpdater : public DiscoveryListener {
  public:
-  // All references must outlive the object, but for `site`.
+  // All references except `site` must outlive the object.
   EndpointUpdater(EventLoop& loop, const SiteSettings& site, Upstream& upstream, FleetQuotaGuard& fleet,
                   BalancerDriver& balancer);
 
-  // Applies an update: first to the endpoint table, then to the fleet, last to the balancer.
+  // Applies an update to the endpoint table, then to the fleet, and finally to the balancer.
   void Apply(const EndpointUpdate& update, EndpointSource source);
 
   void OnEndpointUpdate(const EndpointUpdate& update) override;
@@ -34,8 +35,8 @@
   Upstream& upstream_;
   FleetQuotaGuard& fleet_;
   BalancerDriver& balancer_;
-  const bool pushed_;               // Updates come without the balancer's asking for them.
-  std::vector<std::string> zones_;  // The balancer's zones, by number.
+  const bool lists_are_pushed_;     // Updates arrive without a request of the balancer.
+  std::vector<std::string> zones_;  // The names of the balancer's zones, indexed by ZoneId.
 };
 
 }  // namespace stoatrun
--- a/src/proxy/upstream.cpp
+++ b/src/proxy/upstream.cpp
@@ -13,19 +13,23 @@
 namespace stoatrun {
 namespace {
 
-constexpr Micros kProbeTimeout = std::chrono::milliseconds(300);  // A later load report misleads placement.
-// Of the endpoint's idle timeout: an idle connection is closed here before the endpoint closes it.
-constexpr double kIdleFraction = 0.8;
-// Of the grace time after a drain was announced; the rest is for a busy machine.
-constexpr double kDrainFraction = 0.6;
-// Idle connections kept for further probes: together with the few of the downstream side they stay within
-// what it reserves for others, however many endpoints are listed.
-constexpr std::size_t kMaxIdleProbes = 32;
-constexpr Micros kNextTurn = Micros(1);  // The loop's next turn.
+// A load report that takes longer than this is too old for placement.
+constexpr Micros kProbeTimeout = std::chrono::milliseconds(300);
+// Idle probe connections are closed after this fraction of the endpoint's idle timeout, before the endpoint
+// closes them.
+constexpr double kIdleTimeoutFraction = 0.8;
+// Unsent requests to a draining endpoint are cancelled after this fraction of its grace time. The rest allows
+// for scheduling delays on a busy machine.
+constexpr double kDrainGraceFraction = 0.6;
+// Limits the idle connections kept for further probes: however many endpoints are listed, these connections
+// and the few other descriptors of the process must fit into those that Downstream reserves for non-client
+// use.
+constexpr std::size_t kMaxIdleProbeConnections = 32;
+constexpr Micros kNextTurnDelay = Micros(1);  // The timer fires in the next turn of the event loop.
 constexpr std::string_view kProbeLine = "STATS\r\n";
 
-// The end of an attempt whose first answer begins with `word`.
-AttemptEnd AttemptEndFor(std::string_view word) {
+// Returns how an attempt ended whose answer begins with `word`, which is not UP.
+AttemptEnd AttemptEndForAnswer(std::string_view word) {
   if (word == "BUSY") return AttemptEnd::kRejected;
   if (word == "BYE") return AttemptEnd::kServed;
   if (word == "MOVE") return AttemptEnd::kMigrated;
@@ -52,10 +56,10 @@
     if (endpoints_.Get(endpoint).state == EndpointState::kReady) {
       has_drain_timer = false;
     } else if (!has_drain_timer) {
-      // Nothing may be sent after the grace time: an attempt that still connects would send its first byte
-      // late.
+      // Nothing may be sent after the grace time. An attempt that is still connecting could exceed it with
+      // its first byte.
       has_drain_timer = true;
-      const Micros grace = TimeFraction(timeouts_.stop_sending, kDrainFraction);
+      const Micros grace = TimeFraction(timeouts_.stop_sending, kDrainGraceFraction);
       drain_timers_.Add(*this, endpoint).timer.Set(loop_.Now() + grace);
     }
   }
@@ -63,13 +67,13 @@
 
 void Upstream::StopSending(EndpointIndex endpoint) {
   if (endpoints_.Get(endpoint).state == EndpointState::kReady) return;
-  std::vector<SlotId> unsent;
+  std::vector<SlotId> connections_to_end;
   connections_.ForEach([&](const Connection& connection) {
     if (connection.endpoint == endpoint && (!connection.sent || connection.state == State::kIdle)) {
-      unsent.push_back(connection.id);
+      connections_to_end.push_back(connection.id);
     }
   });
-  for (const SlotId id : unsent) {
+  for (const SlotId id : connections_to_end) {
     Connection* connection = connections_.Find(id);
     if (connection == nullptr) continue;
     if (connection->IsProbe()) {
@@ -87,7 +91,7 @@
   Connection& attempt = connections_.Add(*this, endpoint, Kind::kAttempt);
   attempt.owner = owner;
   attempt.request = request;
-  attempt.give_up_at = loop_.Now() + std::max(request.timeout, Micros(0));
+  attempt.deadline = loop_.Now() + std::max(request.timeout, Micros(0));
   Connect(attempt);
   return attempt.id;
 }
@@ -95,8 +99,8 @@
 void Upstream::Connect(Connection& connection) {
   const auto& address = endpoints_.Get(connection.endpoint).address;
   const bool connecting = address && connection.tcp.Connect(*address);
-  connection.timer.Set(connecting ? std::min(connection.give_up_at, loop_.Now() + timeouts_.connect)
-                                  : loop_.Now() + kNextTurn);
+  connection.timer.Set(connecting ? std::min(connection.deadline, loop_.Now() + timeouts_.connect)
+                                  : loop_.Now() + kNextTurnDelay);
 }
 
 void Upstream::Close(SlotId attempt) {
@@ -125,8 +129,8 @@
     attempt.tcp.Write({request.before_timeout, "\r\n"});
     return;
   }
-  std::array<char, 24> text{};  // Holds any 64-bit number.
-  const auto timeout_ms = std::max<Micros::rep>(1, (attempt.give_up_at - loop_.Now()).count() / 1000);
+  std::array<char, 24> text{};  // Large enough for any 64-bit number.
+  const auto timeout_ms = std::max<Micros::rep>(1, (attempt.deadline - loop_.Now()).count() / 1000);
   const char* end = std::to_chars(text.data(), text.data() + text.size(), timeout_ms).ptr;
   const std::string_view timeout(text.data(), static_cast<std::size_t>(end - text.data()));
   attempt.tcp.Write({request.before_timeout, timeout, request.after_timeout, "\r\n"});
@@ -148,8 +152,9 @@
 void Upstream::EndAttempt(Connection& attempt, AttemptEnd end, std::string_view line) {
   CountAttemptEnd(end);
   const SlotId owner = attempt.owner;
-  const std::string answer(line);  // The connection's buffer goes with it.
-  // Closed before it is reported: the owner may open the next attempt, and two must never be open.
+  const std::string answer(line);  // `line` refers to the connection's buffer, which Close frees.
+  // Closes the attempt before reporting its end: the owner may start the next attempt at once, and a session
+  // must never have two open.
   Close(attempt.id);
   events_.OnAttemptEnded(owner, end, answer);
 }
@@ -164,7 +169,7 @@
   const std::string_view line = input.substr(0, *size);
   const std::string_view word = SplitFirstWord(StripLineEnd(line)).first;
   if (word != "UP") {
-    EndAttempt(attempt, AttemptEndFor(word), line);
+    EndAttempt(attempt, AttemptEndForAnswer(word), line);
     return;
   }
   attempt.state = State::kEstablished;
@@ -178,39 +183,40 @@
 
 void Upstream::Probe(EndpointIndex endpoint) {
   ++counters_.probes;
-  const SlotId idle = std::exchange(per_endpoint_[endpoint].idle_probe, {});
+  const SlotId idle = std::exchange(per_endpoint_[endpoint].idle_probe_connection, {});
   if (Connection* probe = connections_.Find(idle)) {
     probe->state = State::kPending;
     probe->reused = true;
-    probe->give_up_at = loop_.Now() + kProbeTimeout;
-    probe->timer.Set(probe->give_up_at);
+    probe->deadline = loop_.Now() + kProbeTimeout;
+    probe->timer.Set(probe->deadline);
     probe->tcp.Write({kProbeLine});
     return;
   }
   Connection& probe = connections_.Add(*this, endpoint, Kind::kProbe);
-  probe.give_up_at = loop_.Now() + kProbeTimeout;
+  probe.deadline = loop_.Now() + kProbeTimeout;
   Connect(probe);
 }
 
-std::size_t Upstream::IdleProbeCount() const {
+std::size_t Upstream::IdleProbeConnectionCount() const {
   return static_cast<std::size_t>(std::count_if(
       per_endpoint_.begin(), per_endpoint_.end(),
-      [](const EndpointConnections& endpoint) { return static_cast<bool>(endpoint.idle_probe); }));
+      [](const EndpointConnections& endpoint) { return static_cast<bool>(endpoint.idle_probe_connection); }));
 }
 
-// Keeps the connection for the endpoint's next probe, unless there are enough.
+// Keeps the connection for the endpoint's next probe, within kMaxIdleProbeConnections.
 void Upstream::KeepOrCloseProbe(Connection& probe) {
-  SlotId& idle_probe = per_endpoint_[probe.endpoint].idle_probe;
+  SlotId& idle_probe_connection = per_endpoint_[probe.endpoint].idle_probe_connection;
   const bool keep = endpoints_.Get(probe.endpoint).state == EndpointState::kReady &&
-                    connections_.Find(idle_probe) == nullptr && IdleProbeCount() < kMaxIdleProbes;
+                    connections_.Find(idle_probe_connection) == nullptr &&
+                    IdleProbeConnectionCount() < kMaxIdleProbeConnections;
   if (!keep) {
     Close(probe.id);
     return;
   }
   probe.state = State::kIdle;
-  idle_probe = probe.id;
+  idle_probe_connection = probe.id;
   probe.tcp.Consume(probe.tcp.input().size());
-  probe.timer.Set(loop_.Now() + TimeFraction(timeouts_.idle_timeout, kIdleFraction));
+  probe.timer.Set(loop_.Now() + TimeFraction(timeouts_.idle_timeout, kIdleTimeoutFraction));
 }
 
 void Upstream::ReportProbe(EndpointIndex endpoint, bool succeeded, std::string_view report) {
@@ -220,17 +226,17 @@
 
 void Upstream::FailProbe(Connection& probe, std::string_view report) {
   const EndpointIndex endpoint = probe.endpoint;
-  const std::string answer(report);                   // The connection's buffer goes with it.
-  const bool was_idle = probe.state == State::kIdle;  // No probe waits for its answer.
-  SlotId& idle_probe = per_endpoint_[endpoint].idle_probe;
-  if (idle_probe == probe.id) idle_probe = {};
+  const std::string answer(report);  // `report` refers to the connection's buffer, which Close frees.
+  const bool was_idle = probe.state == State::kIdle;  // No probe is pending on it.
+  SlotId& idle_probe_connection = per_endpoint_[endpoint].idle_probe_connection;
+  if (idle_probe_connection == probe.id) idle_probe_connection = {};
   Close(probe.id);
   if (!was_idle) ReportProbe(endpoint, false, answer);
 }
 
 void Upstream::CompleteProbe(Connection& probe, std::string_view report) {
   const EndpointIndex endpoint = probe.endpoint;
-  const std::string answer(report);  // The connection's buffer is emptied.
+  const std::string answer(report);  // `report` refers to the connection's buffer, which is cleared.
   KeepOrCloseProbe(probe);
   ReportProbe(endpoint, true, answer);
 }
@@ -250,12 +256,13 @@
   }
 }
 
-// The endpoint closed the idle connection just as it was to be used again: that says nothing of the endpoint.
-void Upstream::RestartProbe(Connection& probe) {
-  Connection& fresh = connections_.Add(*this, probe.endpoint, Kind::kProbe);
-  fresh.give_up_at = probe.give_up_at;
+// Repeats the probe on a new connection after the endpoint closed the idle one at the moment of its reuse.
+// Such a close is no evidence that the endpoint fails.
+void Upstream::RetryProbeOnNewConnection(Connection& probe) {
+  Connection& replacement = connections_.Add(*this, probe.endpoint, Kind::kProbe);
+  replacement.deadline = probe.deadline;
   Close(probe.id);
-  Connect(fresh);
+  Connect(replacement);
 }
 
 // ---- connections ----
@@ -266,7 +273,7 @@
   if (connection->IsProbe()) {
     FailProbe(*connection, {});
   } else if (connection->state == State::kPending) {
-    // What was never written completely has never run, for whatever reason the wait ended.
+    // A request that was not written completely has not run, whatever the reason of the time-out.
     EndAttempt(*connection, connection->sent ? AttemptEnd::kTimedOut : AttemptEnd::kNotConnected, {});
   }
 }
@@ -279,7 +286,7 @@
     connection = connections_.Find(id);  // The owner may have closed it.
     if (connection == nullptr) return;
   }
-  connection->timer.Set(connection->give_up_at);
+  connection->timer.Set(connection->deadline);
   if (connection->IsProbe()) {
     connection->tcp.Write({kProbeLine});
   } else {
@@ -321,7 +328,7 @@
   const bool was_closed_idle =
       connection->reused && connection->state == State::kPending && connection->tcp.input().empty();
   if (was_closed_idle && endpoints_.Get(connection->endpoint).state == EndpointState::kReady) {
-    RestartProbe(*connection);
+    RetryProbeOnNewConnection(*connection);
   } else {
     FailProbe(*connection, {});
   }
--- a/src/proxy/upstream.h
+++ b/src/proxy/upstream.h
@@ -1,9 +1,9 @@
-// The upstream side: connections to endpoints. An attempt is a connection of its own, which carries one
-// client's request line to an endpoint and, once the endpoint has accepted it, the session's bytes. A probe
-// asks an endpoint for its load report; its connection is kept for the next probe.
+// The upstream side: connections to endpoints. Each attempt uses a new connection, which carries one client's
+// request line to an endpoint and, once the endpoint has accepted it, the session's bytes. A probe requests
+// an endpoint's load report; its connection is kept for the next probe.
 //
-// Used by the event loop's thread only. Results are reported to UpstreamEvents from the loop, never from
-// within the call that started the attempt or probe.
+// Used by the event loop's thread only. Results are reported to UpstreamEvents from the event loop, never
+// from within the call that started the attempt or probe.
 #ifndef STOATRUN_PROXY_UPSTREAM_H_
 #define STOATRUN_PROXY_UPSTREAM_H_
 
@@ -21,49 +21,50 @@
 
 namespace stoatrun {
 
-// How an attempt ended: one value for each row of the protocol's outcome table, and one for an attempt that
-// was never started because a quota of the whole fleet was exhausted. Logged by number: the order must not
-// change.
+// How an attempt ended: one value for each row of the protocol's outcome table, and kQuotaExhausted for an
+// attempt that was not started because a fleet-wide quota was exhausted. Logs contain the numeric value, so
+// the order must not change.
 enum class AttemptEnd : std::uint8_t {
   kServed,
-  kMigrated,  // The endpoint sent the client away with MOVE.
+  kMigrated,  // The endpoint answered MOVE: the client is to reconnect.
   kError,
   kRejected,
-  kNotConnected,  // Nothing has run: the request line was not written completely.
-  kBroken,
+  kNotConnected,  // The request line was not written completely, so the request has not run.
+  kBroken,        // The connection was lost after the request line was written.
   kTimedOut,
-  kAbandoned,  // By this side.
+  kAbandoned,  // Cancelled by the proxy.
   kQuotaExhausted
 };
 
-// What an attempt sends. The views must stay valid until the attempt has connected.
+// The request that an attempt sends. The views must stay valid until the attempt has connected.
 struct AttemptRequest {
-  std::string_view before_timeout, after_timeout;  // The request line around its timeout.
-  bool sends_timeout = true;                       // Whether the remaining time is written between them.
-  Micros timeout{0};                               // For the whole attempt.
+  std::string_view before_timeout, after_timeout;  // The request line before and after its timeout.
+  bool sends_timeout = true;                       // Whether the remaining time is written between the two.
+  Micros timeout{0};                               // Of the whole attempt, including its connect.
 };
 
 // Receives the results of attempts and probes. `owner` is the id that was passed to Open.
 class UpstreamEvents {
  public:
   virtual ~UpstreamEvents() = default;
-  // The connection is up and nothing is sent yet: the last moment at which the owner can close the attempt
-  // with nothing sent.
+  // The connection is established and nothing has been sent yet. This is the owner's last opportunity to
+  // close the attempt before its request is sent.
   virtual void OnAttemptConnected(SlotId /*owner*/) {}
-  // The last byte of the request line is with the socket: from here on the endpoint may run the request.
+  // The last byte of the request line was written to the socket. From now on the endpoint may run the
+  // request.
   virtual void OnAttemptSent(SlotId /*owner*/) {}
-  // The endpoint accepted the request. `line` is its answer, with line end.
+  // The endpoint accepted the request. `line` is its answer, including the line end.
   virtual void OnAttemptEstablished(SlotId owner, std::string_view line) = 0;
   // The attempt ended before it was established, and its id is no longer valid. `line` is the endpoint's
-  // answer, with line end; empty if there was none.
+  // answer, including the line end; empty if there was none.
   virtual void OnAttemptEnded(SlotId owner, AttemptEnd end, std::string_view line) = 0;
-  // An established attempt has input.
+  // An established attempt has received bytes.
   virtual void OnAttemptBytes(SlotId owner) = 0;
-  // The endpoint ended an established attempt.
+  // The endpoint closed or reset the connection of an established attempt.
   virtual void OnAttemptFinished(SlotId owner, ConnectionEnd end) = 0;
-  // All output of an established attempt is written.
+  // All queued output of an established attempt has been written.
   virtual void OnAttemptWritable(SlotId owner) = 0;
-  // A probe ended. `report`: the metrics in the endpoint's answer, if it answered in time.
+  // A probe ended. `report`: the metrics in the endpoint's answer; empty if it gave no answer.
   virtual void OnProbeCompleted(EndpointIndex endpoint, bool succeeded, std::string_view report) = 0;
 };
 
@@ -73,28 +74,28 @@
   // Time limits, in microseconds.
   struct Timeouts {
     Micros connect{250'000};
-    Micros idle_timeout{10'000'000};  // Endpoints close idle connections after it.
-    Micros stop_sending{250'000};     // After a drain was announced nothing may be sent to the endpoint.
+    Micros idle_timeout{10'000'000};  // After which endpoints close idle connections.
+    Micros stop_sending{250'000};  // Grace time of a drain, after which nothing may be sent to the endpoint.
   };
 
   // All references must outlive the object.
   Upstream(EventLoop& loop, UpstreamEvents& events, Counters& counters, const Timeouts& timeouts);
 
-  // The endpoints, as updated so far.
+  // All endpoints of the updates applied so far.
   const EndpointTable& Endpoints() const { return endpoints_; }
-  // Takes over an update of the endpoint list.
+  // Applies an update of the endpoint list.
   void ApplyUpdate(const EndpointUpdate& update);
 
   // Starts an attempt and returns its id.
   SlotId Open(SlotId owner, EndpointIndex endpoint, const AttemptRequest& request);
-  // Closes an attempt, established or not; reports nothing further of it. No effect if it has ended.
+  // Closes an attempt, established or not, and reports no further events of it. No effect if it has ended.
   void Close(SlotId attempt);
-  // Likewise, with a TCP reset.
+  // The same as Close, with a TCP reset.
   void Reset(SlotId attempt);
   // The attempt's connection; null if it has ended.
   TcpConnection* Find(SlotId attempt);
 
-  // Asks the endpoint for its load report.
+  // Requests the endpoint's load report.
   void Probe(EndpointIndex endpoint);
 
   void OnConnected(SlotId id) override;
@@ -104,14 +105,14 @@
 
  private:
   enum class Kind : std::uint8_t { kAttempt, kProbe };
-  // kPending -> kEstablished (an attempt that the endpoint accepted), or kPending <-> kIdle (a probe's
-  // connection between two probes). Any state ends with the connection.
+  // Attempts: kPending -> kEstablished when the endpoint accepts the request. Probes: kPending <-> kIdle,
+  // which is the state between two probes. The connection may end in any state.
   enum class State : std::uint8_t { kPending, kEstablished, kIdle };
   struct Connection {
-    Connection(SlotId slot, Upstream& upstream, EndpointIndex target, Kind of_kind)
+    Connection(SlotId slot, Upstream& upstream, EndpointIndex endpoint_index, Kind connection_kind)
         : id(slot),
-          endpoint(target),
-          kind(of_kind),
+          endpoint(endpoint_index),
+          kind(connection_kind),
           tcp(upstream.loop_, upstream, slot),
           timer(upstream.loop_.timers, [&upstream, slot] { upstream.OnTimeout(slot); }) {}
     bool IsProbe() const { return kind == Kind::kProbe; }
@@ -122,11 +123,11 @@
     TcpConnection tcp;
     Timer timer;
     AttemptRequest request;
-    Micros give_up_at{0};
-    bool sent = false;    // The last byte of the request line is with the socket.
-    bool reused = false;  // A probe's connection that was idle before.
+    Micros deadline{0};
+    bool sent = false;    // The whole request line, or the probe's line, was written to the socket.
+    bool reused = false;  // An idle probe connection that is used again.
   };
-  // Ends what is still unsent to a draining endpoint when its grace time is over.
+  // Runs StopSending for a draining endpoint before its grace time ends.
   struct DrainTimer {
     DrainTimer(SlotId slot, Upstream& upstream, EndpointIndex endpoint)
         : timer(upstream.loop_.timers, [&upstream, slot, endpoint] {
@@ -136,7 +137,7 @@
     Timer timer;
   };
   struct EndpointConnections {
-    SlotId idle_probe;
+    SlotId idle_probe_connection;
     bool has_drain_timer = false;
   };
 
@@ -150,11 +151,13 @@
   void CompleteProbe(Connection& probe, std::string_view report);
   void ReportProbe(EndpointIndex endpoint, bool succeeded, std::string_view report);
   void KeepOrCloseProbe(Connection& probe);
-  void RestartProbe(Connection& probe);
+  void RetryProbeOnNewConnection(Connection& probe);
   void ReadAttempt(Connection& attempt);
   void ReadProbe(Connection& probe);
+  // Ends all unsent attempts and probes to the endpoint and closes its idle probe connections, unless it is
+  // ready again.
   void StopSending(EndpointIndex endpoint);
-  std::size_t IdleProbeCount() const;
+  std::size_t IdleProbeConnectionCount() const;
 
   EventLoop& loop_;
   UpstreamEvents& events_;
--- a/tests/proxy/endpoint_update_test.cpp
+++ b/tests/proxy/endpoint_update_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint lists, the watch at discovery and reloads of the configuration, on loopback sockets.
+// Endpoint lists, the watch at discovery and configuration reloads, on loopback sockets.
 #include <catch2/catch.hpp>
 #include <string>
 
@@ -7,8 +7,8 @@
 namespace stoatrun {
 namespace {
 
-// Guards the rule of careful drains: the attempt would send its first byte when it comes up, long after the
-// grace.
+// Nothing may be sent to a draining endpoint after its grace time. Guards against an attempt that sends its
+// first byte when it connects, long after the grace time.
 TEST_CASE_METHOD(
     SingleEndpointFixture,
     "an attempt that still connects when a drain is announced is abandoned within the grace time") {
@@ -46,15 +46,16 @@
   SECTION("silent") {
     Play("discovery send {\"revision\":2,\"members\":[]}\nwait 2700\ndiscovery watches 2");
   }
-  SECTION("half a line") {
+  SECTION("incomplete line") {
     Play("discovery raw {\"revision\":9,\"complete\":true,\"mem\nwait 2700\ndiscovery watches 2");
     CHECK(Counts().watch_failures == 1);
     CHECK(Counts().endpoint_updates == 0);
   }
   SECTION("malformed") { Play("discovery send {\"revision\":}\nwait 100\ndiscovery watches 2"); }
-  SECTION("no object") { Play("discovery send 17\nwait 100\ndiscovery watches 2"); }
-  // Indented, the rest of this one may still come; what comes instead must not stand for it.
-  SECTION("cut") {
+  SECTION("not an object") { Play("discovery send 17\nwait 100\ndiscovery watches 2"); }
+  // The object may be formatted over several lines, so its rest may still arrive. The next object must not be
+  // taken for that rest.
+  SECTION("truncated object") {
     Play("discovery send {\"revision\":\ndiscovery send {\"revision\":2,\"members\":[]}\nwait 2700");
     Play("discovery watches 2");
     CHECK(Counts().endpoint_updates == 0);
@@ -62,11 +63,12 @@
   Play(kEstablishSession);
 }
 
-// The balancer asks for no pushed list, so the proxy once never held a watch: it served for the whole day by
-// the list that it was started with.
+// Guards against a proxy without a watch: the balancer does not request one where lists are pushed, and the
+// proxy then used its initial list for the whole day.
 TEST_CASE("where endpoint lists are pushed the proxy keeps the watch by itself, and renews it") {
   LoopbackFixture fixture({"s-1"}, {.fleet_size = 100, .discovery_mode = "automatic"});
-  fixture.Play("discovery watches 1\ndiscovery asked after=1 ");  // At once: the agent is this machine's own.
+  // Without delay, because the discovery agent runs on the same machine.
+  fixture.Play("discovery watches 1\ndiscovery asked after=1 ");
   SECTION("ended") { fixture.Play("discovery close\nwait 100\ndiscovery watches 2"); }
   SECTION("silent") { fixture.Play("wait 3700\ndiscovery watches 2"); }
   fixture.Play(R"(
@@ -95,7 +97,8 @@
   CHECK(Counts().attempts_not_connected <= 5);
 }
 
-// Discovery serves calls in turn: a hundred proxies that lose their watches together overran it for good.
+// Discovery serves calls one after the other: a hundred proxies that lost their watches at the same time
+// overloaded it permanently.
 TEST_CASE("one proxy of a hundred begins its watch with jitter and retries late") {
   LoopbackFixture fixture({"s-1"}, {.fleet_size = 100});
   fixture.Play("wait 4000\ndiscovery watches 1\ndiscovery refuse\ndiscovery close\nwait 1000");
@@ -104,8 +107,9 @@
   fixture.Play(kEstablishSession);
 }
 
-// The old address closes its watches soon after: to wait for that, or for a backoff grown there, would leave
-// the proxy deaf for seconds. Another service counts its own revisions, so the whole list is asked for.
+// The old discovery service closes its watches soon after a reload. Waiting for that, or for a backoff from
+// its failures, would leave the proxy without updates for seconds. Each service numbers its revisions
+// independently, so the proxy requests the whole list from the new one.
 TEST_CASE_METHOD(SingleEndpointFixture,
                  "a reload moves the watch at once and the old list stays until the new one arrives") {
   Play(R"(discovery send {"revision":41,"members":[]})");
--- a/tests/proxy/upstream_test.cpp
+++ b/tests/proxy/upstream_test.cpp
@@ -1,4 +1,4 @@
-// Attempts and probes: their ends, and answers of endpoints in pieces: docs/design/endings.md.
+// Attempts and probes: how they end, and endpoint answers that arrive in pieces. See docs/design/endings.md.
 #include "proxy/upstream.h"
 
 #include <sys/socket.h>
@@ -19,7 +19,7 @@
 namespace stoatrun {
 namespace {
 
-// Ignores everything.
+// Ignores all events.
 struct IgnoringEvents : UpstreamEvents {
   void OnAttemptEstablished(SlotId /*owner*/, std::string_view /*line*/) override {}
   void OnAttemptEnded(SlotId /*owner*/, AttemptEnd /*end*/, std::string_view /*line*/) override {}
@@ -30,19 +30,19 @@
                         std::string_view /*report*/) override {}
 };
 
-// A listening endpoint that the test accepts for.
+// A listening endpoint whose connections the test accepts.
 struct ListeningSocket {
   ListeningSocket() {
     server.Listen();
     address = "127.0.0.1:" + std::to_string(server.port);
   }
-  // Accepts a connection as a blocking socket; none if none waits.
+  // Accepts a connection as a blocking socket; returns an empty UniqueFd if none is queued.
   UniqueFd Accept() const { return UniqueFd(accept(server.listener.Get(), nullptr, nullptr)); }
   LoopbackServer server;
   std::string address;
 };
 
-// What was never written completely has never run, and may be retried whatever its class.
+// A request that was not written completely has not run and may be retried, whatever its class.
 TEST_CASE_METHOD(SingleEndpointFixture,
                  "whether a broken attempt may have run depends on the last byte of its request line") {
   Play("turns 0\na send OPEN 1 k c=watch,d=2000,at=s-1");
@@ -60,18 +60,19 @@
   }
 }
 
-// A connection that the endpoint closes as idle must not count as a failed probe of it.
+// An idle connection that the endpoint closes must not count as a failed probe of the endpoint.
 TEST_CASE_METHOD(SingleEndpointFixture,
                  "a probe on a connection that was closed at that moment is sent on a new one") {
   Play(kEstablishSession);
-  // Both are in sockets when the turn begins; the client's request is served first, and causes the probe.
+  // The close and the client's request are both readable when the turn begins. The request is handled first
+  // and causes the probe.
   Play("wait 4000\nb raw OPEN 2 k c=watch\nwait 1500\nturns 0\ns-1 idle-end\nb send ,d=2000\nturns 3");
   Play("s-1#2 expect OPEN 2 k*");
   CHECK(Counts().probes_failed == 0);
 }
 
-// A reset just before the line is written: it was once counted as sent, and a class that may not run twice
-// was not retried.
+// Guards against a request that counts as sent although its connection was reset just before the write:
+// requests of a class that must not run twice were then not retried.
 TEST_CASE("a request line whose write fails has not been sent") {
   const ListeningSocket endpoint;
   struct ResettingEvents : IgnoringEvents {
@@ -97,7 +98,8 @@
   CHECK_FALSE(events.sent);
 }
 
-// It was once sent with a timeout of a millisecond, to an endpoint that then worked for nobody.
+// Guards against sending such a request with a timeout of 1 ms: the endpoint then did work whose result
+// nobody received.
 TEST_CASE("an attempt that connects as its timeout expires sends nothing") {
   struct RecordingEvents : IgnoringEvents {
     std::optional<AttemptEnd> end;
@@ -110,7 +112,7 @@
   upstream.ApplyUpdate({1, true, {{.id = "s-1", .address = endpoint.address, .locality = ""}}});
   upstream.Open({}, 0, {"OPEN 1 k d=", "", true, Micros(100'000)});
   UniqueFd accepted;
-  while (!accepted) accepted = endpoint.Accept();  // Connected, and not reported yet.
+  while (!accepted) accepted = endpoint.Accept();  // Connected, but OnConnected has not run yet.
   loop.clock.Advance(std::chrono::milliseconds(100));
   for (int k = 0; k < 3; ++k) loop.Poll();
   CHECK(events.end == AttemptEnd::kNotConnected);
@@ -118,7 +120,7 @@
   CHECK(recv(accepted.Get(), received.data(), received.size(), 0) <= 0);
 }
 
-// Answers the probe on a connection, if one came. False: the peer has closed it.
+// Answers a probe that has arrived on the connection, if any. Returns false if the peer has closed it.
 bool ServeProbe(const UniqueFd& connection) {
   std::array<char, 64> received{};
   const ssize_t n = recv(connection.Get(), received.data(), received.size(), 0);
@@ -126,7 +128,8 @@
   return n != 0;
 }
 
-// One idle connection for each of ninety endpoints would use up the descriptors that clients need.
+// Without a bound, one idle connection for each of 90 endpoints would use up the descriptors needed by
+// clients.
 TEST_CASE("the number of idle probe connections is bounded, however many endpoints there are") {
   constexpr unsigned kEndpoints = 90, kRounds = 3;
   struct CountingEvents : IgnoringEvents {
@@ -153,38 +156,38 @@
       std::erase_if(connections, [](const UniqueFd& connection) { return !ServeProbe(connection); });
     }
   }
-  // The end of the last one may still be under way.
+  // The proxy keeps 32 connections; the close of one more may not have arrived yet.
   CHECK((connections.size() >= 16 && connections.size() <= 33));
   CHECK(counters.probes_failed == 0);
 }
 
-struct FirstWord {
+struct FirstLine {
   std::string line;
-  std::string expect;  // By the client, once the line is complete; empty: another attempt follows.
+  std::string client_line;  // Received by the client; empty: another attempt follows.
 };
 
 TEST_CASE("an endpoint's first line means the same however it is split, and nothing before its end") {
-  const FirstWord word = GENERATE(FirstWord{"UP r1", "UP r1"}, FirstWord{"BYE inflight=7,x0=0.2", "BYE*"},
-                                  FirstWord{"MOVE", ""}, FirstWord{"ERR", ""}, FirstWord{"BUSY x0=0.9", ""});
+  const FirstLine first = GENERATE(FirstLine{"UP r1", "UP r1"}, FirstLine{"BYE inflight=7,x0=0.2", "BYE*"},
+                                   FirstLine{"MOVE", ""}, FirstLine{"ERR", ""}, FirstLine{"BUSY x0=0.9", ""});
   const std::string end = GENERATE("in pieces", "close", "reset");
-  for (std::size_t cut = 0; cut <= word.line.size(); ++cut) {
-    if (word.line[cut] == ' ') continue;  // No argument of a step begins with a blank.
-    INFO(word.line << " cut at " << cut << ", " << end);
+  for (std::size_t cut = 0; cut <= first.line.size(); ++cut) {
+    if (first.line[cut] == ' ') continue;  // A step's argument cannot begin with a space.
+    INFO(first.line << " cut at " << cut << ", " << end);
     LoopbackFixture fixture({"s-1"});
-    fixture.Play("a send OPEN 1 k c=watch,d=2000\ns-1 expect OPEN 1 k*\ns-1 raw " + word.line.substr(0, cut) +
-                 "\nwait 20");
+    fixture.Play("a send OPEN 1 k c=watch,d=2000\ns-1 expect OPEN 1 k*\ns-1 raw " +
+                 first.line.substr(0, cut) + "\nwait 20");
     CHECK(fixture.ProxyUnderTest().SessionCount() == 1);
     if (end == "in pieces") {
-      fixture.Play("s-1 send " + word.line.substr(cut));
-      if (!word.expect.empty()) {
-        fixture.Play("a expect " + word.expect);
+      fixture.Play("s-1 send " + first.line.substr(cut));
+      if (!first.client_line.empty()) {
+        fixture.Play("a expect " + first.client_line);
         continue;
       }
     } else {
       fixture.Play("s-1 " + end);
-      CHECK(fixture.Counts().attempts_connection_lost == 1);  // It may have run.
+      CHECK(fixture.Counts().attempts_connection_lost == 1);  // The request may have run.
     }
-    // What a failed attempt sends later is discarded; the client's answer is that of the next.
+    // Later lines of a failed attempt are discarded; the client receives the answer of the next attempt.
     if (end == "in pieces") fixture.Play("wait 5\ns-1 send UP late");
     fixture.Play("wait 1000\ns-1#2 expect OPEN 1 k*\ns-1#2 send UP r2\na expect UP r2");
   }
