--- a/src/proxy/drain_schedule.cpp
+++ b/src/proxy/drain_schedule.cpp
@@ -15,19 +15,19 @@
 
 Step Schedule::Advance(Micros now, std::size_t established) {
   if (!draining_) return {};
-  const Micros begin = draining_since_ + timing_.migrate_after;
+  const Micros begin = draining_since_ + timing_.migration_delay;
   if (now < begin) return {0, begin};
-  const Micros end = begin + timing_.spread;
-  if (now >= end) return {established, now + timing_.step};
-  return {EvenShare(established, end - now, timing_.step, carry_), now + timing_.step};
+  const Micros end = begin + timing_.migration_duration;
+  if (now >= end) return {established, now + timing_.step_interval};
+  return {EvenShare(established, end - now, timing_.step_interval, carry_), now + timing_.step_interval};
 }
 
-std::size_t EvenShare(std::size_t count, Micros remaining, Micros step, double& carry) {
-  if (remaining <= step) {
+std::size_t EvenShare(std::size_t count, Micros remaining, Micros step_interval, double& carry) {
+  if (remaining <= step_interval) {
     carry = 0;
     return count;
   }
-  const double steps = static_cast<double>(remaining.count()) / static_cast<double>(step.count());
+  const double steps = static_cast<double>(remaining.count()) / static_cast<double>(step_interval.count());
   carry += static_cast<double>(count) / steps;
   const auto share = std::min(count, static_cast<std::size_t>(carry));
   carry -= static_cast<double>(share);
--- a/src/proxy/graceful_shutdown.cpp
+++ b/src/proxy/graceful_shutdown.cpp
@@ -12,27 +12,28 @@
 
 using std::chrono::milliseconds;
 
-// The front load balancer sends clients for another 0.2 to 0.4 s.
-constexpr Micros kAcceptFor = milliseconds(500);
+// After the shutdown begins the front load balancer still sends clients for 0.2 to 0.4 s.
+constexpr Micros kAcceptDuration = milliseconds(500);
 constexpr Micros kStepInterval = milliseconds(50);
-// SIGKILL comes 0.7 s after the longest deadline, which is taken as 3 s where it is longer: the process ends
-// 0.2 s before that.
-constexpr Micros kAfterDeadline = milliseconds(500);
-constexpr Micros kMaxDeadline = std::chrono::seconds(3);
-// Sessions are migrated late, for until then they are served and another proxy may itself be restarting; and
-// not all at once.
-constexpr Micros kMigrateFor = milliseconds(1600);
-// All are migrated so long before the end: clients have yet to receive their MOVE.
-constexpr Micros kMigratedBeforeEnd = milliseconds(400);
-// Likewise what is still pending is answered: the reset at the process's end would overtake the answer.
-constexpr Micros kAnsweredBeforeEnd = milliseconds(250);
+// The platform sends SIGKILL 0.7 s after the longest request deadline, of which at most 3 s count. The
+// shutdown ends 0.2 s before SIGKILL.
+constexpr Micros kEndAfterDeadline = milliseconds(500);
+constexpr Micros kMaxCountedDeadline = std::chrono::seconds(3);
+// Sessions are migrated as late as possible, because they are served until then and another proxy may be
+// restarting at the same time. They are spread over this time to avoid migrating all at once.
+constexpr Micros kMigrationDuration = milliseconds(1600);
+// The last session is migrated this long before the end, so that its client still receives MOVE.
+constexpr Micros kMigrationEndMargin = milliseconds(400);
+// Pending requests are answered this long before the end: the TCP reset at process exit could otherwise
+// overtake the answer.
+constexpr Micros kFinalAnswerMargin = milliseconds(250);
 
 }  // namespace
 
 GracefulShutdown::GracefulShutdown(EventLoop& loop, Micros max_deadline, SessionTable& sessions,
                                    Downstream& downstream, SessionController& controller)
     : loop_(loop),
-      longest_deadline_(max_deadline),
+      max_deadline_(max_deadline),
       sessions_(sessions),
       downstream_(downstream),
       controller_(controller),
@@ -41,32 +42,33 @@
 bool GracefulShutdown::Begin() {
   if (phase_ != Phase::kServing) return false;
   phase_ = Phase::kAccepting;
-  began_at_ = loop_.Now();
+  started_at_ = loop_.Now();
   LogLine(Level::kInfo, "draining").Field("requests", sessions_.Size());
-  timer_.Set(began_at_);
+  timer_.Set(started_at_);
   return true;
 }
 
-Micros GracefulShutdown::EndsAt() const {
-  return began_at_ + std::min(longest_deadline_, kMaxDeadline) + kAfterDeadline;
+Micros GracefulShutdown::EndTime() const {
+  return started_at_ + std::min(max_deadline_, kMaxCountedDeadline) + kEndAfterDeadline;
 }
 
 void GracefulShutdown::Step() {
-  const bool accepted_long_enough = downstream_.IsInherited() || loop_.Now() >= began_at_ + kAcceptFor;
-  if (phase_ == Phase::kAccepting && accepted_long_enough) {
+  const bool accept_phase_is_over = downstream_.IsInherited() || loop_.Now() >= started_at_ + kAcceptDuration;
+  if (phase_ == Phase::kAccepting && accept_phase_is_over) {
     downstream_.StopListening();
     phase_ = Phase::kMigrating;
   }
-  const bool ending = loop_.Now() >= std::max(EndsAt() - kAnsweredBeforeEnd, began_at_ + kAcceptFor);
+  const bool is_ending =
+      loop_.Now() >= std::max(EndTime() - kFinalAnswerMargin, started_at_ + kAcceptDuration);
   const std::vector<SlotId> pending = sessions_.PendingIds();
-  if (phase_ == Phase::kMigrating) MigrateStep(EndsAt() - kMigratedBeforeEnd - loop_.Now());
-  if (ending) {  // What is unanswered now would be lost with the process.
+  if (phase_ == Phase::kMigrating) MigrateStep(EndTime() - kMigrationEndMargin - loop_.Now());
+  if (is_ending) {  // Requests that are not answered now would get no answer before the process exits.
     for (const SlotId session : pending) controller_.Fail(session);
   }
-  downstream_.EndIdle(!ending && sessions_.Size() > 0);
-  const bool all_ended =
+  downstream_.EndIdle(!is_ending && sessions_.Size() > 0);
+  const bool all_clients_ended =
       phase_ == Phase::kMigrating && sessions_.Size() == 0 && !downstream_.HasPendingClients();
-  if (all_ended || loop_.Now() >= EndsAt()) {
+  if (all_clients_ended || loop_.Now() >= EndTime()) {
     LogLine(Level::kInfo, "drained,").Field("left", sessions_.Size());
     loop_.Stop();
     return;
@@ -77,10 +79,12 @@
 void GracefulShutdown::MigrateStep(Micros remaining) {
   const std::size_t established = sessions_.EstablishedCount();
   if (downstream_.IsInherited()) {
-    // The next process serves already, and migrated clients find it at once. They are migrated evenly from
-    // the start, so that it learns of the endpoints from the first of them before the rest come.
+    // The next process is already serving, so migrated clients reach it at once. They are migrated evenly
+    // from the start: the first ones show it the state of the endpoints before the rest arrive.
     controller_.MigrateIdle(drain::EvenShare(established, remaining, kStepInterval, migration_carry_));
-  } else if (remaining <= kMigrateFor) {  // An even share of what remains a step, all by the time.
+  } else if (remaining <= kMigrationDuration) {
+    // Each step migrates an equal share of the remaining sessions, so that the last step migrates the last
+    // ones.
     const auto steps = static_cast<std::size_t>(std::max<Micros::rep>(1, remaining / kStepInterval));
     controller_.MigrateIdle((established + steps - 1) / steps);
   }
--- a/src/proxy/graceful_shutdown.h
+++ b/src/proxy/graceful_shutdown.h
@@ -1,5 +1,5 @@
-// The graceful shutdown of the process: still accepts clients for a moment, then migrates all established
-// sessions, answers what is pending and stops the event loop.
+// The graceful shutdown of the process: continues to accept clients for a short time, then migrates all
+// established sessions, answers pending requests and stops the event loop.
 #ifndef STOATRUN_PROXY_GRACEFUL_SHUTDOWN_H_
 #define STOATRUN_PROXY_GRACEFUL_SHUTDOWN_H_
 
@@ -15,23 +15,23 @@
 
 // The phases and all transitions between them:
 //
-//   kServing ---Begin---> kAccepting ---kAcceptFor---> kMigrating ---all ended, or time over---> loop stopped
+//   kServing ---Begin---> kAccepting ---kAcceptDuration---> kMigrating ---all ended or timeout---> stopped
 //
-// kAccepting: clients that the front load balancer still sends are served. kMigrating: the listening socket
-// is closed and established sessions are migrated. An inherited listening socket ends kAccepting at once, for
-// its queue is left to the next process.
+// kAccepting: serves the clients that the front load balancer still sends. kMigrating: the listening socket
+// is closed and established sessions are migrated. With an inherited listening socket kAccepting ends at
+// once, because the next process accepts the clients in its queue.
 //
 // Used by the event loop's thread only.
 class GracefulShutdown {
  public:
-  // `max_deadline`: of any client's request; the shutdown may take a little longer. All references must
-  // outlive the object.
+  // `max_deadline`: the longest deadline of any client request. The shutdown may take slightly longer. All
+  // references must outlive the object.
   GracefulShutdown(EventLoop& loop, Micros max_deadline, SessionTable& sessions, Downstream& downstream,
                    SessionController& controller);
 
-  // Begins the shutdown, at the loop's next turn. False: it had begun before.
+  // Begins the shutdown, in the next turn of the event loop. False: it has already begun.
   bool Begin();
-  // Whether it has not begun.
+  // Whether the shutdown has not begun.
   bool IsServing() const { return phase_ == Phase::kServing; }
 
  private:
@@ -39,16 +39,16 @@
 
   void Step();
   void MigrateStep(Micros remaining);
-  Micros EndsAt() const;
+  Micros EndTime() const;
 
   EventLoop& loop_;
-  const Micros longest_deadline_;
+  const Micros max_deadline_;
   SessionTable& sessions_;
   Downstream& downstream_;
   SessionController& controller_;
   Phase phase_ = Phase::kServing;
-  Micros began_at_{0};
-  double migration_carry_ = 0;  // The fraction of a migration due in the next step: see drain::EvenShare.
+  Micros started_at_{0};
+  double migration_carry_ = 0;  // Part of a migration carried over to the next step: see drain::EvenShare.
   Timer timer_;
 };
 
--- a/src/proxy/operator_drain.cpp
+++ b/src/proxy/operator_drain.cpp
@@ -19,7 +19,7 @@
 void OperatorDrain::Drain() {
   ++counters_.drain_calls;
   if (schedule_.Draining()) return;
-  LogLine(Level::kInfo, "drain called").Field("requests", sessions_.Size());
+  LogLine(Level::kInfo, "operator drain started").Field("requests", sessions_.Size());
   schedule_.Drain(loop_.Now());
   downstream_.SetHealthy(false);
   Step();
--- a/src/proxy/operator_drain.h
+++ b/src/proxy/operator_drain.h
@@ -1,5 +1,5 @@
-// The operators' drain: the front load balancer's health checks fail and the established sessions are
-// migrated within a few seconds, while clients that still come are served. The process goes on, and may be
+// The operators' drain: health checks of the front load balancer fail and established sessions are migrated
+// within a few seconds, while clients that still arrive are served. The process keeps running and can be
 // activated again.
 #ifndef STOATRUN_PROXY_OPERATOR_DRAIN_H_
 #define STOATRUN_PROXY_OPERATOR_DRAIN_H_
@@ -20,13 +20,13 @@
   OperatorDrain(EventLoop& loop, Counters& counters, SessionTable& sessions, Downstream& downstream,
                 SessionController& controller);
 
-  // Begins to drain. No effect while draining.
+  // Starts a drain. No effect while draining.
   void Drain();
-  // Ends the drain. No effect if there is none. `healthy`: whether health checks succeed from then on.
+  // Ends the drain. No effect if not draining. `healthy`: whether health checks succeed afterwards.
   void Activate(bool healthy);
-  // Migrates no further sessions: the graceful shutdown of the process does.
+  // Stops migrating sessions, which the graceful shutdown of the process then does instead.
   void StopMigrating() { timer_.Cancel(); }
-  // False while draining.
+  // Whether health checks may succeed: false while draining.
   bool Healthy() const { return schedule_.Healthy(); }
 
  private:
--- a/tests/proxy/drain_schedule_test.cpp
+++ b/tests/proxy/drain_schedule_test.cpp
@@ -1,4 +1,4 @@
-// The schedule of an operator's drain, under a clock of its own.
+// The schedule of the operators' drain, with explicit times.
 #include "proxy/drain_schedule.h"
 
 #include <catch2/catch.hpp>
@@ -11,21 +11,21 @@
 
 TEST_CASE("a drain waits, spreads its migrations evenly and migrates late connections at once") {
   using drain::Micros;
-  drain::Schedule plan;
-  CHECK(plan.Healthy());
-  CHECK(plan.Advance(Micros(5'000'000), 10).migrations == 0);
-  CHECK(plan.Advance(Micros(5'000'000), 10).next_step_at.count() == 0);
-  plan.Drain(Micros(1'000'000));
-  plan.Drain(Micros(1'300'000));  // Idempotent: the first call's schedule stays.
-  CHECK_FALSE(plan.Healthy());
-  const drain::Step waiting = plan.Advance(Micros(1'100'000), 44);
+  drain::Schedule schedule;
+  CHECK(schedule.Healthy());
+  CHECK(schedule.Advance(Micros(5'000'000), 10).migrations == 0);
+  CHECK(schedule.Advance(Micros(5'000'000), 10).next_step_at.count() == 0);
+  schedule.Drain(Micros(1'000'000));
+  schedule.Drain(Micros(1'300'000));  // No effect: the times of the first call remain valid.
+  CHECK_FALSE(schedule.Healthy());
+  const drain::Step waiting = schedule.Advance(Micros(1'100'000), 44);
   CHECK(waiting.migrations == 0);
   CHECK(waiting.next_step_at == Micros(1'400'000));
   // 2.2 s in steps of 50 ms: 44 steps with one migration each.
   std::size_t established = 44, steps = 0;
   Micros now = waiting.next_step_at;
   while (established > 0 && now < Micros(3'600'000)) {
-    const drain::Step step = plan.Advance(now, established);
+    const drain::Step step = schedule.Advance(now, established);
     CHECK(step.migrations <= 1);
     established -= step.migrations;
     steps += step.migrations > 0 ? 1 : 0;
@@ -33,7 +33,7 @@
   }
   CHECK(established == 0);
   CHECK(steps == 44);
-  CHECK(plan.Advance(Micros(3'600'000), 5).migrations == 5);
+  CHECK(schedule.Advance(Micros(3'600'000), 5).migrations == 5);
   // Few connections are spread evenly too, not migrated at the first steps.
   drain::Schedule few_connections;
   few_connections.Drain(Micros(0));
@@ -44,12 +44,13 @@
     }
   }
   REQUIRE(migrated_at.size() == 4);
-  CHECK(migrated_at.front() >= 700'000);  // A quarter of the 2.2 s after the wait, less a step or two.
+  // The delay of 0.4 s and a quarter of the 2.2 s, less a few steps.
+  CHECK(migrated_at.front() >= 700'000);
   for (std::size_t k = 1; k < migrated_at.size(); ++k) CHECK(migrated_at[k] - migrated_at[k - 1] >= 400'000);
   CHECK(migrated_at.back() < 2'600'000);
-  plan.Activate();
-  CHECK(plan.Healthy());
-  CHECK(plan.Advance(Micros(3'700'000), 5).migrations == 0);
+  schedule.Activate();
+  CHECK(schedule.Healthy());
+  CHECK(schedule.Advance(Micros(3'700'000), 5).migrations == 0);
 }
 
 TEST_CASE("a drain first migrates connections without a request in flight, the latest answered first") {
--- a/tests/proxy/graceful_shutdown_test.cpp
+++ b/tests/proxy/graceful_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// The graceful shutdown of the process: docs/design/endings.md.
+// The graceful shutdown of the process. See docs/design/endings.md.
 #include <fmt/format.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -17,12 +17,12 @@
 namespace stoatrun {
 namespace {
 
-// Closed with the process, its request would be answered by a reset.
+// If the connection stayed open until the process exits, the request would be answered by a TCP reset.
 TEST_CASE_METHOD(
     SingleEndpointFixture,
     "a request on an idle connection at the moment of the graceful shutdown is rejected in order") {
-  const std::string rests = GENERATE("a send PING\na expect PONG", "a raw OPEN 1 k", "a raw");
-  Play(rests + "\nwait 300\nturns 0\ndrain\nwait 5\nturns 3");
+  const std::string idle_client = GENERATE("a send PING\na expect PONG", "a raw OPEN 1 k", "a raw");
+  Play(idle_client + "\nwait 300\nturns 0\ndrain\nwait 5\nturns 3");
   Play("a send OPEN 1 k c=watch,d=2000\na expect BUSY\na expect-end\ns-1 legs 0\na close\nwait 510\nstopped");
 }
 
@@ -43,43 +43,44 @@
   )");
 }
 
-// One of those that rest has asked, unread as yet, and room is made for it: others that were to be ended are
-// gone.
+// Guards against using evicted clients in EndIdle: one of the idle clients has sent a request that has not
+// been read yet, and reading it evicts other idle clients that EndIdle was about to end.
 TEST_CASE("a graceful shutdown ends idle clients, though some of them are evicted meanwhile") {
-  struct Taken : DownstreamEvents {
+  struct CountingEvents : DownstreamEvents {
     int opened = 0;
     std::optional<OpenRequestError> Validate(const OpenRequest& /*request*/) override { return std::nullopt; }
-    SlotId OnOpen(SlotId /*client*/, const OpenRequest& /*head*/) override { return ++opened, SlotId{}; }
+    SlotId OnOpen(SlotId /*client*/, const OpenRequest& /*request*/) override { return ++opened, SlotId{}; }
     void OnClientBytes(SlotId /*owner*/) override {}
     void OnClientEnd(SlotId /*owner*/, ConnectionEnd /*end*/) override {}
     void OnClientWritable(SlotId /*owner*/) override {}
-  } taken;
+  } events;
   EventLoop loop(Clock::Mode::kManual);
   Counters counters;
-  Downstream downstream(loop, taken, counters, 96);
+  Downstream downstream(loop, events, counters, 96);
   downstream.Listen(*Address::Parse("127.0.0.1:0"));
   const auto address = Address::Parse("127.0.0.1:" + std::to_string(downstream.Port()));
-  std::vector<int> callers;
-  for (int k = 0; k < 48; ++k) {  // As many as there is room for.
-    callers.push_back(socket(AF_INET, SOCK_STREAM, 0));
-    REQUIRE(connect(callers.back(), reinterpret_cast<const sockaddr*>(&address->raw), sizeof address->raw) ==
+  std::vector<int> clients;
+  for (int k = 0; k < 48; ++k) {  // The maximum that the descriptor limit allows.
+    clients.push_back(socket(AF_INET, SOCK_STREAM, 0));
+    REQUIRE(connect(clients.back(), reinterpret_cast<const sockaddr*>(&address->raw), sizeof address->raw) ==
             0);
     loop.Poll();
   }
   loop.clock.Advance(std::chrono::milliseconds(300));
   const std::string_view line = "OPEN 1 k c=watch,d=2000\r\n";
-  CHECK(send(callers.front(), line.data(), line.size(), 0) == static_cast<ssize_t>(line.size()));
+  CHECK(send(clients.front(), line.data(), line.size(), 0) == static_cast<ssize_t>(line.size()));
   downstream.EndIdle(false);
-  CHECK(taken.opened == 1);
+  CHECK(events.opened == 1);
   CHECK(counters.evicted == 1);
-  for (std::size_t k = 1; k < callers.size(); ++k) {
+  for (std::size_t k = 1; k < clients.size(); ++k) {
     std::array<char, 16> answer{};
-    CHECK(recv(callers[k], answer.data(), answer.size(), 0) >= 5);
+    CHECK(recv(clients[k], answer.data(), answer.size(), 0) >= 5);
   }
-  for (const int fd : callers) close(fd);
+  for (const int fd : clients) close(fd);
 }
 
-// One turn accepted 64 of the queue; the clients behind them were once reset with the listener.
+// Guards against closing the listener after one turn, which accepts only 64 queued clients: the others were
+// reset.
 TEST_CASE_METHOD(SingleEndpointFixture, "all clients in the listen queue when accepting ends are answered") {
   Play("drain\nwait 495\nturns 0");
   for (int k = 0; k < 400; ++k) Play(fmt::format("q{0} send OPEN q{0} k c=watch,d=900", k));
@@ -87,7 +88,7 @@
   for (int k = 0; k < 400; ++k) Play(fmt::format("q{} answered", k));
 }
 
-#ifndef __SANITIZE_ADDRESS__  // As the test of `exhaust` in request_test.cpp.
+#ifndef __SANITIZE_ADDRESS__  // For the same reason as the test of `exhaust` in request_test.cpp.
 TEST_CASE_METHOD(
     SingleEndpointFixture,
     "clients in the listen queue are told to retry when accepting ends and no descriptor is left") {
@@ -111,7 +112,7 @@
       "300\nstopped");
 }
 
-// A client that reads late is owed the rest of its lines.
+// A client that reads late must still receive all its lines.
 TEST_CASE_METHOD(SingleEndpointFixture, "the graceful shutdown waits for what a client has not read yet") {
   Play(kEstablishSession);
   Play("s-1 flood 12000\ndrain\nwait 1900\na expect-moved\na close\nwait 300\nstopped");
@@ -120,18 +121,18 @@
 
 TEST_CASE_METHOD(SingleEndpointFixture, "a graceful shutdown keeps its times whatever else happens in it") {
   Play(kEstablishSession);
-  const std::string moment =
-      GENERATE("a hanging host", "discovery down", "a reload", "a drain by call", "again");
-  INFO(moment);
+  const std::string disturbance = GENERATE("an endpoint that does not answer", "discovery down", "a reload",
+                                           "an operator's drain", "a second shutdown request");
+  INFO(disturbance);
   Play("b send OPEN 2 k c=watch,d=2000\ns-1#2 expect OPEN 2 k*\na send M 1 x");
-  if (moment == "discovery down") Play("discovery refuse\ndiscovery close");
-  if (moment == "a reload") Play("reload discovery2");
-  if (moment == "a drain by call") Play("drain-call");
+  if (disturbance == "discovery down") Play("discovery refuse\ndiscovery close");
+  if (disturbance == "a reload") Play("reload discovery2");
+  if (disturbance == "an operator's drain") Play("drain-call");
   Play("drain\nwait 100");
-  if (moment == "a reload") Play("reload discovery");
-  if (moment == "a drain by call") Play("activate");
+  if (disturbance == "a reload") Play("reload discovery");
+  if (disturbance == "an operator's drain") Play("activate");
   Play("c send OPEN 3 k c=watch,d=500\nwait 1000");
-  if (moment == "again") Play("drain");
+  if (disturbance == "a second shutdown request") Play("drain");
   Play("wait 1000\na expect MOVE\na expect-end\nb answered\nc answered\na close\nwait 400\nstopped");
 }
 
@@ -162,13 +163,13 @@
   CHECK(Counts().migrated == 2);
 }
 
-// The front's checks keep connections without a first line open; they once held the end up until its last
-// moment.
+// The front load balancer's health checks keep connections without a request line open. Guards against a
+// shutdown that waits for them until its time limit.
 TEST_CASE_METHOD(SingleEndpointFixture,
                  "a graceful shutdown does not wait for connections without a request") {
   SECTION("PING") { Play("a send PING\na expect PONG"); }
-  SECTION("half a line") { Play("a raw OPEN 1 k"); }
-  SECTION("an answered caller that does not end") { Play("a send HELLO"); }
+  SECTION("incomplete line") { Play("a raw OPEN 1 k"); }
+  SECTION("an answered client that does not close its connection") { Play("a send HELLO"); }
   Play("drain\nwait 510\nstopped");
 }
 
--- a/tests/proxy/operator_drain_test.cpp
+++ b/tests/proxy/operator_drain_test.cpp
@@ -23,8 +23,8 @@
     a expect M 1 x
   )");
   CHECK_FALSE(ProxyUnderTest().Ready());
-  CHECK(Counts().migrated == 0);  // Not before a moved client can no longer be sent back here.
-  // Who still comes in the 0.2 s after the first no is served, and moved as well.
+  CHECK(Counts().migrated == 0);  // The front load balancer could still send migrated clients back.
+  // Clients that arrive within 0.2 s after the first failed health check are served, and migrated as well.
   Play(R"(
     c send OPEN 3 k c=watch,d=2000
     s-1#2 expect OPEN 3 k*
@@ -54,7 +54,7 @@
     s-1#3 expect M 5 x
   )");
   CHECK(ProxyUnderTest().Ready());
-  CHECK(Counts().migrated == 2);  // After activate nobody is moved.
+  CHECK(Counts().migrated == 2);  // No session is migrated after activation.
 }
 
 TEST_CASE_METHOD(SingleEndpointFixture,
