--- a/src/proxy/fleet_quota_guard.cpp
+++ b/src/proxy/fleet_quota_guard.cpp
@@ -7,10 +7,10 @@
 namespace stoatrun {
 namespace {
 
-// As the balancer's own tick, at which it acts on hints.
+// The same as the balancer's tick, at which it applies hints.
 constexpr Micros kPollInterval = std::chrono::milliseconds(250);
 
-// What an attempt's end shows of its endpoint; nullopt: nothing.
+// The endpoint's condition as shown by the end of an attempt; nullopt: the end gives no evidence of it.
 std::optional<FleetClient::EndpointCondition> ToCondition(AttemptEnd end) {
   switch (end) {
     case AttemptEnd::kServed:
@@ -67,14 +67,14 @@
 
 std::optional<AttemptEnd> FleetQuotaGuard::TryAcquireAttempt(const Session& session, EndpointIndex endpoint) {
   if (client_ == nullptr) return std::nullopt;
-  // Without a retry the balancer gives its final answer.
+  // The balancer answers a retry that the quota denies with its final answer.
   if (session.attempt_count > 0 && !client_->TryAcquireRetry()) return AttemptEnd::kQuotaExhausted;
-  // An endpoint that warms up and that the other proxies have filled meanwhile counts as having rejected the
-  // request.
-  const auto started = started_at_.find(endpoint);
-  const bool warming_up = started != started_at_.end() && IsWarmingUp(started->second);
+  // If the other proxies have used up the capacity of an endpoint in slow start, the balancer is told that
+  // the endpoint rejected the request.
+  const auto started = slow_start_began_at_.find(endpoint);
+  const bool in_slow_start = started != slow_start_began_at_.end() && IsInSlowStart(started->second);
   const std::string& id = endpoints_.IdOf(endpoint);
-  if (warming_up && !client_->TryAcquireSlowStartSend(id)) return AttemptEnd::kRejected;
+  if (in_slow_start && !client_->TryAcquireSlowStartSend(id)) return AttemptEnd::kRejected;
   client_->OnRequestSent(id);
   return std::nullopt;
 }
@@ -83,7 +83,9 @@
 
 // ---- endpoints ----
 
-bool FleetQuotaGuard::IsWarmingUp(Micros started_at) const { return loop_.Now() < started_at + slow_start_; }
+bool FleetQuotaGuard::IsInSlowStart(Micros started_at) const {
+  return loop_.Now() < started_at + slow_start_;
+}
 
 void FleetQuotaGuard::OnAttemptEnded(EndpointIndex endpoint, AttemptEnd end) {
   const auto condition = ToCondition(end);
@@ -93,25 +95,25 @@
 void FleetQuotaGuard::OnEndpointUpdate(const EndpointUpdate& update) {
   if (client_ == nullptr) return;
   ApplyUpdate(update);
-  std::erase_if(started_at_, [&](const auto& entry) {
-    return !ready_started_ms_.contains(endpoints_.IdOf(entry.first)) || !IsWarmingUp(entry.second);
+  std::erase_if(slow_start_began_at_, [&](const auto& entry) {
+    return !ready_endpoints_.contains(endpoints_.IdOf(entry.first)) || !IsInSlowStart(entry.second);
   });
   std::vector<FleetClient::ListedEndpoint> listed;
-  listed.reserve(ready_started_ms_.size());
-  for (const auto& [id, started_unix_ms] : ready_started_ms_) listed.push_back({id, started_unix_ms});
+  listed.reserve(ready_endpoints_.size());
+  for (const auto& [id, started_unix_ms] : ready_endpoints_) listed.push_back({id, started_unix_ms});
   client_->OnEndpointsListed(listed);
 }
 
 void FleetQuotaGuard::ApplyUpdate(const EndpointUpdate& update) {
-  if (update.complete) ready_started_ms_.clear();
+  if (update.complete) ready_endpoints_.clear();
   for (const Endpoint& endpoint : update.entries) {
     if (endpoint.state != EndpointState::kReady) {
-      ready_started_ms_.erase(endpoint.id);
+      ready_endpoints_.erase(endpoint.id);
       continue;
     }
-    ready_started_ms_[endpoint.id] = endpoint.started_unix_ms;
+    ready_endpoints_[endpoint.id] = endpoint.started_unix_ms;
     const Micros started_at = loop_.clock.FromUnixMs(endpoint.started_unix_ms);
-    if (started_at.count() > 0) started_at_[*endpoints_.Find(endpoint.id)] = started_at;
+    if (started_at.count() > 0) slow_start_began_at_[*endpoints_.Find(endpoint.id)] = started_at;
   }
 }
 
@@ -124,11 +126,11 @@
 }
 
 void FleetQuotaGuard::PollHints() {
-  std::vector<std::string> warming_up;
-  for (const auto& [endpoint, started_at] : started_at_) {
-    if (IsWarmingUp(started_at)) warming_up.push_back(endpoints_.IdOf(endpoint));
+  std::vector<std::string> in_slow_start;
+  for (const auto& [endpoint, started_at] : slow_start_began_at_) {
+    if (IsInSlowStart(started_at)) in_slow_start.push_back(endpoints_.IdOf(endpoint));
   }
-  for (const FleetClient::EndpointHint& hint : client_->TakeHints(warming_up)) {
+  for (const FleetClient::EndpointHint& hint : client_->TakeHints(in_slow_start)) {
     const auto endpoint = endpoints_.Find(hint.endpoint);
     if (!endpoint) continue;
     balancer_.HandleEvent(
--- a/src/proxy/fleet_quota_guard.h
+++ b/src/proxy/fleet_quota_guard.h
@@ -1,6 +1,6 @@
-// Connects the proxy to the rest of its fleet: keeps attempts, probes and connections within the quotas that
-// the whole fleet shares, reports to the fleet what this proxy observes of endpoints, and passes the fleet's
-// hints to the balancer. Without a fleet everything is allowed and nothing is reported.
+// Connects the proxy to its fleet: limits attempts, probes and connections to the fleet-wide quotas, reports
+// the endpoint conditions that this proxy observes, and passes the fleet's hints to the balancer. Without a
+// fleet nothing is limited or reported.
 #ifndef STOATRUN_PROXY_FLEET_QUOTA_GUARD_H_
 #define STOATRUN_PROXY_FLEET_QUOTA_GUARD_H_
 
@@ -24,33 +24,34 @@
 // Used by the event loop's thread only.
 class FleetQuotaGuard {
  public:
-  // `client`: null without a fleet. `slow_start`: how long endpoints warm up. `actions` migrates connections
-  // that exceed a quota. All references must outlive the object.
+  // `client`: null without a fleet. `slow_start`: the duration of an endpoint's slow start. `actions`
+  // migrates connections that exceed a quota. `client` and all references must outlive the object.
   FleetQuotaGuard(EventLoop& loop, FleetClient* client, Micros slow_start, const EndpointTable& endpoints,
                   SessionTable& sessions, BalancerDriver& balancer, ActionHandler& actions);
 
-  // Polls the fleet from now on.
+  // Starts to poll the fleet for hints and quota excesses.
   void Start();
 
-  // Counts a new session; SessionTable::Erase ends its count.
+  // Starts to count a session as a connection; SessionTable::Erase ends the count.
   void BeginConnection(Session& session);
-  // Counts a request that was rejected without a session.
+  // Counts a request that was rejected before a session was created.
   void CountRejected(std::size_t class_index, std::string_view group);
   // Reserves a unit of the quota of the session's group. False: the quota is exhausted.
   bool TryReserveQuota(Session& session);
-  // Acquires what an attempt of `session` at `endpoint` needs. nullopt: it may be sent, and is reported as
-  // sent; else how the attempt has ended for the balancer.
+  // Acquires the quotas for an attempt of `session` at `endpoint`. Returns nullopt if the attempt may be
+  // sent, and reports it to the fleet as sent. Otherwise returns the end of the attempt to report to the
+  // balancer.
   std::optional<AttemptEnd> TryAcquireAttempt(const Session& session, EndpointIndex endpoint);
-  // Acquires a probe. False: the quota is exhausted.
+  // Acquires a unit of the quota for probes. False: the quota is exhausted.
   bool TryAcquireProbe();
 
-  // Reports what the end of an attempt shows of its endpoint.
+  // Reports the endpoint condition that the end of an attempt shows.
   void OnAttemptEnded(EndpointIndex endpoint, AttemptEnd end);
-  // Reports the endpoints listed now. The endpoint table has the update already.
+  // Reports the ready endpoints. `update` must have been applied to the endpoint table.
   void OnEndpointUpdate(const EndpointUpdate& update);
 
  private:
-  bool IsWarmingUp(Micros started_at) const;
+  bool IsInSlowStart(Micros started_at) const;
   void Poll();
   void PollHints();
   void MigrateExcess();
@@ -63,8 +64,9 @@
   SessionTable& sessions_;
   BalancerDriver& balancer_;
   ActionHandler& actions_;
-  std::map<std::string, std::int64_t> ready_started_ms_;  // Ready endpoints; when they started, in Unix time.
-  std::map<EndpointIndex, Micros> started_at_;  // Those that may be warming up; on the loop's clock.
+  std::map<std::string, std::int64_t> ready_endpoints_;  // By id; start time in Unix ms.
+  // Start times, on the event loop's clock, of endpoints that may be in slow start.
+  std::map<EndpointIndex, Micros> slow_start_began_at_;
   Timer poll_timer_;
 };
 
--- a/src/proxy/message_latency_reporter.cpp
+++ b/src/proxy/message_latency_reporter.cpp
@@ -8,9 +8,10 @@
 namespace stoatrun {
 namespace {
 
-constexpr Micros kReportInterval = std::chrono::seconds(1);  // Between two reports of slow messages.
+// Between two reports on an endpoint whose messages are slow.
+constexpr Micros kReportInterval = std::chrono::seconds(1);
 
-// The shortest message latency objective of all classes; 0: no class has one.
+// Returns the shortest message latency objective of all classes; 0: no class has an objective.
 Micros ShortestObjective(const balancer::Settings& settings) {
   Micros shortest{0};
   for (const auto& request_class : settings.classes) {
@@ -37,7 +38,7 @@
   if (slow ? loop_.Now() < last.reported_at + kReportInterval : !last.slow) return;
   last.slow = slow;
   last.reported_at = loop_.Now();
-  LogLine(Level::kDebug, "slow messages")
+  LogLine(Level::kDebug, "message latency")
       .Field("endpoint", endpoints_.IdOf(endpoint))
       .Field("take_us", latency.count());
   balancer_.HandleEvent(ToMessageLatencyReported(endpoint, latency));
--- a/src/proxy/message_latency_reporter.h
+++ b/src/proxy/message_latency_reporter.h
@@ -1,5 +1,5 @@
-// Reports slow messages to the balancer: at most once a second for each endpoint while they are slow, and
-// once more when they are fast again, as the simulator does.
+// Reports message latencies to the balancer: for each endpoint at most one per second while messages are
+// slow, and one more when they are fast again. The simulator reports them in the same way.
 #ifndef STOATRUN_PROXY_MESSAGE_LATENCY_REPORTER_H_
 #define STOATRUN_PROXY_MESSAGE_LATENCY_REPORTER_H_
 
@@ -15,12 +15,12 @@
 // Used by the event loop's thread only.
 class MessageLatencyReporter {
  public:
-  // The latency objectives in `settings` determine what is slow; without any, nothing is reported. All
-  // references must outlive the object, but for `settings`.
+  // Messages are slow above a third of the shortest latency objective in `settings`; without an objective
+  // nothing is reported. All references except `settings` must outlive the object.
   MessageLatencyReporter(EventLoop& loop, const balancer::Settings& settings, const EndpointTable& endpoints,
                          BalancerDriver& balancer);
 
-  // An answer of `endpoint` came `latency` after the client's line was forwarded. May call
+  // `endpoint` answered a client's line `latency` after it was forwarded. May call
   // BalancerDriver::HandleEvent.
   void OnAnswer(EndpointIndex endpoint, Micros latency);
 
@@ -33,7 +33,7 @@
   EventLoop& loop_;
   const EndpointTable& endpoints_;
   BalancerDriver& balancer_;
-  const Micros slow_threshold_;           // A longer latency is slow; 0: none is.
+  const Micros slow_threshold_;           // Longer latencies are slow; 0: reports nothing.
   std::vector<LastReport> last_reports_;  // By EndpointIndex.
 };
 
--- a/src/proxy/time_fraction.h
+++ b/src/proxy/time_fraction.h
@@ -1,4 +1,4 @@
-// Fractions of time limits.
+// Computes fractions of durations.
 #ifndef STOATRUN_PROXY_TIME_FRACTION_H_
 #define STOATRUN_PROXY_TIME_FRACTION_H_
 
@@ -6,7 +6,7 @@
 
 namespace stoatrun {
 
-// `fraction` of `time`, rounded towards zero.
+// Returns `fraction` of `time`, rounded towards zero.
 inline Micros TimeFraction(Micros time, double fraction) {
   return Micros(static_cast<Micros::rep>(static_cast<double>(time.count()) * fraction));
 }
--- a/tests/proxy/fleet_client_recorder.h
+++ b/tests/proxy/fleet_client_recorder.h
@@ -1,4 +1,4 @@
-// A FleetClient that answers as scripted and records what the proxy reports to it.
+// A FleetClient with scripted answers that records what the proxy reports to it.
 #ifndef STOATRUN_TESTS_PROXY_FLEET_CLIENT_RECORDER_H_
 #define STOATRUN_TESTS_PROXY_FLEET_CLIENT_RECORDER_H_
 
@@ -20,7 +20,7 @@
     return {0, true, 0};
   }
   void EndConnection(ConnectionHandle& handle, ConnectionOutcome outcome) override {
-    CHECK(handle.open);  // Each is ended once.
+    CHECK(handle.open);  // Each connection is ended exactly once.
     handle.open = false;
     ++outcomes[outcome];
     reserved -= handle.quota != 0 ? 1 : 0;
--- a/tests/proxy/fleet_client_test.cpp
+++ b/tests/proxy/fleet_client_test.cpp
@@ -1,4 +1,4 @@
-// What the proxy requests from and reports to the rest of its fleet.
+// The requests and reports of the proxy to its fleet.
 #include <catch2/catch.hpp>
 #include <string>
 #include <utility>
@@ -52,7 +52,7 @@
   )");
   CHECK(fleet.outcomes[FleetClient::ConnectionOutcome::kRejected] == 1);
   CHECK(fleet.reserved == 1);
-  // What is over the quota later, as a loan ended, is moved away.
+  // When the quota shrinks, as at the end of a loan, connections that exceed it are migrated.
   fleet.quota = 0;
   fixture.Play(R"(
     wait 300
