--- a/src/fleet/connection_counts.cpp
+++ b/src/fleet/connection_counts.cpp
@@ -16,10 +16,10 @@
 FleetCounts::FleetCounts(const Settings& settings, std::uint64_t seed)
     : settings_(settings), random_(seed), member_list_sync_(settings.self) {
   members_[settings.self];
-  Follow(settings.peers);
+  SetPeers(settings.peers);
 }
 
-void FleetCounts::Follow(const std::vector<Peer>& peers) {
+void FleetCounts::SetPeers(const std::vector<Peer>& peers) {
   settings_.peers = peers;
   for (const Peer& peer : peers) members_[peer.member_id];
   std::erase_if(members_, [&](const auto& member) {
@@ -29,12 +29,12 @@
   });
 }
 
-Micros FleetCounts::ReportPause(std::size_t relays) {
+Micros FleetCounts::ReportInterval(std::size_t relays) {
   return std::max(kMinReportPause, kReportPausePerRelay * static_cast<int>(relays));
 }
 
 Micros FleetCounts::StaleAfter() const {
-  return std::max(settings_.stale_after, ReportPause(members_.size()) * 5 / 2);
+  return std::max(settings_.stale_after, ReportInterval(members_.size()) * 5 / 2);
 }
 
 // ---- reports in ----
@@ -204,11 +204,12 @@
   return sum.Totals();
 }
 
-std::vector<FleetCounts::Part> FleetCounts::Parts(Micros now) const {
-  std::vector<Part> out;
+std::vector<FleetCounts::IncarnationCounts> FleetCounts::CountsByIncarnation(Micros now) const {
+  std::vector<IncarnationCounts> out;
   for (const auto& [member_id, member] : members_) {
     for (const auto& [id, record] : member.incarnations) {
-      Part part{member_id, record.incarnation, record.version, record.ReportedAge(now), record.ended, {}};
+      IncarnationCounts part{
+          member_id, record.incarnation, record.version, record.ReportedAge(now), record.ended, {}};
       for (const ConnectionCountsRow& row : record.rows) AddTo(part.sum, row.counts);
       out.push_back(part);
     }
--- a/src/fleet/connection_counts.h
+++ b/src/fleet/connection_counts.h
@@ -35,7 +35,7 @@
 class FleetCounts {
  public:
   // One incarnation's counts, for the status call.
-  struct Part {
+  struct IncarnationCounts {
     MemberId member_id = 0;
     Incarnation incarnation;
     std::uint64_t version = 0;
@@ -79,23 +79,23 @@
   // True if all incarnations that any relay knows are known here.
   bool IsComplete() const { return member_list_sync_.IsComplete(); }
   // Follows a changed operator file: peers added or removed.
-  void Follow(const std::vector<Peer>& peers);
+  void SetPeers(const std::vector<Peer>& peers);
 
   // Digests of this relay's own reports and of some members drawn at random, within `max_bytes`.
   std::vector<CountsDigest> Digests(Micros now, std::size_t max_bytes);
   // The reports that a peer with the digests `theirs` lacks, within `max_bytes`.
-  std::vector<CountsUpdate> Missing(Micros now, const std::vector<CountsDigest>& theirs,
-                                    std::size_t max_bytes) const;
+  std::vector<CountsUpdate> MissingUpdates(Micros now, const std::vector<CountsDigest>& theirs,
+                                           std::size_t max_bytes) const;
   // Digests of the members of which the peer has reports that this relay lacks.
-  std::vector<CountsDigest> Lacking(Micros now, const std::vector<CountsDigest>& theirs) const;
+  std::vector<CountsDigest> DigestsToRequest(Micros now, const std::vector<CountsDigest>& theirs) const;
   // Of the reports that both have, those on whose age this relay knows a much tighter bound, within
   // `max_bytes`.
-  std::vector<CountsDigest> Fresher(Micros now, const std::vector<CountsDigest>& theirs,
-                                    std::size_t max_bytes) const;
+  std::vector<CountsDigest> TighterDigests(Micros now, const std::vector<CountsDigest>& theirs,
+                                           std::size_t max_bytes) const;
 
   // The least time between two reports of one relay, in a fleet of so many: each report costs every relay its
   // bytes.
-  static Micros ReportPause(std::size_t relays);
+  static Micros ReportInterval(std::size_t relays);
   // A report older than this is widened: the setting, or what two reports take to arrive, if that is longer.
   Micros StaleAfter() const;
 
@@ -103,7 +103,7 @@
   ConnectionTotals Sum(Micros now, std::optional<std::uint32_t> class_index = std::nullopt,
                        std::optional<std::string_view> group = std::nullopt) const;
   // Every incarnation that is kept apart, by member.
-  std::vector<Part> Parts(Micros now) const;
+  std::vector<IncarnationCounts> CountsByIncarnation(Micros now) const;
   // The classes and groups that any report names, sorted.
   std::vector<Key> Keys() const;
 
--- a/src/fleet/counts_exchange.cpp
+++ b/src/fleet/counts_exchange.cpp
@@ -97,8 +97,8 @@
   return out;
 }
 
-std::vector<CountsUpdate> FleetCounts::Missing(Micros now, const std::vector<CountsDigest>& theirs,
-                                               std::size_t max_bytes) const {
+std::vector<CountsUpdate> FleetCounts::MissingUpdates(Micros now, const std::vector<CountsDigest>& theirs,
+                                                      std::size_t max_bytes) const {
   std::vector<CountsUpdate> out;
   std::vector<MemberId> done;
   for (const CountsDigest& digest : theirs) {
@@ -115,7 +115,8 @@
   return out;
 }
 
-std::vector<CountsDigest> FleetCounts::Lacking(Micros now, const std::vector<CountsDigest>& theirs) const {
+std::vector<CountsDigest> FleetCounts::DigestsToRequest(Micros now,
+                                                        const std::vector<CountsDigest>& theirs) const {
   std::vector<CountsDigest> out;
   std::vector<MemberId> requested;
   for (const CountsDigest& digest : theirs) {
@@ -133,8 +134,8 @@
   return out;
 }
 
-std::vector<CountsDigest> FleetCounts::Fresher(Micros now, const std::vector<CountsDigest>& theirs,
-                                               std::size_t max_bytes) const {
+std::vector<CountsDigest> FleetCounts::TighterDigests(Micros now, const std::vector<CountsDigest>& theirs,
+                                                      std::size_t max_bytes) const {
   std::vector<CountsDigest> out;
   for (const CountsDigest& digest : theirs) {
     const auto member = members_.find(digest.member_id);
--- a/src/fleet/io/status.cpp
+++ b/src/fleet/io/status.cpp
@@ -60,9 +60,9 @@
     WriteLeases();
     Append(R"("total":{{{}}},)", TotalsJson(node_.Sum(now_)));
     WriteArray("totals", node_.Totals().Keys(), &StatusWriter::KeyJson);
-    WriteArray("parts", node_.Totals().Parts(now_), &StatusWriter::PartJson);
+    WriteArray("parts", node_.Totals().CountsByIncarnation(now_), &StatusWriter::PartJson);
     WriteArray("servers", node_.Outliers().Views(now_), &StatusWriter::EndpointJson);
-    WriteArray("distrusted", node_.Outliers().Distrusted(now_), &StatusWriter::DistrustedJson);
+    WriteArray("distrusted", node_.Outliers().DistrustedWitnesses(now_), &StatusWriter::DistrustedJson);
     WriteIgnored(extra);
     return std::move(out_);
   }
@@ -129,7 +129,7 @@
 
   std::string LeaseJson(const QuotaLeases::Lease& lease, const char* way) const {
     return fmt::format(R"({{"way":"{}","budget":{},"with":{},"units":{},"ends_ms":{},"ended":{}}})", way,
-                       Quoted(lease.quota), Quoted(NameOfMember(lease.other)), lease.units,
+                       Quoted(lease.quota), Quoted(NameOfMember(lease.peer)), lease.units,
                        Ms(lease.ends - now_), lease.ended);
   }
 
@@ -143,8 +143,8 @@
         comma = ",";
       }
     };
-    append_all(node_.Quotas().Lent(now_), "out");
-    append_all(node_.Quotas().Borrowed(now_), "in");
+    append_all(node_.Quotas().LentLeases(now_), "out");
+    append_all(node_.Quotas().BorrowedLeases(now_), "in");
     out_ += "],";
   }
 
@@ -156,7 +156,7 @@
                        TotalsJson(node_.Sum(now_, key.class_index, key.group)));
   }
 
-  std::string PartJson(const FleetCounts::Part& part) {
+  std::string PartJson(const FleetCounts::IncarnationCounts& part) {
     return fmt::format(R"({{"name":{},"generation":{},"version":{},"age_ms":{},"over":{},"taken":{},)"
                        R"("open":{}}})",
                        Quoted(NameOfMember(part.member_id)), part.incarnation.generation, part.version,
@@ -165,7 +165,7 @@
 
   std::string EndpointJson(const OutlierConsensus::View& view) {
     std::string witnesses;
-    for (const Evidence& evidence : view.others) {
+    for (const Evidence& evidence : view.remote_evidence) {
       witnesses += fmt::format(R"({}{{"by":{},"verdict":"{}","observations":{},"age_ms":{}}})",
                                witnesses.empty() ? "" : ",", Quoted(NameOfMember(evidence.author)),
                                NameOf(evidence.verdict), evidence.observations, MsOrNull(evidence.age));
--- a/src/fleet/node.cpp
+++ b/src/fleet/node.cpp
@@ -60,8 +60,8 @@
 void Node::Follow(const std::vector<Peer>& peers, Micros now) {
   settings_.peers = peers;
   members_.Follow(peers, now);
-  quotas_.Follow(peers);
-  totals_.Follow(peers);
+  quotas_.SetPeers(peers);
+  totals_.SetPeers(peers);
   links_.Follow(peers);
   sends_.Follow(peers);
 }
@@ -108,7 +108,7 @@
 
 void Node::ReportCounts(Micros now) {
   const bool changed = local_connections_.Changes() != reported_changes_;
-  if (changed && now < reported_at_ + FleetCounts::ReportPause(members_.Members().size() + 1)) return;
+  if (changed && now < reported_at_ + FleetCounts::ReportInterval(members_.Members().size() + 1)) return;
   if (changed) {
     ++report_version_;
     reported_at_ = now;
@@ -144,7 +144,7 @@
   leases_requested_at_ = now;
   const std::vector<MemberId> alive = AliveMembers();
   for (const QuotaLeases::DueRequest& due : quotas_.Tick(now)) {
-    const auto lender = due.lender ? due.lender : quotas_.LenderFor(now, due.request.quota, alive);
+    const auto lender = due.lender ? due.lender : quotas_.ChooseLender(now, due.request.quota, alive);
     if (!lender) continue;
     Datagram& datagram = To(now, *lender, out);
     if (SizeOf(datagram) + kLeaseRequestBytes + due.request.quota.size() > kMaxDatagramBytes) continue;
@@ -156,7 +156,7 @@
 void Node::SendLeaseReturns(Micros now, Outbox& out) {
   for (const Membership::Member& member : members_.Members()) {
     if (!member.incarnation || member.state == MemberState::kLeft) continue;
-    std::vector<LeaseReturn> returns = quotas_.Returns(member.member_id);
+    std::vector<LeaseReturn> returns = quotas_.PendingReturns(member.member_id);
     if (returns.empty()) continue;
     if (returns.size() > kMaxReturnsSent) returns.resize(kMaxReturnsSent);
     Datagram& datagram = To(now, member.member_id, out);
@@ -167,8 +167,8 @@
 // Where a concurrency lease has ended by this relay's clock and was not returned, asks the borrower what it
 // holds: it may have lost the lease.
 void Node::RequestHeldLeases(Micros now, Outbox& out) {
-  for (const QuotaLeases::Lease& lease : quotas_.Lent(now)) {
-    if (lease.ended) To(now, lease.other, out).wants_held_leases = true;
+  for (const QuotaLeases::Lease& lease : quotas_.LentLeases(now)) {
+    if (lease.ended) To(now, lease.peer, out).wants_held_leases = true;
   }
 }
 
@@ -206,7 +206,7 @@
   datagram.digests = totals_.Digests(now, BytesLeft(datagram, kDigestBytes));
   AddLocalSends(now, datagram);
   AddIdleUnits(now, datagram);
-  datagram.wants_held_leases = datagram.wants_held_leases || quotas_.NeedsHeldFrom(*receiver);
+  datagram.wants_held_leases = datagram.wants_held_leases || quotas_.NeedsHeldLeasesFrom(*receiver);
 }
 
 void Node::AddLocalSends(Micros now, Datagram& datagram) const {
@@ -219,7 +219,7 @@
 }
 
 void Node::AddIdleUnits(Micros now, Datagram& datagram) {
-  std::vector<IdleUnits> idle = quotas_.IdleUnitsNow(now);
+  std::vector<IdleUnits> idle = quotas_.LendableUnits(now);
   random_.Shuffle(idle);
   for (const IdleUnits& part : idle) {
     if (datagram.idle_units.size() < kMaxIdleGossiped &&
@@ -339,7 +339,7 @@
   }
   for (const LeaseReturnAck& ack : datagram.return_acks) quotas_.OnReturnAck(from, ack);
   if (datagram.wants_held_leases) {
-    To(now, from, out).held_leases = quotas_.HeldFrom(from, datagram.incarnation);
+    To(now, from, out).held_leases = quotas_.ReportHeldLeases(from, datagram.incarnation);
   }
   if (datagram.held_leases) {
     quotas_.OnHeldLeases(now, from, datagram.incarnation, self, *datagram.held_leases);
@@ -350,9 +350,9 @@
 // to an answer: two relays must not answer each other without end.
 void Node::AnswerDigests(Micros now, const Datagram& datagram, Outbox& out) {
   std::vector<CountsDigest> lacking, fresher;
-  if (datagram.periodic) lacking = totals_.Lacking(now, datagram.digests);
-  const std::vector<CountsUpdate> missing = totals_.Missing(now, datagram.digests, kCountsUpdateBytes);
-  if (datagram.periodic) fresher = totals_.Fresher(now, datagram.digests, kFresherDigestBytes);
+  if (datagram.periodic) lacking = totals_.DigestsToRequest(now, datagram.digests);
+  const std::vector<CountsUpdate> missing = totals_.MissingUpdates(now, datagram.digests, kCountsUpdateBytes);
+  if (datagram.periodic) fresher = totals_.TighterDigests(now, datagram.digests, kFresherDigestBytes);
   if (lacking.empty() && missing.empty() && fresher.empty()) return;
   Datagram& answer = To(now, datagram.from, out);
   std::size_t size = SizeOf(answer);
@@ -370,7 +370,7 @@
   for (const MemberId member_id : alive) {
     Datagram& datagram = To(now, member_id, out);
     datagram.member_updates.push_back(members_.LeaveUpdate());
-    datagram.counts_updates = totals_.Missing(now, knows_nothing, kCountsUpdateBytes);
+    datagram.counts_updates = totals_.MissingUpdates(now, knows_nothing, kCountsUpdateBytes);
   }
   TrimAll(out);
 }
--- a/src/fleet/outlier_consensus.cpp
+++ b/src/fleet/outlier_consensus.cpp
@@ -151,7 +151,7 @@
   return bad >= kMinBadLinkVerdicts && 2 * bad > listed_.size();
 }
 
-std::vector<OutlierConsensus::DistrustedWitness> OutlierConsensus::Distrusted(Micros now) const {
+std::vector<OutlierConsensus::DistrustedWitness> OutlierConsensus::DistrustedWitnesses(Micros now) const {
   std::vector<DistrustedWitness> out;
   std::set<MemberId> authors;
   for (const auto& [id, endpoint] : endpoints_) {
@@ -160,7 +160,8 @@
   for (const MemberId author : authors) {
     if (HasBadLink(author, now)) out.push_back({author, "judges more than half of the servers bad"});
   }
-  for (const MemberId author : reputation_.Distrusted(now)) out.push_back({author, "was found wrong here"});
+  for (const MemberId author : reputation_.DistrustedAuthors(now))
+    out.push_back({author, "was found wrong here"});
   return out;
 }
 
@@ -168,7 +169,7 @@
 
 std::set<std::string> OutlierConsensus::EndpointsToEject(Micros now) {
   std::set<MemberId> distrusted;
-  for (const DistrustedWitness& witness : Distrusted(now)) distrusted.insert(witness.author);
+  for (const DistrustedWitness& witness : DistrustedWitnesses(now)) distrusted.insert(witness.author);
   std::vector<EjectionCandidate> candidates;
   for (auto& [id, endpoint] : endpoints_) {
     Expire(endpoint, now);
@@ -316,12 +317,12 @@
     std::size_t bad = 0;
     for (const auto& [author, remote] : endpoint.remote) {
       if (!IsValid(remote, now)) continue;
-      view.others.push_back(remote.evidence);
-      view.others.back().age = now - remote.made;
+      view.remote_evidence.push_back(remote.evidence);
+      view.remote_evidence.back().age = now - remote.made;
       bad += IsBad(remote.evidence.verdict) ? 1 : 0;
     }
     view.ignored = ReasonIgnored(view, endpoint, bad, now);
-    if (view.own || !view.others.empty()) out.push_back(std::move(view));
+    if (view.own || !view.remote_evidence.empty()) out.push_back(std::move(view));
   }
   return out;
 }
--- a/src/fleet/outlier_consensus.h
+++ b/src/fleet/outlier_consensus.h
@@ -41,9 +41,9 @@
   struct View {
     std::string endpoint;
     std::optional<HealthVerdict> own;
-    std::vector<Evidence> others;  // Valid ones, with their present age.
-    bool ejected = false;          // On remote evidence.
-    std::string ignored;           // Why remote evidence is not followed; empty: it is, or there is none.
+    std::vector<Evidence> remote_evidence;  // Valid ones, with their present age.
+    bool ejected = false;                   // On remote evidence.
+    std::string ignored;  // Why remote evidence is not followed; empty: it is, or there is none.
   };
   // A peer whose evidence is ignored.
   struct DistrustedWitness {
@@ -78,7 +78,7 @@
   // All endpoints of which there is a verdict or evidence.
   std::vector<View> Views(Micros now);
   // The peers whose evidence is ignored now.
-  std::vector<DistrustedWitness> Distrusted(Micros now) const;
+  std::vector<DistrustedWitness> DistrustedWitnesses(Micros now) const;
   // Counters since the start.
   const Counts& GetCounts() const { return counts_; }
 
--- a/src/fleet/quota_borrower.cpp
+++ b/src/fleet/quota_borrower.cpp
@@ -147,7 +147,7 @@
   account.borrowed.push_back({grant.lease, from, lender, grant.units, ends, {}, false});
 }
 
-std::vector<LeaseReturn> QuotaLeases::Returns(MemberId lender) const {
+std::vector<LeaseReturn> QuotaLeases::PendingReturns(MemberId lender) const {
   std::vector<LeaseReturn> out;
   for (const auto& [name, account] : accounts_) {
     for (const QuotaAccount::BorrowedLease& lease : account.borrowed) {
@@ -167,7 +167,7 @@
   });
 }
 
-HeldLeases QuotaLeases::HeldFrom(MemberId lender, const Incarnation& lender_incarnation) {
+HeldLeases QuotaLeases::ReportHeldLeases(MemberId lender, const Incarnation& lender_incarnation) {
   HeldLeases held;
   held.lender = lender_incarnation;
   held.covers = last_nonce_;
@@ -190,8 +190,8 @@
   }
 }
 
-std::optional<MemberId> QuotaLeases::LenderFor(Micros now, const std::string& quota,
-                                               const std::vector<MemberId>& alive) {
+std::optional<MemberId> QuotaLeases::ChooseLender(Micros now, const std::string& quota,
+                                                  const std::vector<MemberId>& alive) {
   if (alive.empty()) return std::nullopt;
   const auto account = accounts_.find(quota);
   if (account == accounts_.end()) return std::nullopt;
--- a/src/fleet/quota_leases.cpp
+++ b/src/fleet/quota_leases.cpp
@@ -24,7 +24,7 @@
   for (const QuotaRule& rule : settings.quotas) Find(start, rule.name);
 }
 
-void QuotaLeases::Follow(const std::vector<Peer>& peers) { settings_.peers = peers; }
+void QuotaLeases::SetPeers(const std::vector<Peer>& peers) { settings_.peers = peers; }
 
 const QuotaRule* QuotaLeases::RuleOf(const std::string& quota) const {
   const auto named = std::find_if(settings_.quotas.begin(), settings_.quotas.end(),
@@ -157,7 +157,7 @@
   return out;
 }
 
-std::vector<QuotaLeases::Lease> QuotaLeases::Lent(Micros now) const {
+std::vector<QuotaLeases::Lease> QuotaLeases::LentLeases(Micros now) const {
   std::vector<Lease> out;
   for (const auto& [name, account] : accounts_) {
     for (const QuotaAccount::LentLease& lease : account.lent) {
@@ -167,7 +167,7 @@
   return out;
 }
 
-std::vector<QuotaLeases::Lease> QuotaLeases::Borrowed(Micros now) const {
+std::vector<QuotaLeases::Lease> QuotaLeases::BorrowedLeases(Micros now) const {
   std::vector<Lease> out;
   for (const auto& [name, account] : accounts_) {
     for (const QuotaAccount::BorrowedLease& lease : account.borrowed) {
--- a/src/fleet/quota_leases.h
+++ b/src/fleet/quota_leases.h
@@ -51,7 +51,7 @@
   // A lease as one side sees it, for the status call.
   struct Lease {
     std::string quota;
-    MemberId other = 0;
+    MemberId peer = 0;
     std::uint32_t units = 0;
     Micros ends{0};
     bool ended = false;  // By the clock; of a concurrency quota it may still be held.
@@ -83,7 +83,7 @@
   // Whether there is such a quota, or a template that makes one.
   bool HasQuota(const std::string& quota) const { return RuleOf(quota) != nullptr; }
   // Follows a changed operator file: peers added or removed.
-  void Follow(const std::vector<Peer>& peers);
+  void SetPeers(const std::vector<Peer>& peers);
 
   // ---- as a borrower ----
 
@@ -95,16 +95,17 @@
   void OnGrant(Micros now, MemberId from, const Incarnation& lender, const Incarnation& self,
                const LeaseGrant& grant);
   // Returns to `lender` that it did not acknowledge yet.
-  std::vector<LeaseReturn> Returns(MemberId lender) const;
+  std::vector<LeaseReturn> PendingReturns(MemberId lender) const;
   // The lender has the units back.
   void OnReturnAck(MemberId from, const LeaseReturnAck& ack);
   // States what this relay holds of the lender's concurrency quotas, and withdraws its pending requests
   // there.
-  HeldLeases HeldFrom(MemberId lender, const Incarnation& lender_incarnation);
+  HeldLeases ReportHeldLeases(MemberId lender, const Incarnation& lender_incarnation);
   // Takes note of the units that a peer would lend.
   void OnIdleUnits(Micros now, MemberId peer, const std::vector<IdleUnits>& idle);
   // Which of the `alive` members to ask for units: at random, weighted by what they said lies idle.
-  std::optional<MemberId> LenderFor(Micros now, const std::string& quota, const std::vector<MemberId>& alive);
+  std::optional<MemberId> ChooseLender(Micros now, const std::string& quota,
+                                       const std::vector<MemberId>& alive);
 
   // ---- as a lender ----
 
@@ -116,20 +117,20 @@
   void OnHeldLeases(Micros now, MemberId from, const Incarnation& borrower, const Incarnation& self,
                     const HeldLeases& held);
   // Whether the peer's statement is still missing.
-  bool NeedsHeldFrom(MemberId peer) const { return !reconciled_.contains(peer); }
+  bool NeedsHeldLeasesFrom(MemberId peer) const { return !reconciled_.contains(peer); }
   // A new incarnation of `peer` was heard of: what the former one held of concurrency quotas is free.
   void OnIncarnationSuperseded(MemberId peer, const Incarnation& former);
   // Units of each quota that this relay would lend now.
-  std::vector<IdleUnits> IdleUnitsNow(Micros now);
+  std::vector<IdleUnits> LendableUnits(Micros now);
 
   // ---- for the status call ----
 
   // All quotas.
   std::vector<View> Views(Micros now);
   // All leases that were lent.
-  std::vector<Lease> Lent(Micros now) const;
+  std::vector<Lease> LentLeases(Micros now) const;
   // All leases that were borrowed.
-  std::vector<Lease> Borrowed(Micros now) const;
+  std::vector<Lease> BorrowedLeases(Micros now) const;
   // Counters since the start.
   const Counts& GetCounts() const { return counts_; }
 
--- a/src/fleet/quota_lender.cpp
+++ b/src/fleet/quota_lender.cpp
@@ -104,7 +104,7 @@
   }
 }
 
-std::vector<IdleUnits> QuotaLeases::IdleUnitsNow(Micros now) {
+std::vector<IdleUnits> QuotaLeases::LendableUnits(Micros now) {
   std::vector<IdleUnits> out;
   for (auto& [name, account] : accounts_) {
     account.Expire(now);
--- a/src/fleet/witness_reputation.cpp
+++ b/src/fleet/witness_reputation.cpp
@@ -21,7 +21,7 @@
   return true;
 }
 
-std::vector<MemberId> WitnessReputation::Distrusted(Micros now) const {
+std::vector<MemberId> WitnessReputation::DistrustedAuthors(Micros now) const {
   std::vector<MemberId> out;
   for (const auto& [author, record] : records_) {
     if (now < record.distrusted_until) out.push_back(author);
--- a/src/fleet/witness_reputation.h
+++ b/src/fleet/witness_reputation.h
@@ -23,7 +23,7 @@
   // The author's incarnation has ended: the next one starts with a clean record.
   void Erase(MemberId author) { records_.erase(author); }
   // The authors that are distrusted now, by id.
-  std::vector<MemberId> Distrusted(Micros now) const;
+  std::vector<MemberId> DistrustedAuthors(Micros now) const;
 
  private:
   struct Record {
--- a/tests/fleet/outlier_consensus_test.cpp
+++ b/tests/fleet/outlier_consensus_test.cpp
@@ -102,7 +102,7 @@
     consensus.OnEvidence(kStart, FailingEvidence(author, "s5", 1), Micros(0));
   }
   CHECK(consensus.EndpointsToEject(kStart).empty());
-  CHECK(consensus.Distrusted(kStart).size() == 9);
+  CHECK(consensus.DistrustedWitnesses(kStart).size() == 9);
 }
 
 TEST_CASE("evidence ends with the process of its endpoint and with the incarnation of its author") {
@@ -129,7 +129,7 @@
   consensus.OnEvidence(now, FailingEvidence(4, "s9", 9), Micros(0));
   consensus.OnEvidence(now, FailingEvidence(5, "s9", 1), Micros(0));
   CHECK(consensus.EndpointsToEject(now).empty());
-  CHECK(consensus.Distrusted(now) ==
+  CHECK(consensus.DistrustedWitnesses(now) ==
         std::vector<OutlierConsensus::DistrustedWitness>{{4, "was found wrong here"}});
 }
 
--- a/tests/fleet/quota_leases_test.cpp
+++ b/tests/fleet/quota_leases_test.cpp
@@ -108,7 +108,7 @@
   borrower.OnGrant(kSettled, 0, kIncarnation, kOtherIncarnation,
                    lender.OnRequest(kSettled, 1, kOtherIncarnation, request));
   CHECK(AcquireAll(borrower, kSettled + seconds(20), "retry") == 4);
-  CHECK(borrower.Borrowed(kSettled + seconds(20)).empty());
+  CHECK(borrower.BorrowedLeases(kSettled + seconds(20)).empty());
 }
 
 TEST_CASE("grants for another incarnation or another request, and late ones, are not accepted") {
@@ -122,10 +122,10 @@
   LeaseGrant forged = grant;
   forged.nonce += 1000;
   borrower.OnGrant(kSettled, 0, kIncarnation, kOtherIncarnation, forged);
-  CHECK(borrower.Borrowed(kSettled).empty());
+  CHECK(borrower.BorrowedLeases(kSettled).empty());
   borrower.Tick(kSettled + milliseconds(1100));
   borrower.OnGrant(kSettled + milliseconds(1100), 0, kIncarnation, kOtherIncarnation, grant);
-  CHECK(borrower.Borrowed(kSettled + milliseconds(1100)).empty());
+  CHECK(borrower.BorrowedLeases(kSettled + milliseconds(1100)).empty());
   CHECK(borrower.GetCounts().late_grants == 3);
 }
 
@@ -148,11 +148,11 @@
   // The borrower releases the units of the ended lease before it returns the lease.
   CHECK(borrower.Excess(much_later, "group") == 2);
   borrower.Tick(much_later);
-  CHECK(borrower.Returns(0).empty());
+  CHECK(borrower.PendingReturns(0).empty());
   borrower.Release("group");
   borrower.Release("group");
   borrower.Tick(much_later);
-  const auto returns = borrower.Returns(0);
+  const auto returns = borrower.PendingReturns(0);
   REQUIRE(returns.size() == 1);
   const auto acknowledgement = lender.OnReturn(much_later, 1, returns[0]);
   CHECK(acknowledgement.lease == returns[0].lease);
@@ -160,7 +160,7 @@
   lender.OnReturn(much_later, 1, returns[0]);  // Duplicated in transit.
   CHECK(lender.Available(much_later, "group") == 4);
   borrower.OnReturnAck(0, acknowledgement);
-  CHECK(borrower.Returns(0).empty());
+  CHECK(borrower.PendingReturns(0).empty());
 }
 
 TEST_CASE(
@@ -172,7 +172,7 @@
   CHECK(lender.Available(kSettled, "group") == 1);  // What a peer states as lent counts at once.
   // Addressed to a former incarnation: ignored.
   lender.OnHeldLeases(kSettled, 2, Incarnation{1, 3}, Incarnation{9, 99}, {kIncarnation, 0, {}});
-  CHECK(lender.NeedsHeldFrom(2));
+  CHECK(lender.NeedsHeldLeasesFrom(2));
   lender.OnHeldLeases(kSettled, 2, Incarnation{1, 3}, kIncarnation, {kIncarnation, 0, {}});
   CHECK(lender.Available(kSettled, "group") == 3);
   // A new incarnation of the borrower holds nothing that the former one held.
@@ -190,7 +190,7 @@
   borrower.OnRequestSent(kSettled, 0, request);
   const LeaseGrant grant = lender.OnRequest(kSettled, 1, kOtherIncarnation, request);
   REQUIRE(grant.units > 0);
-  const HeldLeases held = borrower.HeldFrom(0, kIncarnation);
+  const HeldLeases held = borrower.ReportHeldLeases(0, kIncarnation);
   lender.OnHeldLeases(kSettled, 1, kOtherIncarnation, kIncarnation, held);
   CHECK(lender.Available(kSettled, "group") == 4);
   const std::uint32_t before = borrower.Available(kSettled, "group");
