--- a/src/fleet/quota_borrower.cpp
+++ b/src/fleet/quota_borrower.cpp
@@ -1,4 +1,4 @@
-// QuotaLeases as a borrower: leases requested, accepted and returned.
+// The borrower side of QuotaLeases: requesting, accepting and returning leases.
 #include <algorithm>
 
 #include "fleet/injected_fault.h"
@@ -10,9 +10,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Micros kRequestInterval = milliseconds(100);  // Between requests for one quota.
-constexpr std::size_t kMaxNewRequests = 4;              // Pending at once for one quota.
-constexpr Micros kIdleReportValid = seconds(3);
+constexpr Micros kRequestInterval = milliseconds(100);  // Minimum between requests for one quota.
+constexpr std::size_t kMaxNewRequests = 4;              // Pending at the same time for one quota.
+constexpr Micros kIdleReportLifetime = seconds(3);
 
 }  // namespace
 
@@ -21,34 +21,34 @@
   for (auto it = accounts_.begin(); it != accounts_.end();) {
     QuotaAccount& account = it->second;
     account.Expire(now);
-    if (account.IsDisposable(now)) {
+    if (account.IsEvictable(now)) {
       it = accounts_.erase(it);
       continue;
     }
     ++it;
     const std::uint32_t demand = account.Demand(now);
     const std::uint32_t wanted = demand + Headroom(demand);
-    const std::uint32_t usable = Usable(account, now);
-    const std::uint32_t lent_out = account.LentOut();
-    std::uint32_t available = usable > lent_out ? usable - lent_out : 0;
-    ReviewBorrowed(now, account, wanted, available, out);
+    const std::uint32_t usable = UsableShare(account, now);
+    const std::uint32_t lent_units = account.LentUnits();
+    std::uint32_t available = usable > lent_units ? usable - lent_units : 0;
+    RenewOrReturnLeases(now, account, wanted, available, out);
     RequestNewLeases(now, account, wanted, available, out);
   }
   return out;
 }
 
-void QuotaLeases::ReviewBorrowed(Micros now, QuotaAccount& account, std::uint32_t wanted,
-                                 std::uint32_t& available, std::vector<DueRequest>& out) {
+void QuotaLeases::RenewOrReturnLeases(Micros now, QuotaAccount& account, std::uint32_t wanted,
+                                      std::uint32_t& available, std::vector<DueRequest>& out) {
   for (QuotaAccount::BorrowedLease& lease : account.borrowed) {
     if (lease.returning) continue;
-    const bool lasts = now < lease.ends;
+    const bool is_valid = now < lease.ends;
     const bool needed = wanted > available;
-    available += lasts ? lease.units : 0;
-    if (!needed || !lasts) {
-      // Units of a concurrency quota are returned as soon as what is in use fits without them.
-      const std::uint32_t allowed = account.Allowed(Usable(account, now), now);
+    available += is_valid ? lease.units : 0;
+    if (!needed || !is_valid) {
+      // Units of a concurrency quota are returned as soon as the units in use fit the limit without them.
+      const std::uint32_t limit = account.ConcurrencyLimit(UsableShare(account, now), now);
       if (account.rule.IsConcurrencyQuota() &&
-          account.in_use + lease.units <= allowed + (lasts ? 0 : lease.units)) {
+          account.in_use + lease.units <= limit + (is_valid ? 0 : lease.units)) {
         lease.returning = true;
       }
       continue;
@@ -66,32 +66,32 @@
     available += request.units;
     ++pending;
   }
-  if (account.requested_at.count() > 0 && now < account.requested_at + kRequestInterval) return;
-  // A peer is asked for about what a member owns: more it rarely has.
+  if (account.last_request_at.count() > 0 && now < account.last_request_at + kRequestInterval) return;
+  // Each request is limited to about one member's share, as a peer rarely has more to lend.
   for (; wanted > available && pending < kMaxNewRequests; ++pending) {
     const std::uint32_t units = std::min(wanted - available, std::max<std::uint32_t>(1, account.share));
-    account.requested_at = now;
+    account.last_request_at = now;
     available += units;
     out.push_back({{++last_nonce_, account.rule.name, units, 0}, std::nullopt});
   }
 }
 
 void QuotaLeases::OnRequestSent(Micros now, MemberId lender, const LeaseRequest& request) {
-  const auto at = accounts_.find(request.quota);
-  if (at == accounts_.end()) return;
-  QuotaAccount& account = at->second;
+  const auto it = accounts_.find(request.quota);
+  if (it == accounts_.end()) return;
+  QuotaAccount& account = it->second;
   ++counts_.requested;
   account.requests.push_back({request.nonce, lender, request.units, now, request.renews});
-  // That many fewer lie idle there.
+  // The requested units are assumed to be no longer idle at that peer.
   const auto idle = account.idle_at_peers.find(lender);
   if (idle != account.idle_at_peers.end()) idle->second.units -= std::min(idle->second.units, request.units);
 }
 
 void QuotaLeases::OnGrant(Micros now, MemberId from, const Incarnation& lender, const Incarnation& self,
                           const LeaseGrant& grant) {
-  const auto at = accounts_.find(grant.quota);
-  if (at == accounts_.end() || grant.borrower.id != self.id) return;
-  QuotaAccount& account = at->second;
+  const auto it = accounts_.find(grant.quota);
+  if (it == accounts_.end() || grant.borrower.id != self.id) return;
+  QuotaAccount& account = it->second;
   const auto pending = std::find_if(account.requests.begin(), account.requests.end(),
                                     [&](const QuotaAccount::PendingRequest& request) {
                                       return request.nonce == grant.nonce && request.lender == from;
@@ -102,8 +102,8 @@
                                    [&](const QuotaAccount::BorrowedLease& lease) {
                                      return lease.id == grant.lease && lease.lender == from;
                                    });
-    // Too late to be of use. The lender of a concurrency quota would wait without end: it gets the units
-    // back.
+    // The grant is too late to be used. The lender of a concurrency quota would wait for the units forever,
+    // so they are returned.
     if (account.rule.IsConcurrencyQuota() && grant.units > 0 && !known) {
       account.borrowed.push_back({grant.lease, from, lender, grant.units, now, {}, true});
     }
@@ -124,7 +124,7 @@
 
 void QuotaLeases::AcceptGrant(Micros now, MemberId from, const Incarnation& lender, const LeaseGrant& grant,
                               QuotaAccount& account, const QuotaAccount::PendingRequest& request) {
-  // The lease counts from the request, for the lender's clock started it no earlier than that.
+  // The lease runs from the request, because the lender cannot have started it earlier.
   const Micros starts = IsInjected(Fault::kLeaseCountsFromGrant) ? now : request.at;
   const Micros ends = starts + AtMost(std::min(grant.length, kLeaseDuration));
   ++counts_.granted;
@@ -137,7 +137,7 @@
     return;
   }
   if (request.renews != 0) {
-    // The lease that it renews has ended here. Units of a concurrency quota are still to be returned.
+    // The lease to renew has already ended here. Units of a concurrency quota must still be returned.
     if (account.rule.IsConcurrencyQuota()) {
       account.borrowed.push_back({grant.lease, from, lender, grant.units, now, {}, true});
     }
@@ -160,9 +160,9 @@
 }
 
 void QuotaLeases::OnReturnAck(MemberId from, const LeaseReturnAck& ack) {
-  const auto at = accounts_.find(ack.quota);
-  if (at == accounts_.end()) return;
-  std::erase_if(at->second.borrowed, [&](const QuotaAccount::BorrowedLease& lease) {
+  const auto it = accounts_.find(ack.quota);
+  if (it == accounts_.end()) return;
+  std::erase_if(it->second.borrowed, [&](const QuotaAccount::BorrowedLease& lease) {
     return lease.returning && lease.id == ack.lease && lease.lender == from;
   });
 }
@@ -173,7 +173,7 @@
   held.covers = last_nonce_;
   for (auto& [name, account] : accounts_) {
     if (!account.rule.IsConcurrencyQuota()) continue;
-    // A grant that is still under way is no longer accepted: the statement must stay true.
+    // A grant in transit is no longer accepted, because it would invalidate this statement.
     std::erase_if(account.requests,
                   [&](const QuotaAccount::PendingRequest& request) { return request.lender == lender; });
     for (const QuotaAccount::BorrowedLease& lease : account.borrowed) {
@@ -184,9 +184,9 @@
 }
 
 void QuotaLeases::OnIdleUnits(Micros now, MemberId peer, const std::vector<IdleUnits>& idle) {
-  for (const IdleUnits& part : idle) {
-    const auto at = accounts_.find(part.quota);
-    if (at != accounts_.end()) at->second.idle_at_peers[peer] = {part.units, now};
+  for (const IdleUnits& reported : idle) {
+    const auto it = accounts_.find(reported.quota);
+    if (it != accounts_.end()) it->second.idle_at_peers[peer] = {reported.units, now};
   }
 }
 
@@ -202,7 +202,7 @@
   std::vector<Candidate> candidates;
   std::uint64_t total = 0;
   for (const auto& [member_id, report] : account->second.idle_at_peers) {
-    if (now >= report.at + kIdleReportValid || report.units == 0) continue;
+    if (now >= report.at + kIdleReportLifetime || report.units == 0) continue;
     if (std::find(alive.begin(), alive.end(), member_id) == alive.end()) continue;
     candidates.push_back({member_id, report.units});
     total += report.units;
--- a/src/fleet/quota_leases.cpp
+++ b/src/fleet/quota_leases.cpp
@@ -8,38 +8,40 @@
 namespace stoatrun::fleet {
 namespace {
 
-constexpr std::uint32_t kRateReserveDivisor = 8;         // An eighth of a rate quota's share is never lent;
-constexpr std::uint32_t kConcurrencyReserveDivisor = 2;  // half of a concurrency quota's.
-constexpr std::size_t kMaxAccounts = 4096;  // Endpoints, and so quotas of templates, come and go.
+// The reserve, the part of a share that is never lent, is the share divided by these.
+constexpr std::uint32_t kRateReserveDivisor = 8;
+constexpr std::uint32_t kConcurrencyReserveDivisor = 2;
+// Endpoints come and go, and with them the accounts made from templates; this bounds their number.
+constexpr std::size_t kMaxAccounts = 4096;
 
-std::string TemplateOf(const std::string& quota) { return quota.substr(0, quota.find(':')); }
+std::string TemplateName(const std::string& quota) { return quota.substr(0, quota.find(':')); }
 
-// Bounds the memory that recorded demand takes; calls beyond that would not change a decision.
+// Bounds the memory for recorded demand. Attempts beyond this bound do not affect any decision.
 std::size_t MaxDemand(const QuotaRule& rule) { return 2 * static_cast<std::size_t>(rule.units) + 16; }
 
 }  // namespace
 
 QuotaLeases::QuotaLeases(const Settings& settings, std::uint64_t seed, Micros start)
     : settings_(settings), start_(start), random_(seed) {
-  for (const QuotaRule& rule : settings.quotas) Find(start, rule.name);
+  for (const QuotaRule& rule : settings.quotas) FindOrCreateAccount(start, rule.name);
 }
 
 void QuotaLeases::SetPeers(const std::vector<Peer>& peers) { settings_.peers = peers; }
 
-const QuotaRule* QuotaLeases::RuleOf(const std::string& quota) const {
+const QuotaRule* QuotaLeases::FindRule(const std::string& quota) const {
   const auto named = std::find_if(settings_.quotas.begin(), settings_.quotas.end(),
                                   [&](const QuotaRule& rule) { return rule.name == quota; });
   if (named != settings_.quotas.end()) return &*named;
-  const auto made_from = std::find_if(
+  const auto quota_template = std::find_if(
       settings_.quota_templates.begin(), settings_.quota_templates.end(), [&](const QuotaRule& rule) {
-        return rule.name == TemplateOf(quota) && quota.size() > rule.name.size() + 1;
+        return rule.name == TemplateName(quota) && quota.size() > rule.name.size() + 1;
       });
-  return made_from != settings_.quota_templates.end() ? &*made_from : nullptr;
+  return quota_template != settings_.quota_templates.end() ? &*quota_template : nullptr;
 }
 
-QuotaAccount* QuotaLeases::Find(Micros now, const std::string& quota) {
-  if (const auto at = accounts_.find(quota); at != accounts_.end()) return &at->second;
-  const QuotaRule* rule = RuleOf(quota);
+QuotaAccount* QuotaLeases::FindOrCreateAccount(Micros now, const std::string& quota) {
+  if (const auto it = accounts_.find(quota); it != accounts_.end()) return &it->second;
+  const QuotaRule* rule = FindRule(quota);
   if (rule == nullptr) return nullptr;
   if (accounts_.size() >= kMaxAccounts) {
     ++counts_.over_capacity;
@@ -51,7 +53,7 @@
   account.share = ShareOf(quota, rule->units, settings_.self, settings_.fleet_size);
   account.reserve =
       account.share / (rule->IsConcurrencyQuota() ? kConcurrencyReserveDivisor : kRateReserveDivisor);
-  account.used_at = now;
+  account.last_used_at = now;
   return &account;
 }
 
@@ -60,7 +62,7 @@
                      [&](const Peer& peer) { return reconciled_.contains(peer.member_id); });
 }
 
-std::uint32_t QuotaLeases::Usable(const QuotaAccount& account, Micros now) const {
+std::uint32_t QuotaLeases::UsableShare(const QuotaAccount& account, Micros now) const {
   if (account.rule.IsConcurrencyQuota()) {
     const bool all_usable = IsReconciled() || IsInjected(Fault::kLentLeasesForgottenByRestart);
     return all_usable ? account.share : account.reserve;
@@ -74,11 +76,11 @@
 // ---- acquiring ----
 
 bool QuotaLeases::TryAcquire(Micros now, const std::string& quota) {
-  QuotaAccount* account = Find(now, quota);
+  QuotaAccount* account = FindOrCreateAccount(now, quota);
   if (account == nullptr) return false;
-  account->used_at = now;
+  account->last_used_at = now;
   if (!IsInjected(Fault::kLeaseIgnoresPause)) account->Expire(now);
-  if (account->demand_at.size() < MaxDemand(account->rule)) account->demand_at.push_back(now);
+  if (account->recent_attempts.size() < MaxDemand(account->rule)) account->recent_attempts.push_back(now);
   const bool acquired = account->rule.IsConcurrencyQuota() ? TryAcquireConcurrent(*account, now)
                                                            : TryAcquireRate(*account, now);
   ++(acquired ? counts_.acquired : counts_.denied);
@@ -86,38 +88,38 @@
 }
 
 bool QuotaLeases::TryAcquireConcurrent(QuotaAccount& account, Micros now) {
-  if (account.in_use >= account.Allowed(Usable(account, now), now)) return false;
+  if (account.in_use >= account.ConcurrencyLimit(UsableShare(account, now), now)) return false;
   ++account.in_use;
   return true;
 }
 
 bool QuotaLeases::TryAcquireRate(QuotaAccount& account, Micros now) {
-  // Borrowed units first: what is left of them when the lease ends is of no use to anybody.
+  // Borrowed units are used first, because units left unused when the lease ends are wasted.
   for (QuotaAccount::BorrowedLease& lease : account.borrowed) {
     if (lease.acquired_at.size() >= lease.units) continue;
     lease.acquired_at.push_back(now);
     return true;
   }
-  if (account.OwnFree(Usable(account, now)) == 0) return false;
+  if (account.FreeOwnUnits(UsableShare(account, now)) == 0) return false;
   account.acquired_at.push_back(now);
   return true;
 }
 
 void QuotaLeases::Release(const std::string& quota) {
-  const auto at = accounts_.find(quota);
-  if (at != accounts_.end() && at->second.in_use > 0) --at->second.in_use;
+  const auto it = accounts_.find(quota);
+  if (it != accounts_.end() && it->second.in_use > 0) --it->second.in_use;
 }
 
 std::uint32_t QuotaLeases::Available(Micros now, const std::string& quota) {
-  QuotaAccount* account = Find(now, quota);
+  QuotaAccount* account = FindOrCreateAccount(now, quota);
   if (account == nullptr) return 0;
   account->Expire(now);
-  const std::uint32_t usable = Usable(*account, now);
+  const std::uint32_t usable = UsableShare(*account, now);
   if (account->rule.IsConcurrencyQuota()) {
-    const std::uint32_t allowed = account->Allowed(usable, now);
-    return allowed > account->in_use ? allowed - account->in_use : 0;
+    const std::uint32_t limit = account->ConcurrencyLimit(usable, now);
+    return limit > account->in_use ? limit - account->in_use : 0;
   }
-  std::uint32_t free = account->OwnFree(usable);
+  std::uint32_t free = account->FreeOwnUnits(usable);
   for (const QuotaAccount::BorrowedLease& lease : account->borrowed) {
     free += lease.units - static_cast<std::uint32_t>(lease.acquired_at.size());
   }
@@ -125,11 +127,11 @@
 }
 
 std::uint32_t QuotaLeases::Excess(Micros now, const std::string& quota) {
-  QuotaAccount* account = Find(now, quota);
+  QuotaAccount* account = FindOrCreateAccount(now, quota);
   if (account == nullptr || !account->rule.IsConcurrencyQuota()) return 0;
   account->Expire(now);
-  const std::uint32_t allowed = account->Allowed(Usable(*account, now), now);
-  return account->in_use > allowed ? account->in_use - allowed : 0;
+  const std::uint32_t limit = account->ConcurrencyLimit(UsableShare(*account, now), now);
+  return account->in_use > limit ? account->in_use - limit : 0;
 }
 
 // ---- status ----
@@ -145,7 +147,7 @@
     view.share = account.share;
     view.available = Available(now, name);
     view.acquired = concurrent ? account.in_use : static_cast<std::uint32_t>(account.acquired_at.size());
-    view.lent = account.LentOut();
+    view.lent = account.LentUnits();
     view.excess = Excess(now, name);
     view.reconciled = !concurrent || IsReconciled();
     for (const QuotaAccount::BorrowedLease& lease : account.borrowed) {
--- a/src/fleet/quota_lender.cpp
+++ b/src/fleet/quota_lender.cpp
@@ -1,4 +1,4 @@
-// QuotaLeases as a lender: requests answered, units taken back.
+// The lender side of QuotaLeases: answering requests and taking units back.
 #include <algorithm>
 
 #include "fleet/quota_leases.h"
@@ -8,7 +8,7 @@
 LeaseGrant QuotaLeases::OnRequest(Micros now, MemberId from, const Incarnation& borrower,
                                   const LeaseRequest& request) {
   LeaseGrant grant{request.nonce, 0, request.quota, 0, kLeaseDuration, borrower};
-  QuotaAccount* account = Find(now, request.quota);
+  QuotaAccount* account = FindOrCreateAccount(now, request.quota);
   if (account == nullptr) return grant;
   account->Expire(now);
   const auto granted = [&](const QuotaAccount::LentLease& lease) {
@@ -16,39 +16,42 @@
     grant.units = lease.units;
     return grant;
   };
-  const auto is_borrowers = [&](const QuotaAccount::LentLease& lease) {
+  const auto is_held_by_borrower = [&](const QuotaAccount::LentLease& lease) {
     return lease.borrower == from && lease.incarnation.id == borrower.id;
   };
   for (const QuotaAccount::LentLease& lease : account->lent) {
-    if (is_borrowers(lease) && lease.nonce == request.nonce) return granted(lease);  // A repeated request.
+    if (is_held_by_borrower(lease) && lease.nonce == request.nonce) return granted(lease);  // A duplicate.
   }
   if (request.renews != 0) {
-    const auto lease = std::find_if(
-        account->lent.begin(), account->lent.end(),
-        [&](const QuotaAccount::LentLease& lent) { return lent.id == request.renews && is_borrowers(lent); });
+    const auto lease =
+        std::find_if(account->lent.begin(), account->lent.end(), [&](const QuotaAccount::LentLease& lent) {
+          return lent.id == request.renews && is_held_by_borrower(lent);
+        });
     if (lease != account->lent.end() && TryRenew(now, *account, *lease, request.nonce)) {
       return granted(*lease);
     }
     ++counts_.rejected;
     return grant;
   }
-  const std::uint32_t units = std::min(request.units, account->Lendable(Usable(*account, now), now));
+  const std::uint32_t units =
+      std::min(request.units, account->LendableUnits(UsableShare(*account, now), now));
   if (units == 0) {
     ++counts_.rejected;
     return grant;
   }
-  account->used_at = now;
+  account->last_used_at = now;
   account->lent.push_back(
       {random_.Next() | 1U, request.nonce, from, borrower, units, now + AtLeast(kLeaseDuration)});
   counts_.lent += units;
   return granted(account->lent.back());
 }
 
-// Fails if this relay needs the units, or if the lease has ended and only its window still runs.
+// Fails if this relay needs the units itself, or if the lease has ended and only its window is still running.
 bool QuotaLeases::TryRenew(Micros now, QuotaAccount& account, QuotaAccount::LentLease& lease,
                            std::uint64_t nonce) {
   const std::uint32_t demand = account.Demand(now);
-  const bool needed = demand > 0 && demand + Headroom(demand) + account.LentOut() > Usable(account, now);
+  const bool needed =
+      demand > 0 && demand + Headroom(demand) + account.LentUnits() > UsableShare(account, now);
   if (now >= lease.ends || needed) return false;
   lease.ends = now + AtLeast(kLeaseDuration);
   lease.nonce = nonce;
@@ -57,13 +60,14 @@
 }
 
 LeaseReturnAck QuotaLeases::OnReturn(Micros now, MemberId from, const LeaseReturn& lease_return) {
-  // A return to a former incarnation is taken as well: the present one counts the lease as lent, if any does.
-  const auto at = accounts_.find(lease_return.quota);
-  if (at != accounts_.end() && at->second.rule.IsConcurrencyQuota()) {
-    std::erase_if(at->second.lent, [&](const QuotaAccount::LentLease& lease) {
+  // A return addressed to a previous incarnation is accepted as well: if the lease is still counted as lent,
+  // it is by the current one.
+  const auto it = accounts_.find(lease_return.quota);
+  if (it != accounts_.end() && it->second.rule.IsConcurrencyQuota()) {
+    std::erase_if(it->second.lent, [&](const QuotaAccount::LentLease& lease) {
       return lease.id == lease_return.lease && lease.borrower == from;
     });
-    at->second.used_at = now;
+    it->second.last_used_at = now;
   }
   ++counts_.returned;
   return {lease_return.lease, lease_return.quota, lease_return.units, {}};
@@ -84,7 +88,7 @@
     });
   }
   for (const HeldLeases::Item& item : held.items) {
-    QuotaAccount* account = Find(now, item.quota);
+    QuotaAccount* account = FindOrCreateAccount(now, item.quota);
     if (account == nullptr || !account->rule.IsConcurrencyQuota()) continue;
     const bool known =
         std::any_of(account->lent.begin(), account->lent.end(),
@@ -94,12 +98,12 @@
   reconciled_.insert(from);
 }
 
-void QuotaLeases::OnIncarnationSuperseded(MemberId peer, const Incarnation& former) {
+void QuotaLeases::OnIncarnationSuperseded(MemberId peer, const Incarnation& previous) {
   for (auto& [name, account] : accounts_) {
     account.idle_at_peers.erase(peer);
     if (!account.rule.IsConcurrencyQuota()) continue;
     std::erase_if(account.lent, [&](const QuotaAccount::LentLease& lease) {
-      return lease.borrower == peer && lease.incarnation.id == former.id;
+      return lease.borrower == peer && lease.incarnation.id == previous.id;
     });
   }
 }
@@ -108,7 +112,7 @@
   std::vector<IdleUnits> out;
   for (auto& [name, account] : accounts_) {
     account.Expire(now);
-    const std::uint32_t units = account.Lendable(Usable(account, now), now);
+    const std::uint32_t units = account.LendableUnits(UsableShare(account, now), now);
     if (units > 0) out.push_back({name, units});
   }
   return out;
--- a/tests/fleet/quota_leases_test.cpp
+++ b/tests/fleet/quota_leases_test.cpp
@@ -1,4 +1,5 @@
-// Quota leases: shares, leases between a lender and a borrower, restarts and lost or duplicated messages.
+// Tests of quota leases: shares, leases between a lender and a borrower, restarts, late and duplicated
+// messages.
 #include "fleet/quota_leases.h"
 
 #include <algorithm>
@@ -18,17 +19,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Acquires all available units of a quota and returns how many they were.
+// Acquires all available units of a quota. Returns their number.
 std::uint32_t AcquireAll(QuotaLeases& leases, Micros now, const std::string& quota) {
   std::uint32_t acquired = 0;
   while (leases.TryAcquire(now, quota)) ++acquired;
   return acquired;
 }
 
-// Past the time for which a new incarnation withholds its former one's units.
+// A time at which a new incarnation no longer withholds units that its predecessor may be using.
 constexpr Micros kSettled = kStart + seconds(10);
 
-// The request for a lease of the quota that is due now; empty: none is.
+// The lease request for the quota that is due now; empty if there is none.
 LeaseRequest RequestFor(QuotaLeases& leases, Micros now, const std::string& quota) {
   for (const auto& due : leases.Tick(now)) {
     if (due.request.quota == quota) return due.request;
@@ -52,16 +53,17 @@
 }
 
 TEST_CASE(
-    "a share is acquired once a window, and a new incarnation waits until its former one's use has expired") {
+    "a share is acquired once per window, and a new incarnation waits until the use by the previous one has "
+    "expired") {
   Settings settings = ThreeMembers(0);
   settings.quotas[0].units = 48;
   QuotaLeases leases(settings, 1, kStart);
-  // The former incarnation may have acquired it just now.
+  // The previous incarnation may have acquired the whole share immediately before the restart.
   CHECK(AcquireAll(leases, kStart + milliseconds(1000), "retry") == 0);
-  // The reserve: the eighth that is never lent.
+  // After one window the reserve is usable, the eighth of the share that is never lent.
   CHECK(AcquireAll(leases, kStart + milliseconds(1011), "retry") == 2);
   CHECK(AcquireAll(leases, kStart + milliseconds(3020), "retry") == 2);
-  // The rest, once any lease has ended.
+  // The rest is usable after the longest lease and one more window.
   CHECK(AcquireAll(leases, kStart + milliseconds(3031), "retry") == 14);
   CHECK(AcquireAll(leases, kStart + milliseconds(3900), "retry") == 0);
   CHECK(AcquireAll(leases, kStart + milliseconds(4042), "retry") == 16);
@@ -72,8 +74,8 @@
 }
 
 TEST_CASE(
-    "a lease ends for the borrower before it does for the lender, and its window ends before the units "
-    "return") {
+    "a lease ends for the borrower before it ends for the lender, which reuses the units only a window "
+    "later") {
   QuotaLeases lender(ThreeMembers(0), 1, kStart), borrower(ThreeMembers(1), 2, kStart);
   const Micros requested_at = kSettled;
   CHECK(AcquireAll(borrower, requested_at, "retry") == 4);
@@ -83,7 +85,7 @@
   const Micros granted_at = kSettled + milliseconds(300);
   const LeaseGrant grant = lender.OnRequest(granted_at, 1, kOtherIncarnation, request);
   CHECK(grant.units == std::min<std::uint32_t>(request.units, 4));
-  // The same request once more, duplicated in transit, gets the same lease.
+  // A duplicate of the request gets the same lease.
   const LeaseGrant repeated = lender.OnRequest(granted_at + milliseconds(1), 1, kOtherIncarnation, request);
   CHECK(repeated.lease == grant.lease);
   CHECK(AcquireAll(lender, granted_at, "retry") == 4 - grant.units);
@@ -91,7 +93,7 @@
   borrower.OnGrant(requested_at + milliseconds(600), 0, kIncarnation, kOtherIncarnation, grant);
   borrower.OnGrant(requested_at + milliseconds(601), 0, kIncarnation, kOtherIncarnation, repeated);
   CHECK(AcquireAll(borrower, requested_at + milliseconds(700), "retry") == grant.units);
-  // The lease counts from the request; a slow clock may not hold it longer.
+  // The lease runs from the request and is shortened by the allowed clock drift.
   CHECK(borrower.Available(requested_at + milliseconds(1979), "retry") == 4 + grant.units);
   CHECK(borrower.Available(requested_at + milliseconds(1980), "retry") == 4);
   CHECK(lender.Available(granted_at + milliseconds(3029), "retry") == 4 - grant.units);
@@ -99,8 +101,8 @@
 }
 
 TEST_CASE(
-    "a borrower that was stopped past its lease's end finds it expired in the turn in which it would "
-    "acquire") {
+    "a borrower that was suspended past the end of its lease finds it expired in the turn that would "
+    "acquire a unit") {
   QuotaLeases lender(ThreeMembers(0), 1, kStart), borrower(ThreeMembers(1), 2, kStart);
   AcquireAll(borrower, kSettled, "retry");
   const LeaseRequest request = RequestFor(borrower, kSettled, "retry");
@@ -111,7 +113,7 @@
   CHECK(borrower.BorrowedLeases(kSettled + seconds(20)).empty());
 }
 
-TEST_CASE("grants for another incarnation or another request, and late ones, are not accepted") {
+TEST_CASE("late grants and grants for another incarnation or request are not accepted") {
   QuotaLeases lender(ThreeMembers(0), 1, kStart), borrower(ThreeMembers(1), 2, kStart);
   AcquireAll(borrower, kSettled, "retry");
   const LeaseRequest request = RequestFor(borrower, kSettled, "retry");
@@ -129,7 +131,8 @@
   CHECK(borrower.GetCounts().late_grants == 3);
 }
 
-TEST_CASE("a concurrency quota's units return when the borrower returns them, not by the lender's clock") {
+TEST_CASE(
+    "units of a concurrency quota are regained when the borrower returns them, not by the lender's clock") {
   QuotaLeases lender(ThreeMembers(0), 1, kStart), borrower(ThreeMembers(1), 2, kStart);
   for (QuotaLeases* leases : {&lender, &borrower}) {
     for (MemberId member = 0; member < 3; ++member) {
@@ -164,23 +167,23 @@
 }
 
 TEST_CASE(
-    "a restarted lender has the lendable part of a concurrency quota when all peers have stated what they "
-    "hold") {
+    "a restarted lender regains the lendable part of a concurrency quota when all peers have stated what "
+    "they hold") {
   QuotaLeases lender(ThreeMembers(0), 1, kStart);
   CHECK(lender.Available(kSettled, "group") == 2);
   lender.OnHeldLeases(kSettled, 1, kOtherIncarnation, kIncarnation, {kIncarnation, 0, {{"group", 77, 1}}});
-  CHECK(lender.Available(kSettled, "group") == 1);  // What a peer states as lent counts at once.
-  // Addressed to a former incarnation: ignored.
+  CHECK(lender.Available(kSettled, "group") == 1);  // A unit that a peer holds counts as lent at once.
+  // A statement addressed to another incarnation is ignored.
   lender.OnHeldLeases(kSettled, 2, Incarnation{1, 3}, Incarnation{9, 99}, {kIncarnation, 0, {}});
   CHECK(lender.NeedsHeldLeasesFrom(2));
   lender.OnHeldLeases(kSettled, 2, Incarnation{1, 3}, kIncarnation, {kIncarnation, 0, {}});
   CHECK(lender.Available(kSettled, "group") == 3);
-  // A new incarnation of the borrower holds nothing that the former one held.
+  // A new incarnation of the borrower holds none of the units that the previous one held.
   lender.OnIncarnationSuperseded(1, kOtherIncarnation);
   CHECK(lender.Available(kSettled, "group") == 4);
 }
 
-TEST_CASE("after a statement of held leases no grant for an earlier request is accepted") {
+TEST_CASE("no grant for an earlier request is accepted after a statement of held leases") {
   QuotaLeases lender(ThreeMembers(0), 1, kStart), borrower(ThreeMembers(1), 2, kStart);
   for (MemberId member = 0; member < 3; ++member) {
     lender.OnHeldLeases(kStart, member, Incarnation{1, 1 + member}, kIncarnation, {kIncarnation, 0, {}});
