--- a/src/fleet/outlier_consensus.cpp
+++ b/src/fleet/outlier_consensus.cpp
@@ -11,23 +11,25 @@
 
 using std::chrono::seconds;
 
-constexpr Micros kObservationValid = seconds(5);
-constexpr std::size_t kMaxObservations = 32;    // Of one endpoint.
-constexpr std::size_t kMinBadObservations = 3;  // So many, and half of all at least, make a bad verdict.
-constexpr Micros kEvidenceValid = seconds(6);   // How long evidence is valid at most.
-constexpr Micros kRepeatInterval = seconds(3);  // Of own evidence, while it holds.
+constexpr Micros kObservationLifetime = seconds(5);
+constexpr std::size_t kMaxObservations = 32;      // Per endpoint.
+constexpr std::size_t kMinBadObservations = 3;    // For a bad verdict; half of all must be bad, too.
+constexpr Micros kEvidenceLifetime = seconds(6);  // Upper limit on the validity of received evidence.
+constexpr Micros kResendInterval = seconds(3);    // Of own evidence, while the verdict persists.
 constexpr std::size_t kMinWitnesses = 2;
-constexpr Micros kRemoteOnlyLimit = seconds(2);  // On remote evidence alone no endpoint is ejected longer,
-constexpr Micros kRemoteOnlyPause = seconds(6);  // nor again so soon after that.
-constexpr std::size_t kMinBadLinkVerdicts = 3;   // Before a witness's own link is in question.
-constexpr unsigned kGossipFactor = 2;            // Times log2 of the fleet: how often evidence is sent.
+// Longest ejection on remote evidence alone, and the minimum time from its end to the next one.
+constexpr Micros kMaxRemoteOnlyEjection = seconds(2);
+constexpr Micros kRemoteOnlyCooldown = seconds(6);
+constexpr std::size_t kMinBadLinkVerdicts = 3;  // Minimum to suspect the witness's own link.
+constexpr unsigned kGossipSendMultiplier = 2;   // Evidence is sent this many times log2(fleet size).
 constexpr std::size_t kMaxEndpoints = 8192;
 
 bool IsBad(HealthVerdict verdict) { return verdict != HealthVerdict::kHealthy; }
 
-unsigned SendsOf(std::size_t fleet_size) {
+// How often a piece of evidence is sent.
+unsigned GossipSendLimit(std::size_t fleet_size) {
   const auto members = static_cast<double>(std::max<std::size_t>(fleet_size, 1));
-  return kGossipFactor * static_cast<unsigned>(std::ceil(std::log2(members + 1)));
+  return kGossipSendMultiplier * static_cast<unsigned>(std::ceil(std::log2(members + 1)));
 }
 
 }  // namespace
@@ -36,9 +38,11 @@
   std::map<std::string, std::int64_t> listed;
   for (const FleetClient::ListedEndpoint& endpoint : endpoints) {
     listed[endpoint.id] = endpoint.started_unix_ms;
-    // What was observed of the former process does not concern the new one.
-    const auto before = listed_.find(endpoint.id);
-    if (before != listed_.end() && before->second != endpoint.started_unix_ms) endpoints_.erase(endpoint.id);
+    // Observations of the previous process do not apply to the new one.
+    const auto previous = listed_.find(endpoint.id);
+    if (previous != listed_.end() && previous->second != endpoint.started_unix_ms) {
+      endpoints_.erase(endpoint.id);
+    }
   }
   listed_ = std::move(listed);
   std::erase_if(endpoints_, [&](const auto& known) { return !listed_.contains(known.first); });
@@ -46,13 +50,13 @@
 
 bool OutlierConsensus::IsValid(const RemoteEvidence& remote, Micros now) const {
   if (IsInjected(Fault::kEvidenceNeverExpires)) return true;
-  return now < remote.made + std::min(AtMost(remote.evidence.valid), kEvidenceValid);
+  return now < remote.created_at + std::min(AtMost(remote.evidence.valid), kEvidenceLifetime);
 }
 
 void OutlierConsensus::Expire(Endpoint& endpoint, Micros now) const {
   auto& observations = endpoint.observations;
   while (!observations.empty() &&
-         (observations.front().at + kObservationValid <= now || observations.size() > kMaxObservations)) {
+         (observations.front().at + kObservationLifetime <= now || observations.size() > kMaxObservations)) {
     observations.pop_front();
   }
   std::erase_if(endpoint.remote, [&](const auto& remote) { return !IsValid(remote.second, now); });
@@ -70,30 +74,31 @@
   }
 }
 
-// The endpoint is healthy: evidence to the contrary is disproved, if it is older than what was observed now.
+// The endpoint was just observed as healthy: counts evidence to the contrary as disproved, unless it is too
+// recent to be certainly older than this observation.
 void OutlierConsensus::CountMisreports(Micros now, const std::string& id, const Endpoint& endpoint) {
   for (const auto& [author, remote] : endpoint.remote) {
     if (!IsBad(remote.evidence.verdict) || !IsValid(remote, now) ||
-        now - remote.made < kRemoteOnlyLimit / 2) {
+        now - remote.created_at < kMaxRemoteOnlyEjection / 2) {
       continue;
     }
-    if (reputation_.OnMisreport(now, author, id, remote.evidence.version)) ++counts_.contradicted;
+    if (reputation_.OnMisreport(now, author, id, remote.evidence.version)) ++counts_.disproved;
   }
 }
 
 std::optional<HealthVerdict> OutlierConsensus::OwnVerdict(Micros now, const std::string& endpoint) const {
-  const auto at = endpoints_.find(endpoint);
-  if (at == endpoints_.end()) return std::nullopt;
+  const auto it = endpoints_.find(endpoint);
+  if (it == endpoints_.end()) return std::nullopt;
   std::size_t bad = 0, all = 0;
   std::map<HealthVerdict, std::size_t> by_verdict;
-  for (const Observation& observation : at->second.observations) {
-    if (observation.at + kObservationValid <= now) continue;
+  for (const Observation& observation : it->second.observations) {
+    if (observation.at + kObservationLifetime <= now) continue;
     ++all;
     ++by_verdict[observation.verdict];
     bad += IsBad(observation.verdict) ? 1 : 0;
   }
   if (all == 0) return std::nullopt;
-  if (!IsBad(at->second.observations.back().verdict)) {
+  if (!IsBad(it->second.observations.back().verdict)) {
     return 2 * bad > all ? std::nullopt : std::optional(HealthVerdict::kHealthy);
   }
   if (bad < kMinBadObservations || 2 * bad < all) return std::nullopt;
@@ -108,28 +113,28 @@
 
 void OutlierConsensus::OnEvidence(Micros now, const Evidence& evidence, std::optional<Micros> transit) {
   if (evidence.author == settings_.self) return;
-  // Evidence without a bound on its age may be of any time.
+  // Evidence without an upper bound on its age could be arbitrarily old.
   if (!evidence.age || !transit) {
     ++counts_.stale;
     return;
   }
-  const RemoteEvidence fresh{evidence, now - *evidence.age - *transit, true, 0};
-  if (!IsValid(fresh, now)) {
+  const RemoteEvidence received{evidence, now - *evidence.age - *transit, true, 0};
+  if (!IsValid(received, now)) {
     ++counts_.stale;
     return;
   }
   if (!endpoints_.contains(evidence.endpoint) && endpoints_.size() >= kMaxEndpoints) return;
-  if (!listed_.contains(evidence.endpoint)) return;  // Relays that list it pass it on.
+  if (!listed_.contains(evidence.endpoint)) return;  // Relays that list the endpoint forward it.
   Endpoint& endpoint = endpoints_[evidence.endpoint];
   const auto known = endpoint.remote.find(evidence.author);
   if (known != endpoint.remote.end()) {
-    const Evidence& former = known->second.evidence;
-    const bool same_run = former.incarnation.id == evidence.incarnation.id;
-    if (same_run && former.version >= evidence.version) return;
-    if (former.incarnation > evidence.incarnation) return;
+    const Evidence& previous = known->second.evidence;
+    const bool same_incarnation = previous.incarnation.id == evidence.incarnation.id;
+    if (same_incarnation && previous.version >= evidence.version) return;
+    if (previous.incarnation > evidence.incarnation) return;
   }
-  ++counts_.heard;
-  endpoint.remote[evidence.author] = fresh;
+  ++counts_.accepted;
+  endpoint.remote[evidence.author] = received;
 }
 
 void OutlierConsensus::OnIncarnationEnded(MemberId author, const Incarnation& incarnation) {
@@ -145,8 +150,8 @@
 bool OutlierConsensus::HasBadLink(MemberId author, Micros now) const {
   std::size_t bad = 0;
   for (const auto& [id, endpoint] : endpoints_) {
-    const auto at = endpoint.remote.find(author);
-    if (at != endpoint.remote.end() && IsValid(at->second, now) && IsBad(at->second.evidence.verdict)) ++bad;
+    const auto it = endpoint.remote.find(author);
+    if (it != endpoint.remote.end() && IsValid(it->second, now) && IsBad(it->second.evidence.verdict)) ++bad;
   }
   return bad >= kMinBadLinkVerdicts && 2 * bad > listed_.size();
 }
@@ -160,8 +165,9 @@
   for (const MemberId author : authors) {
     if (HasBadLink(author, now)) out.push_back({author, "judges more than half of the servers bad"});
   }
-  for (const MemberId author : reputation_.DistrustedAuthors(now))
+  for (const MemberId author : reputation_.DistrustedAuthors(now)) {
     out.push_back({author, "was found wrong here"});
+  }
   return out;
 }
 
@@ -176,11 +182,11 @@
     const auto listed = listed_.find(id);
     if (listed == listed_.end()) continue;
     const Votes votes = CountVotes(endpoint, listed->second, distrusted, now);
-    if (MayEjectRemotely(endpoint, votes, IsDecidedLocally(id, endpoint, now), now)) {
+    if (UpdateRemoteOnlyEjection(endpoint, votes, IsDecidedLocally(id, endpoint, now), now)) {
       candidates.push_back({votes.bad, id});
     }
   }
-  return MostWitnessed(std::move(candidates));
+  return ApplyEjectionCap(std::move(candidates));
 }
 
 OutlierConsensus::Votes OutlierConsensus::CountVotes(const Endpoint& endpoint, std::int64_t started,
@@ -198,37 +204,37 @@
   return votes;
 }
 
-// An own verdict, or the last observation was good though others before it were not.
+// True if there is an own verdict, or if the last observation was good even though earlier ones were not.
 bool OutlierConsensus::IsDecidedLocally(const std::string& id, const Endpoint& endpoint, Micros now) const {
   if (IsInjected(Fault::kRemoteEvidenceFirst)) return false;
-  const bool last_was_good = !endpoint.observations.empty() && !IsBad(endpoint.observations.back().verdict);
-  return last_was_good || OwnVerdict(now, id).has_value();
+  const bool last_is_good = !endpoint.observations.empty() && !IsBad(endpoint.observations.back().verdict);
+  return last_is_good || OwnVerdict(now, id).has_value();
 }
 
-// Starts and ends the period of an ejection on remote evidence alone, and the pause after it.
-bool OutlierConsensus::MayEjectRemotely(Endpoint& endpoint, const Votes& votes, bool decided_locally,
-                                        Micros now) {
-  std::optional<Micros>& since = endpoint.remote_only_since;
-  const bool pause_is_over = !since || now >= *since + kRemoteOnlyLimit + kRemoteOnlyPause;
+bool OutlierConsensus::UpdateRemoteOnlyEjection(Endpoint& endpoint, const Votes& votes, bool decided_locally,
+                                                Micros now) {
+  std::optional<Micros>& since = endpoint.remote_only_ejected_at;
+  const bool cooldown_is_over = !since || now >= *since + kMaxRemoteOnlyEjection + kRemoteOnlyCooldown;
   const std::size_t needed = IsInjected(Fault::kOneWitnessSuffices) ? 1 : kMinWitnesses;
   if (decided_locally || votes.bad < needed || votes.bad <= votes.healthy) {
-    if (decided_locally || pause_is_over) since.reset();
+    if (decided_locally || cooldown_is_over) since.reset();
     return false;
   }
-  if (pause_is_over) since = now;
-  return now < *since + kRemoteOnlyLimit || IsInjected(Fault::kEvidenceNeverExpires);
+  if (cooldown_is_over) since = now;
+  return now < *since + kMaxRemoteOnlyEjection || IsInjected(Fault::kEvidenceNeverExpires);
 }
 
-// Caps the ejections at the configured fraction of the listed endpoints.
-std::set<std::string> OutlierConsensus::MostWitnessed(std::vector<EjectionCandidate> candidates) {
+// Limits the ejections to the configured fraction of the listed endpoints, those with the most witnesses
+// first.
+std::set<std::string> OutlierConsensus::ApplyEjectionCap(std::vector<EjectionCandidate> candidates) {
   std::sort(candidates.begin(), candidates.end(), [](const EjectionCandidate& a, const EjectionCandidate& b) {
     return a.witnesses != b.witnesses ? a.witnesses > b.witnesses : a.endpoint < b.endpoint;
   });
-  const auto most = static_cast<std::size_t>(
+  const auto max_ejected = static_cast<std::size_t>(
       std::floor(settings_.max_ejected_fraction * static_cast<double>(listed_.size())));
-  if (candidates.size() > most && !IsInjected(Fault::kNoEjectionCap)) {
-    counts_.capped += candidates.size() - most;
-    candidates.resize(most);
+  if (candidates.size() > max_ejected && !IsInjected(Fault::kNoEjectionCap)) {
+    counts_.capped += candidates.size() - max_ejected;
+    candidates.resize(max_ejected);
   }
   std::set<std::string> out;
   for (const EjectionCandidate& candidate : candidates) out.insert(candidate.endpoint);
@@ -238,15 +244,15 @@
 // ---- gossip ----
 
 void OutlierConsensus::RefreshOwnEvidence(Micros now, const Incarnation& self, const std::string& id,
-                                          Endpoint& endpoint, unsigned sends) {
+                                          Endpoint& endpoint, unsigned send_limit) {
   Evidence& own = endpoint.own;
   const auto verdict = OwnVerdict(now, id);
   if (!verdict) return;
   const bool in_force =
-      own.version != 0 && IsBad(own.verdict) && now < endpoint.last_observed + kEvidenceValid;
+      own.version != 0 && IsBad(own.verdict) && now < endpoint.last_observation_at + kEvidenceLifetime;
   const bool changed_or_due =
-      !in_force || own.verdict != *verdict || now >= endpoint.own_made + kRepeatInterval;
-  // A healthy verdict is sent only to take back a bad one.
+      !in_force || own.verdict != *verdict || now >= endpoint.own_created_at + kResendInterval;
+  // A healthy verdict is sent only to retract a bad one.
   if (IsBad(*verdict) ? !changed_or_due : !in_force) return;
   own.author = settings_.self;
   own.incarnation = self;
@@ -255,17 +261,17 @@
   own.verdict = *verdict;
   own.observations = static_cast<std::uint32_t>(endpoint.observations.size());
   own.version = ++version_;
-  own.valid = kEvidenceValid;
-  endpoint.own_made = now;
+  own.valid = kEvidenceLifetime;
+  endpoint.own_created_at = now;
   for (const Observation& observation : endpoint.observations) {
-    if (IsBad(observation.verdict) == IsBad(*verdict)) endpoint.last_observed = observation.at;
+    if (IsBad(observation.verdict) == IsBad(*verdict)) endpoint.last_observation_at = observation.at;
   }
-  endpoint.own_sends_left = sends;
+  endpoint.own_sends_left = send_limit;
 }
 
 std::vector<Evidence> OutlierConsensus::EvidenceToGossip(Micros now, const Incarnation& self,
                                                          std::size_t max_bytes, std::size_t fleet_size) {
-  const unsigned sends = SendsOf(fleet_size);
+  const unsigned send_limit = GossipSendLimit(fleet_size);
   std::vector<Evidence> out;
   const auto add = [&](const Evidence& evidence) {
     const std::size_t size = SizeOf(evidence);
@@ -276,19 +282,19 @@
   };
   for (auto& [id, endpoint] : endpoints_) {
     Expire(endpoint, now);
-    RefreshOwnEvidence(now, self, id, endpoint, sends);
-    if (endpoint.own_sends_left == 0 || now >= endpoint.last_observed + kEvidenceValid) continue;
-    endpoint.own.age = AtLeast(now - endpoint.last_observed);
+    RefreshOwnEvidence(now, self, id, endpoint, send_limit);
+    if (endpoint.own_sends_left == 0 || now >= endpoint.last_observation_at + kEvidenceLifetime) continue;
+    endpoint.own.age = AtLeast(now - endpoint.last_observation_at);
     endpoint.own.incarnation = self;
     if (add(endpoint.own)) --endpoint.own_sends_left;
   }
   for (auto& [id, endpoint] : endpoints_) {
     for (auto& [author, remote] : endpoint.remote) {
       if (!IsValid(remote, now)) continue;
-      if (std::exchange(remote.is_fresh, false)) remote.sends_left = sends;
+      if (std::exchange(remote.awaits_first_send, false)) remote.sends_left = send_limit;
       if (remote.sends_left == 0) continue;
       Evidence evidence = remote.evidence;
-      evidence.age = AtLeast(now - remote.made);
+      evidence.age = AtLeast(now - remote.created_at);
       if (!add(evidence)) return out;
       --remote.sends_left;
     }
@@ -303,7 +309,7 @@
   if (bad == 0 || view.ejected) return {};
   if (view.own) return "seen here";
   if (bad < kMinWitnesses) return "too few witnesses";
-  if (endpoint.remote_only_since && now >= *endpoint.remote_only_since + kRemoteOnlyLimit) {
+  if (endpoint.remote_only_ejected_at && now >= *endpoint.remote_only_ejected_at + kMaxRemoteOnlyEjection) {
     return "held long enough";
   }
   return "witnesses not trusted, or too many servers";
@@ -318,7 +324,7 @@
     for (const auto& [author, remote] : endpoint.remote) {
       if (!IsValid(remote, now)) continue;
       view.remote_evidence.push_back(remote.evidence);
-      view.remote_evidence.back().age = now - remote.made;
+      view.remote_evidence.back().age = now - remote.created_at;
       bad += IsBad(remote.evidence.verdict) ? 1 : 0;
     }
     view.ignored = ReasonIgnored(view, endpoint, bad, now);
--- a/src/fleet/witness_reputation.cpp
+++ b/src/fleet/witness_reputation.cpp
@@ -5,7 +5,7 @@
 
 constexpr unsigned kMaxMisreports = 3;
 constexpr Micros kDistrustPeriod = std::chrono::seconds(60);
-constexpr std::size_t kMaxCounted = 256;
+constexpr std::size_t kMaxCounted = 256;  // Per author; all are forgotten when this is reached.
 
 }  // namespace
 
--- a/src/fleet/witness_reputation.h
+++ b/src/fleet/witness_reputation.h
@@ -1,4 +1,4 @@
-// How far this relay trusts the evidence of each other relay.
+// Tracks which relays' evidence this relay trusts.
 #ifndef STOATRUN_FLEET_WITNESS_REPUTATION_H_
 #define STOATRUN_FLEET_WITNESS_REPUTATION_H_
 
@@ -13,16 +13,16 @@
 
 namespace stoatrun::fleet {
 
-// Counts the evidence of each author that own observations disproved; after three such misreports the author
-// is distrusted for a minute. Used by OutlierConsensus, on its thread. Bounded: 256 pieces of evidence per
-// author are remembered as counted.
+// Counts the evidence of each author that was disproved by own observations (misreports). After three
+// misreports the author is distrusted for one minute. Used by OutlierConsensus on its thread. Memory is
+// bounded: up to 256 counted misreports are remembered per author.
 class WitnessReputation {
  public:
-  // Own observations disproved a piece of evidence. Returns true if it was not counted before.
+  // Counts a piece of evidence that own observations disproved. Returns false if it was counted before.
   bool OnMisreport(Micros now, MemberId author, const std::string& endpoint, std::uint64_t version);
-  // The author's incarnation has ended: the next one starts with a clean record.
+  // The author's incarnation has ended: the next one starts without misreports.
   void Erase(MemberId author) { records_.erase(author); }
-  // The authors that are distrusted now, by id.
+  // The currently distrusted authors, ordered by id.
   std::vector<MemberId> DistrustedAuthors(Micros now) const;
 
  private:
--- a/tests/fleet/outlier_consensus_test.cpp
+++ b/tests/fleet/outlier_consensus_test.cpp
@@ -1,4 +1,4 @@
-// Outlier detection over the fleet: ejection on remote evidence and the rules that bound it.
+// Tests of fleet-wide outlier detection: ejection on remote evidence and the rules that limit it.
 #include "fleet/outlier_consensus.h"
 
 #include <catch2/catch.hpp>
@@ -20,7 +20,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Evidence of `author` that an endpoint fails, valid for six seconds.
+// Evidence by `author` that an endpoint is failing, valid for six seconds.
 Evidence FailingEvidence(MemberId author, const std::string& endpoint, std::uint64_t version,
                          std::int64_t start = 1) {
   Evidence evidence;
@@ -55,7 +55,7 @@
 }
 
 TEST_CASE(
-    "two witnesses make a relay eject an endpoint; one does not, nor two against an own healthy "
+    "an endpoint is ejected on the evidence of two witnesses, but not of one, nor against an own healthy "
     "observation") {
   OutlierConsensus consensus = TenEndpoints();
   consensus.OnEvidence(kStart, FailingEvidence(1, "s1", 1), Micros(0));
@@ -75,12 +75,12 @@
   CHECK(consensus.EndpointsToEject(kStart).size() == 1);
   CHECK(consensus.EndpointsToEject(kStart + milliseconds(1900)).size() == 1);
   CHECK(consensus.EndpointsToEject(kStart + milliseconds(2100)).empty());
-  // Reported anew it does not eject again at once.
+  // Renewed evidence does not eject again during the cooldown.
   for (MemberId author = 1; author <= 3; ++author) {
     consensus.OnEvidence(kStart + seconds(5), FailingEvidence(author, "s1", 2), Micros(0));
   }
   CHECK(consensus.EndpointsToEject(kStart + seconds(5)).empty());
-  // Evidence without a bound on its age, or too old by that bound, is dropped.
+  // Evidence whose age is unbounded or exceeds its validity is dropped.
   for (MemberId author = 1; author <= 3; ++author) {
     consensus.OnEvidence(kStart, FailingEvidence(author, "s2", 1), std::nullopt);
     consensus.OnEvidence(kStart, FailingEvidence(author, "s3", 1), seconds(7));
@@ -89,7 +89,7 @@
   CHECK(consensus.GetCounts().stale == 6);
 }
 
-TEST_CASE("no more than the configured fraction is ejected on remote evidence, whatever is claimed") {
+TEST_CASE("no more than the configured fraction is ejected on remote evidence, whatever the evidence says") {
   OutlierConsensus consensus = TenEndpoints();
   for (MemberId author = 1; author <= 9; ++author) {
     for (int endpoint = 0; endpoint < 5; ++endpoint) {
@@ -97,7 +97,7 @@
     }
   }
   CHECK(consensus.EndpointsToEject(kStart).size() == 3);
-  // A witness that finds more than half of them bad shows that its own link is bad.
+  // A witness that reports more than half of the endpoints as bad is assumed to have a bad link.
   for (MemberId author = 1; author <= 9; ++author) {
     consensus.OnEvidence(kStart, FailingEvidence(author, "s5", 1), Micros(0));
   }
@@ -105,10 +105,11 @@
   CHECK(consensus.DistrustedWitnesses(kStart).size() == 9);
 }
 
-TEST_CASE("evidence ends with the process of its endpoint and with the incarnation of its author") {
+TEST_CASE("evidence expires with the process of its endpoint and with the incarnation of its author") {
   OutlierConsensus consensus = TenEndpoints();
   for (MemberId author = 1; author <= 3; ++author) {
-    consensus.OnEvidence(kStart, FailingEvidence(author, "s1", 1, 0), Micros(0));  // Of an earlier process.
+    // Evidence on an earlier process of s1.
+    consensus.OnEvidence(kStart, FailingEvidence(author, "s1", 1, 0), Micros(0));
   }
   CHECK(consensus.EndpointsToEject(kStart).empty());
   for (MemberId author = 1; author <= 2; ++author) {
@@ -118,7 +119,7 @@
   CHECK(consensus.EndpointsToEject(kStart).empty());
 }
 
-TEST_CASE("a witness whose evidence was disproved is distrusted for a while") {
+TEST_CASE("a witness whose evidence was repeatedly disproved is distrusted") {
   OutlierConsensus consensus = TenEndpoints();
   Micros now = kStart;
   for (std::uint64_t version = 1; version <= 3; ++version) {
