--- a/src/fleet/connection_counts.cpp
+++ b/src/fleet/connection_counts.cpp
@@ -7,9 +7,9 @@
 namespace stoatrun::fleet {
 namespace {
 
-constexpr Micros kReportPausePerRelay = std::chrono::milliseconds(150);
-constexpr Micros kMinReportPause = std::chrono::seconds(1);
-constexpr std::size_t kMaxParts = 64;  // Of one report; bounds what a forged one makes this relay keep.
+constexpr Micros kReportIntervalPerRelay = std::chrono::milliseconds(150);
+constexpr Micros kMinReportInterval = std::chrono::seconds(1);
+constexpr std::size_t kMaxParts = 64;  // Per report; bounds the memory that a forged report can occupy.
 
 }  // namespace
 
@@ -30,22 +30,22 @@
 }
 
 Micros FleetCounts::ReportInterval(std::size_t relays) {
-  return std::max(kMinReportPause, kReportPausePerRelay * static_cast<int>(relays));
+  return std::max(kMinReportInterval, kReportIntervalPerRelay * static_cast<int>(relays));
 }
 
 Micros FleetCounts::StaleAfter() const {
   return std::max(settings_.stale_after, ReportInterval(members_.size()) * 5 / 2);
 }
 
-// ---- reports in ----
+// ---- incoming reports ----
 
-CountsRecord& FleetCounts::Expect(Micros now, MemberId member_id, MemberCounts& member,
-                                  const Incarnation& incarnation) const {
-  const auto [at, fresh] = member.incarnations.try_emplace(incarnation.id);
-  CountsRecord& record = at->second;
+CountsRecord& FleetCounts::FindOrCreateRecord(Micros now, MemberId member_id, MemberCounts& member,
+                                              const Incarnation& incarnation) const {
+  const auto [it, created] = member.incarnations.try_emplace(incarnation.id);
+  CountsRecord& record = it->second;
   record.incarnation = std::max(record.incarnation, incarnation);
-  // Whatever peers report of this relay itself is of its former incarnations.
-  if (fresh && member_id == settings_.self) record.End(now);
+  // What peers report about this relay itself concerns its previous incarnations.
+  if (created && member_id == settings_.self) record.MarkEnded(now);
   return record;
 }
 
@@ -65,18 +65,18 @@
   }
   const auto known = member.incarnations.find(update.incarnation.id);
   if (known == member.incarnations.end()) return update.incarnation.generation > member.merged_generation;
-  // The own present counts are exact.
+  // This relay's current counts are exact and are never replaced by a report.
   return update.member_id != settings_.self || known->second.ended;
 }
 
 void FleetCounts::ApplyBounds(Micros now, const MemberCounts& member, CountsRecord& record,
                               const CountsUpdate& update, std::optional<Micros> age) {
-  if (update.ended && member.IsFollowed(record)) {
-    record.End(now);
+  if (update.ended && member.HasSuccessor(record)) {
+    record.MarkEnded(now);
     record.TightenGap(update.age);
   }
   record.TightenAge(now, age);
-  record.CloseGap(now);
+  record.BoundGapByAge(now);
 }
 
 void FleetCounts::OnUpdate(Micros now, const CountsUpdate& update, std::optional<Micros> transit) {
@@ -87,7 +87,7 @@
     std::erase_if(member.incarnations,
                   [&](const auto& known) { return known.first != update.incarnation.id; });
   }
-  CountsRecord& record = Expect(now, update.member_id, member, update.incarnation);
+  CountsRecord& record = FindOrCreateRecord(now, update.member_id, member, update.incarnation);
   std::optional<Micros> age;
   if (!update.ended) {
     age = IsInjected(Fault::kAgeWithoutTransit) ? update.age : SumOfBounds(update.age, transit);
@@ -98,28 +98,28 @@
     }
     return;
   }
-  const bool replaces = update.version > record.version;
-  if (replaces && !record.AddPart(now, update, age)) return;
+  const bool is_newer = update.version > record.version;
+  if (is_newer && !record.AddPart(now, update, age)) return;
   ApplyBounds(now, member, record, update, age);
-  if (replaces) member.MergeOldest();
+  if (is_newer) member.MergeOldest();
 }
 
 void FleetCounts::OnDigest(Micros now, const CountsDigest& digest, std::optional<Micros> transit) {
   const auto member = members_.find(digest.member_id);
   if (member == members_.end() || digest.run == 0) return;
   CountsRecord* record = member->second.Find(digest.run);
-  // An incarnation that is not known here is learnt of with its counts, or in a member list.
+  // An unknown incarnation is added by its counts update or by a member list, not by a digest.
   if (record == nullptr || record->version != digest.version) return;
   if (digest.member_id == settings_.self && !record->ended) return;
   if (digest.ended) {
-    if (!member->second.IsFollowed(*record)) return;
-    record->End(now);
+    if (!member->second.HasSuccessor(*record)) return;
+    record->MarkEnded(now);
     record->TightenGap(digest.age);
     return;
   }
   record->TightenAge(now,
                      IsInjected(Fault::kAgeWithoutTransit) ? digest.age : SumOfBounds(digest.age, transit));
-  record->CloseGap(now);
+  record->BoundGapByAge(now);
 }
 
 // ---- incarnations ----
@@ -127,10 +127,12 @@
 void FleetCounts::OnIncarnation(Micros now, MemberId member_id, const Incarnation& incarnation) {
   const auto member = members_.find(member_id);
   if (member == members_.end() || member_id == settings_.self) return;
-  if (!member->second.incarnations.contains(incarnation.id) && member->second.Covers(incarnation)) return;
-  CountsRecord& record = Expect(now, member_id, member->second, incarnation);
-  // Before it raised its generation it may have been taken for the predecessor of an incarnation that it
-  // follows, and so for one that has ended.
+  if (!member->second.incarnations.contains(incarnation.id) && member->second.IsKnownOrMerged(incarnation)) {
+    return;
+  }
+  CountsRecord& record = FindOrCreateRecord(now, member_id, member->second, incarnation);
+  // Before this incarnation raised its generation, it may have been mistaken for the predecessor of the
+  // incarnation that it actually follows, and marked as ended.
   record.ended = false;
   record.gap.reset();
 }
@@ -140,17 +142,18 @@
   const auto found = members_.find(member_id);
   if (found == members_.end() || !incarnation) return;
   MemberCounts& member = found->second;
-  // Nothing is known of the new incarnation yet except that it began after the former one's last report.
-  const auto former = member.incarnations.find(incarnation.id);
-  if (present && former != member.incarnations.end() && !member.incarnations.contains(present.id)) {
-    CountsRecord fresh;
-    fresh.incarnation = present;
-    fresh.age = former->second.AgeBound(now);
-    fresh.age_at = now;
-    member.incarnations[present.id] = fresh;
+  // All that is known about the new incarnation so far is that it started after the last report of the
+  // previous one.
+  const auto previous = member.incarnations.find(incarnation.id);
+  if (present && previous != member.incarnations.end() && !member.incarnations.contains(present.id)) {
+    CountsRecord record;
+    record.incarnation = present;
+    record.age = previous->second.AgeBound(now);
+    record.age_at = now;
+    member.incarnations[present.id] = record;
   }
-  if (!member.incarnations.contains(incarnation.id) && member.Covers(incarnation)) return;
-  Expect(now, member_id, member, incarnation).End(now);
+  if (!member.incarnations.contains(incarnation.id) && member.IsKnownOrMerged(incarnation)) return;
+  FindOrCreateRecord(now, member_id, member, incarnation).MarkEnded(now);
 }
 
 MemberListPage FleetCounts::MemberList(MemberId from, std::size_t max_bytes) const {
@@ -159,14 +162,14 @@
   page.next = settings_.fleet_size;
   page.complete = IsComplete();
   page.basis = member_list_sync_.BasisBitmap();
-  for (auto at = members_.lower_bound(from); at != members_.end(); ++at) {
+  for (auto it = members_.lower_bound(from); it != members_.end(); ++it) {
     const std::size_t before = page.incarnations.size();
-    for (const auto& [id, record] : at->second.incarnations) {
-      page.incarnations.push_back({at->first, record.incarnation});
+    for (const auto& [id, record] : it->second.incarnations) {
+      page.incarnations.push_back({it->first, record.incarnation});
     }
     if (SizeOf(page) > max_bytes && before > 0) {
       page.incarnations.resize(before);
-      page.next = at->first;
+      page.next = it->first;
       break;
     }
   }
@@ -177,9 +180,10 @@
   for (const auto& [member_id, incarnation] : page.incarnations) {
     const auto member = members_.find(member_id);
     if (member == members_.end() || !incarnation) continue;
-    // Until its reports come nothing else is known of it.
-    if (member->second.incarnations.contains(incarnation.id) || !member->second.Covers(incarnation)) {
-      Expect(now, member_id, member->second, incarnation);
+    // Creates an empty record; nothing else is known until the first report arrives.
+    if (member->second.incarnations.contains(incarnation.id) ||
+        !member->second.IsKnownOrMerged(incarnation)) {
+      FindOrCreateRecord(now, member_id, member->second, incarnation);
     }
   }
   return member_list_sync_.OnPage(now, peer, page, settings_);
@@ -190,16 +194,16 @@
 ConnectionTotals FleetCounts::Sum(Micros now, std::optional<std::uint32_t> class_index,
                                   std::optional<std::string_view> group) const {
   IntervalSum sum(settings_, now, StaleAfter(), {class_index, group});
-  if (!IsComplete() && !settings_.peers.empty()) sum.AddIncomplete();
+  if (!IsComplete() && !settings_.peers.empty()) sum.MarkIncomplete();
   for (const auto& [member_id, member] : members_) {
     if (member.incarnations.empty()) {
-      sum.AddUnheard();
+      sum.AddUnreportedMember();
       continue;
     }
     if (member.merged.ended) sum.Add(member.merged, true);
-    Incarnation last;
-    for (const auto& [id, record] : member.incarnations) last = std::max(last, record.incarnation);
-    for (const auto& [id, record] : member.incarnations) sum.Add(record, record.incarnation.id != last.id);
+    Incarnation latest;
+    for (const auto& [id, record] : member.incarnations) latest = std::max(latest, record.incarnation);
+    for (const auto& [id, record] : member.incarnations) sum.Add(record, record.incarnation.id != latest.id);
   }
   return sum.Totals();
 }
@@ -208,10 +212,10 @@
   std::vector<IncarnationCounts> out;
   for (const auto& [member_id, member] : members_) {
     for (const auto& [id, record] : member.incarnations) {
-      IncarnationCounts part{
+      IncarnationCounts counts{
           member_id, record.incarnation, record.version, record.ReportedAge(now), record.ended, {}};
-      for (const ConnectionCountsRow& row : record.rows) AddTo(part.sum, row.counts);
-      out.push_back(part);
+      for (const ConnectionCountsRow& row : record.rows) AddTo(counts.sum, row.counts);
+      out.push_back(counts);
     }
   }
   return out;
--- a/src/fleet/connection_counts.h
+++ b/src/fleet/connection_counts.h
@@ -1,14 +1,15 @@
-// How many connections the whole fleet has accepted, served, rejected, failed and holds open.
+// Fleet-wide counts of accepted, served, rejected, failed and open connections.
 //
-// Each incarnation of a relay keeps its own counts and reports them as a whole, under a version that rises;
-// whoever has a later version of the same incarnation drops an earlier one. Incarnations are never added to
-// each other, and an ended one stays in the sum. So the counts are a state-based CRDT (a map of incarnations
-// to versioned registers; compare delta-state CRDTs, Almeida, Shoker, Baquero 2018): a report that comes
-// twice, late or by many ways changes nothing. Peers exchange digests and send each other only what is
-// missing (anti-entropy).
+// Each incarnation of a relay maintains its own counts and reports them in full under an increasing version;
+// a receiver drops any version older than the one it holds for that incarnation. Counts of different
+// incarnations are stored separately, and an ended incarnation stays in the sum. The counts therefore form a
+// state-based CRDT (a map from incarnations to versioned registers; compare delta-state CRDTs, Almeida,
+// Shoker, Baquero 2018): duplicated, late or repeatedly forwarded reports have no effect. Peers exchange
+// digests and send each other only the missing reports (anti-entropy).
 //
-// counts_interval.h says how the reports become a sum that holds the true value. Deterministic and not
-// thread-safe; see node.h. Bounded: four incarnations are kept apart per member, older ended ones are merged.
+// counts_interval.h describes how the reports are combined into a sum that contains the true value.
+// Deterministic and not thread-safe; see node.h. Memory is bounded: up to four incarnations per member are
+// stored separately, older ended ones are merged.
 #ifndef STOATRUN_FLEET_CONNECTION_COUNTS_H_
 #define STOATRUN_FLEET_CONNECTION_COUNTS_H_
 
@@ -31,10 +32,10 @@
 
 namespace stoatrun::fleet {
 
-// The connection counts of all relays, as this relay knows them.
+// The connection counts of all relays, as known to this relay.
 class FleetCounts {
  public:
-  // One incarnation's counts, for the status call.
+  // The counts of one incarnation, for the status document.
   struct IncarnationCounts {
     MemberId member_id = 0;
     Incarnation incarnation;
@@ -43,7 +44,7 @@
     bool ended = false;
     ConnectionCounts sum;
   };
-  // A class and group that some report names.
+  // A class and group that occurs in at least one report.
   struct Key {
     std::uint32_t class_index = 0;
     std::string group;
@@ -51,72 +52,76 @@
     auto operator<=>(const Key&) const = default;
   };
 
-  // `seed`: of the random choice of digests.
+  // `seed`: for the random selection of digests.
   FleetCounts(const Settings& settings, std::uint64_t seed);
 
-  // Sets this relay's own rows, which are exact as of `now`.
+  // Sets this relay's own rows, exact as of `now`.
   void SetLocal(Micros now, const Incarnation& incarnation, std::uint64_t version,
                 const std::vector<ConnectionCountsRow>& rows);
-  // Takes a report in, of whatever age. `transit`: upper bound on its datagram's time under way; nothing:
-  // unknown.
+  // Processes a received report of any age. `transit`: upper bound on the transit time of its datagram;
+  // nullopt: unknown.
   void OnUpdate(Micros now, const CountsUpdate& update, std::optional<Micros> transit);
-  // A peer has a report: takes over its bound on the age if that is tighter.
+  // Processes a digest of a peer: adopts the peer's bound on a report's age if it is tighter.
   void OnDigest(Micros now, const CountsDigest& digest, std::optional<Micros> transit);
-  // An incarnation was heard of, perhaps before any report of it.
+  // An incarnation became known, possibly before its first report arrived.
   void OnIncarnation(Micros now, MemberId member_id, const Incarnation& incarnation);
-  // An incarnation has ended: a new one (`present`) was heard of, or the member left (none).
+  // An incarnation has ended: a new one (`present`) became known, or the member left (`present` is empty).
   void OnIncarnationEnded(Micros now, MemberId member_id, const Incarnation& incarnation,
                           const Incarnation& present = {});
 
-  // Where to start reading the member list of `peer`; nothing: not wanted now. See member_list_sync.h.
+  // The member at which to start reading the member list of `peer`; nullopt: no read is due. See
+  // member_list_sync.h.
   std::optional<MemberId> MemberListWanted(Micros now, MemberId peer) {
     return member_list_sync_.Wanted(now, peer);
   }
-  // A page of the own member list that starts at `from`, within `max_bytes` if it names more than one member.
+  // A page of this relay's member list that starts at `from`. It fits `max_bytes` unless it contains a single
+  // member.
   MemberListPage MemberList(MemberId from, std::size_t max_bytes) const;
-  // Takes a page in. Returns the start of the next page to ask for, if there is one.
+  // Processes a received page. Returns the start of the next page to request, if there is one.
   std::optional<MemberId> OnMemberList(Micros now, MemberId peer, const MemberListPage& page);
-  // True if all incarnations that any relay knows are known here.
+  // True if this relay knows every incarnation that any relay knows.
   bool IsComplete() const { return member_list_sync_.IsComplete(); }
-  // Follows a changed operator file: peers added or removed.
+  // Applies a reloaded operator file that adds or removes peers.
   void SetPeers(const std::vector<Peer>& peers);
 
-  // Digests of this relay's own reports and of some members drawn at random, within `max_bytes`.
+  // Digests of this relay's own reports and of randomly selected members, within `max_bytes`.
   std::vector<CountsDigest> Digests(Micros now, std::size_t max_bytes);
-  // The reports that a peer with the digests `theirs` lacks, within `max_bytes`.
+  // The reports that are missing at a peer with the digests `theirs`, within `max_bytes`.
   std::vector<CountsUpdate> MissingUpdates(Micros now, const std::vector<CountsDigest>& theirs,
                                            std::size_t max_bytes) const;
-  // Digests of the members of which the peer has reports that this relay lacks.
+  // This relay's digests of the members for which the peer has newer reports; sending them requests those.
   std::vector<CountsDigest> DigestsToRequest(Micros now, const std::vector<CountsDigest>& theirs) const;
-  // Of the reports that both have, those on whose age this relay knows a much tighter bound, within
-  // `max_bytes`.
+  // Digests of the reports that both sides have and for which this relay has a much tighter bound on the age,
+  // within `max_bytes`.
   std::vector<CountsDigest> TighterDigests(Micros now, const std::vector<CountsDigest>& theirs,
                                            std::size_t max_bytes) const;
 
-  // The least time between two reports of one relay, in a fleet of so many: each report costs every relay its
-  // bytes.
+  // The minimum interval between two reports of one relay in a fleet of `relays` relays. It grows with the
+  // fleet because every report costs bandwidth at every relay.
   static Micros ReportInterval(std::size_t relays);
-  // A report older than this is widened: the setting, or what two reports take to arrive, if that is longer.
+  // Reports older than this are widened: the setting, or the time two reports take to arrive if that is
+  // longer.
   Micros StaleAfter() const;
 
-  // The fleet's connections as intervals, over all classes and groups or those named.
+  // The fleet's connection counts as intervals, over all classes and groups or the given ones.
   ConnectionTotals Sum(Micros now, std::optional<std::uint32_t> class_index = std::nullopt,
                        std::optional<std::string_view> group = std::nullopt) const;
-  // Every incarnation that is kept apart, by member.
+  // Every separately stored incarnation, ordered by member.
   std::vector<IncarnationCounts> CountsByIncarnation(Micros now) const;
-  // The classes and groups that any report names, sorted.
+  // All classes and groups that occur in the reports, sorted.
   std::vector<Key> Keys() const;
 
  private:
-  // The record of an incarnation that was heard of; made if there is none.
-  CountsRecord& Expect(Micros now, MemberId member_id, MemberCounts& member,
-                       const Incarnation& incarnation) const;
-  // The ends and bounds that an update of a known version brings.
+  // The record of an incarnation, created if it does not exist.
+  CountsRecord& FindOrCreateRecord(Micros now, MemberId member_id, MemberCounts& member,
+                                   const Incarnation& incarnation) const;
+  // Applies the end of an incarnation and the bounds on age and gap that an update carries.
   static void ApplyBounds(Micros now, const MemberCounts& member, CountsRecord& record,
                           const CountsUpdate& update, std::optional<Micros> age);
-  // True if the update can be taken in at all.
+  // True if the update is well-formed and concerns an incarnation whose counts may be updated.
   bool IsAcceptable(const MemberCounts& member, const CountsUpdate& update) const;
-  static std::vector<CountsDigest> DigestsOf(Micros now, MemberId member_id, const MemberCounts& member);
+  static std::vector<CountsDigest> DigestsForMember(Micros now, MemberId member_id,
+                                                    const MemberCounts& member);
 
   Settings settings_;
   Random random_;
--- a/src/fleet/counts_interval.cpp
+++ b/src/fleet/counts_interval.cpp
@@ -64,7 +64,7 @@
                    std::min<std::uint64_t>(settings_.max_open, SaturatingSum(counts.open, accepted_since)));
 }
 
-void IntervalSum::AddUnheard() {
+void IntervalSum::AddUnreportedMember() {
   ++totals_.unheard;
   for (Interval* interval : {&totals_.accepted, &totals_.served, &totals_.rejected, &totals_.failed}) {
     interval->Add(0, kUnbounded);
@@ -72,7 +72,7 @@
   totals_.open.Add(0, settings_.max_open);
 }
 
-void IntervalSum::AddIncomplete() {
+void IntervalSum::MarkIncomplete() {
   totals_.complete = false;
   for (Interval* interval :
        {&totals_.accepted, &totals_.served, &totals_.rejected, &totals_.failed, &totals_.open}) {
--- a/src/fleet/counts_record.cpp
+++ b/src/fleet/counts_record.cpp
@@ -7,17 +7,17 @@
 namespace stoatrun::fleet {
 namespace {
 
-constexpr std::size_t kMaxIncarnations = 4;  // Kept apart of one member.
+constexpr std::size_t kMaxSeparateIncarnations = 4;  // Stored separately per member.
 
 void Merge(CountsRecord& sum, const CountsRecord& record) {
   for (const ConnectionCountsRow& row : record.rows) {
-    const auto at = std::find_if(sum.rows.begin(), sum.rows.end(), [&](const ConnectionCountsRow& other) {
+    const auto it = std::find_if(sum.rows.begin(), sum.rows.end(), [&](const ConnectionCountsRow& other) {
       return other.class_index == row.class_index && other.group == row.group;
     });
-    if (at == sum.rows.end()) {
+    if (it == sum.rows.end()) {
       sum.rows.push_back(row);
     } else {
-      AddTo(at->counts, row.counts);
+      AddTo(it->counts, row.counts);
     }
   }
   const bool first = !sum.ended;
@@ -48,16 +48,16 @@
   if (bound) gap = gap ? std::min(*gap, *bound) : *bound;
 }
 
-void CountsRecord::CloseGap(Micros now) {
+void CountsRecord::BoundGapByAge(Micros now) {
   if (!ended) return;
   if (const auto bound = AgeBound(now)) TightenGap(std::max(Micros(0), *bound - AtMost(now - ended_at)));
 }
 
-void CountsRecord::End(Micros now) {
+void CountsRecord::MarkEnded(Micros now) {
   if (ended) return;
   ended = true;
   ended_at = now;
-  CloseGap(now);
+  BoundGapByAge(now);
 }
 
 bool CountsRecord::AddPart(Micros now, const CountsUpdate& update, std::optional<Micros> part_age) {
@@ -78,28 +78,28 @@
   return true;
 }
 
-bool MemberCounts::Covers(const Incarnation& incarnation) const {
+bool MemberCounts::IsKnownOrMerged(const Incarnation& incarnation) const {
   return incarnations.contains(incarnation.id) || incarnation.generation <= merged_generation;
 }
 
-const CountsRecord* MemberCounts::Find(std::uint32_t run) const {
-  const auto at = std::find_if(incarnations.begin(), incarnations.end(), [&](const auto& known) {
-    return ShortIncarnationId(known.second.incarnation) == run;
+const CountsRecord* MemberCounts::Find(std::uint32_t short_id) const {
+  const auto it = std::find_if(incarnations.begin(), incarnations.end(), [&](const auto& known) {
+    return ShortIncarnationId(known.second.incarnation) == short_id;
   });
-  return at == incarnations.end() ? nullptr : &at->second;
+  return it == incarnations.end() ? nullptr : &it->second;
 }
 
-CountsRecord* MemberCounts::Find(std::uint32_t run) {
-  return const_cast<CountsRecord*>(static_cast<const MemberCounts*>(this)->Find(run));
+CountsRecord* MemberCounts::Find(std::uint32_t short_id) {
+  return const_cast<CountsRecord*>(static_cast<const MemberCounts*>(this)->Find(short_id));
 }
 
-bool MemberCounts::IsFollowed(const CountsRecord& record) const {
+bool MemberCounts::HasSuccessor(const CountsRecord& record) const {
   return std::any_of(incarnations.begin(), incarnations.end(),
                      [&](const auto& known) { return known.second.incarnation > record.incarnation; });
 }
 
 void MemberCounts::MergeOldest() {
-  if (incarnations.size() <= kMaxIncarnations) return;
+  if (incarnations.size() <= kMaxSeparateIncarnations) return;
   const auto oldest = std::min_element(
       incarnations.begin(), incarnations.end(),
       [](const auto& a, const auto& b) { return a.second.incarnation < b.second.incarnation; });
--- a/src/fleet/counts_record.h
+++ b/src/fleet/counts_record.h
@@ -1,6 +1,6 @@
-// What is known of the connection counts of one incarnation, and of all incarnations of one member.
+// The known connection counts of one incarnation, and of all incarnations of one member.
 //
-// Plain values that FleetCounts (connection_counts.h) keeps and changes, on its thread.
+// Plain data owned and modified by FleetCounts (connection_counts.h) on its thread.
 #ifndef STOATRUN_FLEET_COUNTS_RECORD_H_
 #define STOATRUN_FLEET_COUNTS_RECORD_H_
 
@@ -14,10 +14,10 @@
 
 namespace stoatrun::fleet {
 
-// The sum of two bounds; nothing if either is unknown.
+// The sum of two bounds; nullopt if either is unknown.
 std::optional<Micros> SumOfBounds(std::optional<Micros> first, std::optional<Micros> second);
 
-// The last complete report of one incarnation, with bounds on its age. The bounds only ever get tighter.
+// The last complete report of one incarnation, with bounds on its age. Bounds on one report only get tighter.
 struct CountsRecord {
   Incarnation incarnation;
   std::uint64_t version = 0;  // 0: no report has arrived.
@@ -26,50 +26,51 @@
   Micros age_at{0};
   bool ended = false;
   Micros ended_at{0};
-  std::optional<Micros> gap;  // Upper bound on the time between the report and the incarnation's end.
+  std::optional<Micros> gap;  // Upper bound on the time between the report and the end of the incarnation.
 
-  // A later version, not all of whose parts have arrived.
+  // A later version whose parts have not all arrived yet.
   struct Assembly {
     std::uint64_t version = 0;  // 0: none.
     std::map<std::uint32_t, std::vector<ConnectionCountsRow>> parts;
     std::uint32_t parts_wanted = 0;
-    std::optional<Micros> age;  // Of the part that came first; it holds for all, as they are of one moment.
+    std::optional<Micros> age;  // Of the first part received; valid for all, as they share one snapshot.
     Micros at{0};
   };
   Assembly assembly;
 
-  // Upper bound on the report's age; nothing: unknown.
+  // Upper bound on the report's age; nullopt: unknown.
   std::optional<Micros> AgeBound(Micros now) const;
-  // What is reported to peers: the age, or of an ended incarnation the gap.
+  // The bound that is reported to peers: the age, or the gap for an ended incarnation.
   std::optional<Micros> ReportedAge(Micros now) const { return ended ? gap : AgeBound(now); }
-  // Takes `bound` if it is tighter than what is known.
+  // Adopts `bound` as the age if it is tighter than the known one.
   void TightenAge(Micros now, std::optional<Micros> bound);
-  // The same for the gap.
+  // Adopts `bound` as the gap if it is tighter than the known one.
   void TightenGap(std::optional<Micros> bound);
-  // Bounds the gap of an ended incarnation by its report's age when the end was heard of.
-  void CloseGap(Micros now);
-  // The incarnation has ended.
-  void End(Micros now);
-  // Adds a part of a version later than `version`. Returns true if that version is now complete and in force.
+  // Bounds the gap of an ended incarnation by the age that its report had when the end became known.
+  void BoundGapByAge(Micros now);
+  // Marks the incarnation as ended.
+  void MarkEnded(Micros now);
+  // Adds a part of a version later than `version`. Returns true if it completed that version, which then
+  // replaces the rows.
   bool AddPart(Micros now, const CountsUpdate& update, std::optional<Micros> part_age);
 };
 
 // All incarnations of one member that are known.
 struct MemberCounts {
   std::map<std::uint64_t, CountsRecord> incarnations;  // By id.
-  CountsRecord merged;                                 // Ended ones that are not kept apart, added up.
-  std::uint64_t merged_generation = 0;                 // The highest that was merged.
+  CountsRecord merged;                                 // Sum of the ended ones not stored separately.
+  std::uint64_t merged_generation = 0;                 // The highest generation in `merged`.
 
-  // True if the incarnation is known, or was merged.
-  bool Covers(const Incarnation& incarnation) const;
-  // The record that ShortIncarnationId() names, or null.
-  const CountsRecord* Find(std::uint32_t run) const;
-  // The same, to be changed.
-  CountsRecord* Find(std::uint32_t run);
-  // True if a later incarnation than the record's is known. Only then is an end that a peer reports believed:
-  // the peer may have taken the order of the two for the wrong one.
-  bool IsFollowed(const CountsRecord& record) const;
-  // Merges the oldest incarnation, if it has ended and too many are kept apart.
+  // True if the incarnation has a record or was merged.
+  bool IsKnownOrMerged(const Incarnation& incarnation) const;
+  // The record with the given ShortIncarnationId(), or null.
+  const CountsRecord* Find(std::uint32_t short_id) const;
+  // Mutable overload.
+  CountsRecord* Find(std::uint32_t short_id);
+  // True if a later incarnation than the record's is known. A reported end is accepted only in that case,
+  // because the reporting peer may have mistaken the order of the two incarnations.
+  bool HasSuccessor(const CountsRecord& record) const;
+  // Merges the oldest incarnation if it has ended and too many are stored separately.
   void MergeOldest();
 };
 
--- a/src/fleet/local_connection_counts.cpp
+++ b/src/fleet/local_connection_counts.cpp
@@ -14,23 +14,23 @@
 
 LocalConnectionCounts::Handle LocalConnectionCounts::Begin(std::uint32_t class_index,
                                                            std::string_view group) {
-  auto at = index_.find(std::pair(class_index, std::string(group)));
-  if (at == index_.end() && rows_.size() >= kMaxRows) {
-    // One shared row a class; so the bound is exceeded by the number of classes at the most.
+  auto it = index_.find(std::pair(class_index, std::string(group)));
+  if (it == index_.end() && rows_.size() >= kMaxRows) {
+    // One shared row per class, so the table exceeds kMaxRows by at most the number of classes.
     group = kOtherGroups;
-    at = index_.find(std::pair(class_index, std::string(group)));
+    it = index_.find(std::pair(class_index, std::string(group)));
   }
-  if (at == index_.end()) {
+  if (it == index_.end()) {
     const auto row = static_cast<std::uint32_t>(rows_.size());
-    at = index_.emplace(std::pair(class_index, std::string(group)), row).first;
+    it = index_.emplace(std::pair(class_index, std::string(group)), row).first;
     rows_.push_back({std::string(group), class_index, {}});
   }
-  ConnectionCounts& counts = rows_[at->second].counts;
+  ConnectionCounts& counts = rows_[it->second].counts;
   ++counts.accepted;
   ++counts.open;
   ++accepted_;
   ++changes_;
-  return {at->second, true};
+  return {it->second, true};
 }
 
 void LocalConnectionCounts::End(Handle& handle, Outcome outcome) {
--- a/tests/fleet/connection_counts_test.cpp
+++ b/tests/fleet/connection_counts_test.cpp
@@ -1,4 +1,4 @@
-// Connection counts: the local state machine, reports of peers' incarnations, and the sums as intervals.
+// Tests of connection counts: the local state machine, reports of peers' incarnations, and sums as intervals.
 #include "fleet/connection_counts.h"
 
 #include <catch2/catch.hpp>
@@ -39,13 +39,13 @@
   return {member_id, incarnation, version, 0, 1, age, false, {{"", 0, counts}}};
 }
 
-// Complete counts of a fleet of three: a peer that knows all incarnations sent its member list.
+// The counts at member 0 of three, complete because a peer that knows all incarnations sent its member list.
 FleetCounts CompleteCounts() {
   FleetCounts counts(ThreeMembers(0), 1);
   counts.SetLocal(kStart, kIncarnation, 1, {});
   CHECK(counts.Sum(kStart).accepted.high == kUnbounded);
   CHECK(counts.MemberListWanted(kStart, 1) == MemberId{0});
-  CHECK_FALSE(counts.MemberListWanted(kStart, 2));  // One at a time.
+  CHECK_FALSE(counts.MemberListWanted(kStart, 2));  // Only one list is read at a time.
   CHECK_FALSE(counts.OnMemberList(kStart, 2, {0, 3, true, "", {}}));
   CHECK_FALSE(counts.IsComplete());
   CHECK(counts.OnMemberList(kStart, 1, {0, 2, true, "", {}}) == MemberId{2});
@@ -54,14 +54,14 @@
   return counts;
 }
 
-TEST_CASE("a new incarnation neither replaces the former one's counts nor counts them twice") {
+TEST_CASE("a new incarnation neither replaces the counts of the previous one nor counts them twice") {
   FleetCounts counts = CompleteCounts();
   counts.OnUpdate(kStart, UpdateAbout(2, Incarnation{1, 9}, 1, {}, Micros(0)), Micros(0));
   counts.OnUpdate(kStart, UpdateAbout(1, kOtherIncarnation, 4, {10, 6, 1, 1, 2}, Micros(0)), Micros(0));
   CHECK(counts.Sum(kStart).accepted.low == 10);
-  // Delayed.
+  // A delayed report.
   counts.OnUpdate(kStart, UpdateAbout(1, kOtherIncarnation, 3, {9, 6, 1, 1, 1}, Micros(0)), Micros(0));
-  // Duplicated.
+  // A duplicated report.
   counts.OnUpdate(kStart, UpdateAbout(1, kOtherIncarnation, 4, {10, 6, 1, 1, 2}, Micros(0)), Micros(0));
   CHECK(counts.Sum(kStart).accepted.high == 10);
   counts.OnIncarnationEnded(kStart + seconds(1), 1, kOtherIncarnation);
@@ -69,11 +69,11 @@
                   Micros(0));
   const auto sum = counts.Sum(kStart + seconds(1));
   CHECK(sum.accepted.low == 13);
-  // In the second before its end it may have accepted ten more, by max_accepted_per_s.
+  // max_accepted_per_s allows ten more in the second before the incarnation's end.
   CHECK(sum.accepted.high >= 23);
   CHECK(sum.accepted.high <= 25);
   CHECK(sum.open.low == 3);
-  CHECK(sum.open.high == 3);  // The former one's connections ended with it.
+  CHECK(sum.open.high == 3);  // The connections of the previous incarnation ended with it.
   CHECK(sum.ended == 1);
 }
 
@@ -85,7 +85,7 @@
                   milliseconds(500));
   counts.OnUpdate(kStart, UpdateAbout(2, Incarnation{1, 9}, 1, {1, 0, 0, 0, 1}, std::nullopt),
                   milliseconds(1));
-  CHECK(counts.Sum(kStart).accepted.high == kUnbounded);  // Its age has no bound.
+  CHECK(counts.Sum(kStart).accepted.high == kUnbounded);  // The age of the report has no bound.
   counts.OnUpdate(kStart, UpdateAbout(2, Incarnation{1, 9}, 1, {1, 0, 0, 0, 1}, Micros(0)), Micros(0));
   CHECK(counts.Sum(kStart).accepted.high == 11);
   CHECK(counts.Sum(kStart).oldest >= seconds(1));
@@ -96,10 +96,10 @@
   CHECK(late.accepted.low == 11);
   CHECK(late.accepted.high >= 11 + 410);
   CHECK(late.open.low == 0);
-  CHECK(late.open.high == 200);  // No relay has more than max_open connections open.
+  CHECK(late.open.high == 200);  // At most max_open per relay.
 }
 
-TEST_CASE("relays that start together pass on what each knew, until one knows what all did") {
+TEST_CASE("relays that start together learn transitively, through member lists, what all of them knew") {
   std::vector<FleetCounts> relays;
   for (MemberId member = 0; member < 3; ++member) {
     relays.emplace_back(ThreeMembers(member), member);
@@ -113,7 +113,7 @@
   read(1, 2);
   CHECK_FALSE(relays[1].IsComplete());
   read(0, 1);
-  CHECK(relays[0].IsComplete());  // Its own basis, n1's, and n2's, which n1 had read.
+  CHECK(relays[0].IsComplete());  // From its own basis, n1's, and n2's, which n1 had read.
   read(2, 0);
   CHECK(relays[2].IsComplete());
 }
