--- a/src/fleet/witness_reputation.cpp
+++ b/src/fleet/witness_reputation.cpp
@@ -5,7 +5,7 @@
 
 constexpr unsigned kMaxMisreports = 3;
 constexpr Micros kDistrustPeriod = std::chrono::seconds(60);
-constexpr std::size_t kMaxCounted = 256;
+constexpr std::size_t kMaxCounted = 256;  // Per author; all are forgotten when this is reached.
 
 }  // namespace
 
@@ -21,7 +21,7 @@
   return true;
 }
 
-std::vector<MemberId> WitnessReputation::Distrusted(Micros now) const {
+std::vector<MemberId> WitnessReputation::DistrustedAuthors(Micros now) const {
   std::vector<MemberId> out;
   for (const auto& [author, record] : records_) {
     if (now < record.distrusted_until) out.push_back(author);
