--- a/src/fleet/datagram_trim.cpp
+++ b/src/fleet/datagram_trim.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 template <typename Part>
-void Shed(std::vector<Part>& parts, std::size_t& size) {
+void DropUntilFits(std::vector<Part>& parts, std::size_t& size) {
   while (size > kMaxDatagramBytes && !parts.empty()) {
     size -= SizeOf(parts.back());
     parts.pop_back();
@@ -16,7 +16,7 @@
 }
 
 template <typename Part>
-void Shed(std::optional<Part>& part, std::size_t& size) {
+void DropUntilFits(std::optional<Part>& part, std::size_t& size) {
   if (size <= kMaxDatagramBytes || !part) return;
   size -= SizeOf(*part);
   part.reset();
@@ -27,18 +27,19 @@
 bool TrimToSize(Datagram& datagram) {
   std::size_t size = SizeOf(datagram);
   if (size <= kMaxDatagramBytes) return false;
-  Shed(datagram.idle_units, size);
-  Shed(datagram.unreported_sends, size);
-  Shed(datagram.counts_updates, size);
-  Shed(datagram.member_list, size);  // It is asked for again.
-  Shed(datagram.evidence, size);
-  Shed(datagram.digests, size);
-  Shed(datagram.lease_requests, size);
-  Shed(datagram.returns, size);
-  Shed(datagram.member_updates, size);
-  Shed(datagram.held_leases, size);  // As a whole: half a statement would say that the rest is not held.
-  Shed(datagram.return_acks, size);
-  Shed(datagram.grants, size);
+  DropUntilFits(datagram.idle_units, size);
+  DropUntilFits(datagram.unreported_sends, size);
+  DropUntilFits(datagram.counts_updates, size);
+  DropUntilFits(datagram.member_list, size);  // Requested again after a timeout.
+  DropUntilFits(datagram.evidence, size);
+  DropUntilFits(datagram.digests, size);
+  DropUntilFits(datagram.lease_requests, size);
+  DropUntilFits(datagram.returns, size);
+  DropUntilFits(datagram.member_updates, size);
+  // Dropped as a whole: an absent item means that the lease is not held.
+  DropUntilFits(datagram.held_leases, size);
+  DropUntilFits(datagram.return_acks, size);
+  DropUntilFits(datagram.grants, size);
   return true;
 }
 
--- a/src/fleet/datagram_trim.h
+++ b/src/fleet/datagram_trim.h
@@ -1,4 +1,4 @@
-// Keeps datagrams within their size limit.
+// Keeps datagrams within the size limit.
 #ifndef STOATRUN_FLEET_DATAGRAM_TRIM_H_
 #define STOATRUN_FLEET_DATAGRAM_TRIM_H_
 
@@ -6,8 +6,9 @@
 
 namespace stoatrun::fleet {
 
-// Drops parts of a datagram that exceeds kMaxDatagramBytes, those first that are soonest repeated anyhow;
-// leases and their grants go last. Returns true if the datagram was too large.
+// Drops parts of a datagram that exceeds kMaxDatagramBytes until it fits. Parts that are resent soonest in
+// any case go first, acknowledgements of lease returns and lease grants last. Returns true if the datagram
+// was too large.
 bool TrimToSize(Datagram& datagram);
 
 }  // namespace stoatrun::fleet
--- a/src/fleet/hint_builder.cpp
+++ b/src/fleet/hint_builder.cpp
@@ -26,14 +26,14 @@
   std::vector<FleetClient::EndpointHint> out;
   for (const std::string& id : endpoints_) {
     FleetClient::EndpointHint hint{id, 0, -1, ejected.contains(id)};
-    // In integral connections: noise below that is not worth an event.
+    // Rounded to whole requests, so that smaller changes cause no event.
     hint.unreported_in_flight = std::round(node_.UnreportedInFlight(now, id).value_or(0));
     const std::string quota = SlowStartQuota(id);
     if (node_.Quotas().HasQuota(quota) && Contains(warming_up, id)) {
       hint.slow_start_tokens = node_.Quotas().Available(now, quota);
     }
     const auto [last, fresh] = last_hints_.try_emplace(id, FleetClient::EndpointHint{id, 0, -1, false});
-    // An ejection is repeated as long as it holds, because the balancer lets it expire.
+    // An ejection is repeated for as long as it applies, because the balancer lets it expire.
     if (!hint.eject && last->second == hint) continue;
     last->second = hint;
     out.push_back(hint);
--- a/src/fleet/hint_builder.h
+++ b/src/fleet/hint_builder.h
@@ -1,4 +1,4 @@
-// Turns what a relay knows of its fleet into the hints that its balancer takes.
+// Converts the fleet's shared state into hints for the relay's balancer.
 #ifndef STOATRUN_FLEET_HINT_BUILDER_H_
 #define STOATRUN_FLEET_HINT_BUILDER_H_
 
@@ -12,20 +12,19 @@
 
 namespace stoatrun::fleet {
 
-// Deterministic and used on the node's thread; the node outlives it.
+// Deterministic. Used on the node's thread; the node must outlive it.
 class HintBuilder {
  public:
-  // `node`: the source of all hints.
   explicit HintBuilder(Node& node) : node_(node) {}
 
-  // The name of the quota of sends to an endpoint that warms up.
+  // Name of the quota for requests to an endpoint in slow start.
   static std::string SlowStartQuota(std::string_view endpoint) { return "cold:" + std::string(endpoint); }
-  // The name of the quota of a group's connections.
+  // Name of the quota for a group's connections.
   static std::string ConnectionQuota(std::string_view group) { return "connections:" + std::string(group); }
 
-  // The hints that changed since the last call. `warming_up`: endpoints that started recently.
+  // Returns the hints that changed since the last call. `warming_up`: the endpoints in slow start.
   std::vector<FleetClient::EndpointHint> TakeHints(Micros now, const std::vector<std::string>& warming_up);
-  // Sets the endpoints that may be used.
+  // Replaces the endpoint list.
   void SetEndpoints(const std::vector<FleetClient::ListedEndpoint>& endpoints);
 
  private:
--- a/src/fleet/injected_fault.h
+++ b/src/fleet/injected_fault.h
@@ -1,38 +1,36 @@
-// Faults that the simulation's tests inject into the fleet's modules, to show that the history checker finds
+// Faults that the simulation tests inject into the fleet's modules to verify that the history checker detects
 // them.
 //
-// The program is built without STOATRUN_INJECT_FAULTS: then IsInjected() is false at compile time.
+// The program itself is built without STOATRUN_INJECT_FAULTS, so that IsInjected() is a constant false.
 #ifndef STOATRUN_FLEET_INJECTED_FAULT_H_
 #define STOATRUN_FLEET_INJECTED_FAULT_H_
 
 namespace stoatrun::fleet {
 
-// Each is a defect that breaks a bound of the fleet's shared state, or the quality of its sums and verdicts.
+// Each fault breaks a bound that the fleet's shared state guarantees, or degrades its sums and verdicts.
 enum class Fault {
   kNone,
-  kLeaseIgnoresPause,            // The borrower checks the time when it borrows, not when it acquires.
-  kLeaseCountsFromGrant,         // The borrower counts the lease from the grant's arrival.
-  kLenderIgnoresWindow,          // The lender reuses units at the moment at which the lease ends.
-  kLenderIgnoresRestart,         // A new incarnation uses and lends its share at once.
+  kLeaseIgnoresPause,            // The borrower checks the lease's end when it borrows, not when it acquires.
+  kLeaseCountsFromGrant,         // The borrower counts the lease's length from the arrival of the grant.
+  kLenderIgnoresWindow,          // The lender reuses units as soon as the lease ends.
+  kLenderIgnoresRestart,         // A new incarnation uses and lends its share immediately.
   kGrantTakenTwice,              // A duplicated grant counts twice.
-  kConcurrencyLeaseEndsByClock,  // The lender of a concurrency quota takes units back by its own clock alone.
-  kLentLeasesForgottenByRestart,  // A new incarnation of a lender doesn't ask who holds its units.
-  kCountWithoutIncarnation,       // Counts of a new incarnation replace those of the former.
-  kCountAddedTwice,               // Delayed counts of a former version are added again.
-  kAgeWithoutTransit,             // The transit time is left out of an age.
-  kEvidenceNeverExpires,          // Remote evidence is valid for ever.
-  kOneWitnessSuffices,            // The evidence of one witness ejects an endpoint.
-  kNoEjectionCap,                 // Any number of endpoints may be ejected on remote evidence.
+  kConcurrencyLeaseEndsByClock,  // The lender of a concurrency quota reclaims units by its own clock alone.
+  kLentLeasesForgottenByRestart,  // A new incarnation of a lender doesn't ask which peers hold its units.
+  kCountWithoutIncarnation,       // Counts of a new incarnation replace those of the previous one.
+  kCountAddedTwice,               // Delayed counts of an earlier version are added again.
+  kAgeWithoutTransit,             // An age omits the transit time.
+  kEvidenceNeverExpires,          // Remote evidence never expires.
+  kOneWitnessSuffices,            // The evidence of a single witness ejects an endpoint.
+  kNoEjectionCap,                 // Remote evidence may eject any number of endpoints.
   kRemoteEvidenceFirst,           // Remote evidence takes precedence over own observations.
 };
 
 #ifdef STOATRUN_INJECT_FAULTS
-// The fault that is injected on this thread.
+// The fault injected on this thread.
 inline thread_local Fault injected_fault = Fault::kNone;
-// Whether `fault` is injected on this thread.
 inline bool IsInjected(Fault fault) { return injected_fault == fault; }
 #else
-// Whether `fault` is injected: never in this build.
 constexpr bool IsInjected(Fault /*fault*/) { return false; }
 #endif
 
--- a/src/fleet/member_list_sync.cpp
+++ b/src/fleet/member_list_sync.cpp
@@ -5,7 +5,7 @@
 namespace stoatrun::fleet {
 namespace {
 
-constexpr Micros kPageTimeout = std::chrono::seconds(2);  // Then another peer is asked.
+constexpr Micros kPageTimeout = std::chrono::seconds(2);  // After that, another peer's list is read.
 constexpr unsigned kBitsPerByte = 8;
 
 std::set<MemberId> ParseBasis(const std::string& bitmap) {
@@ -47,7 +47,7 @@
   }
   std::set<MemberId> basis = ParseBasis(page.basis);
   basis.insert(peer);
-  // What holds of all pages: the peer's knowledge only grows, so that is what it held at the first.
+  // The intersection over all pages. The peer's knowledge only grows, so this is its basis at the first page.
   if (page.from == 0) reading_->basis = basis;
   std::erase_if(reading_->basis, [&](MemberId member_id) { return !basis.contains(member_id); });
   reading_->complete = reading_->complete && page.complete;
--- a/src/fleet/member_list_sync.h
+++ b/src/fleet/member_list_sync.h
@@ -1,9 +1,9 @@
-// How a relay that has just started learns of all incarnations that ran before it.
+// Synchronizes the member list of a relay that has just started: all incarnations that ran before it.
 //
-// It knows none, so its sums have no upper bound until it learns of all. It reads the member lists of
-// peers, page by page. One list of a relay that is itself complete is enough. Where none is, as when all
-// start at once, what each relay knew at its start (its basis) is handed on, until a relay holds the bases of
-// all.
+// The relay knows none of them at its start, so its sums have no upper bound until it knows all. It reads the
+// member lists of its peers page by page. A single list suffices if the peer's own list is complete. If no
+// peer's is, as when all relays start at the same time, each list states which relays' initial knowledge
+// (their basis) it includes; a list that includes the bases of all relays is complete.
 #ifndef STOATRUN_FLEET_MEMBER_LIST_SYNC_H_
 #define STOATRUN_FLEET_MEMBER_LIST_SYNC_H_
 
@@ -17,24 +17,25 @@
 
 namespace stoatrun::fleet {
 
-// The progress of reading member lists. Used by FleetCounts, on its thread.
+// Tracks the reading of member lists. Used by FleetCounts, on its thread.
 class MemberListSync {
  public:
-  // `self`: this relay, whose own basis is known.
+  // `self`: this relay, whose own basis is included from the start.
   explicit MemberListSync(MemberId self) { basis_.insert(self); }
 
-  // True if all incarnations that any relay knows are known here.
+  // True if every incarnation that any relay knows is known here.
   bool IsComplete() const { return complete_; }
-  // Where to start reading the list of `peer`; nothing: no list is wanted, or another is being read.
+  // Starts reading the list of `peer` and returns the member to start at. Returns nullopt if the list is
+  // already complete or another peer's list is being read.
   std::optional<MemberId> StartReading(Micros now, MemberId peer);
-  // Takes note of a page. Returns the start of the next page to ask for, if there is one.
+  // Records a received page. Returns the start of the next page to request, if any.
   std::optional<MemberId> OnPage(Micros now, MemberId peer, const MemberListPage& page,
                                  const Settings& settings);
-  // MemberListPage::basis of the own list.
+  // MemberListPage::basis for this relay's own list.
   std::string BasisBitmap() const;
 
  private:
-  // A list that is being read.
+  // A list being read.
   struct Reading {
     MemberId peer = 0, next = 0;
     Micros requested_at{0};
@@ -45,7 +46,7 @@
   bool HoldsAllBases(const Settings& settings) const;
 
   bool complete_ = false;
-  std::set<MemberId> basis_;  // Relays whose knowledge, as of their start, is here.
+  std::set<MemberId> basis_;  // Relays whose initial knowledge is included here.
   std::optional<Reading> reading_;
 };
 
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -7,27 +7,28 @@
 namespace stoatrun::fleet {
 namespace {
 
-constexpr unsigned kMaxHealthScore = 8;  // As Lifeguard bounds its multiplier.
-constexpr std::size_t kHelpers = 3;      // Asked to ping a member that does not acknowledge.
-constexpr int kAckTimeoutDivisor = 3;    // Of a period: without an ack by then helpers are asked.
-constexpr int kPingTimeoutFactor = 3;  // Of the ack timeout: without an ack by then the member is suspected.
-constexpr unsigned kGossipFactor = 3;  // Times log2 of the fleet: how often an update is passed on.
-// Times log10 of the fleet, in periods; three times that while nobody confirms the suspicion.
+constexpr unsigned kMaxHealthScore = 8;         // The bound on Lifeguard's multiplier.
+constexpr std::size_t kMaxIndirectHelpers = 3;  // Asked to ping a member that doesn't acknowledge.
+constexpr int kAckTimeoutDivisor = 3;           // Of a period: helpers are asked after that.
+constexpr int kPingTimeoutFactor = 3;           // Times the ack timeout: the member is suspected after that.
+constexpr unsigned kGossipFactor = 3;  // Times log2 of the fleet's size: how often an update is sent.
+// Suspicion timeout in periods, times log10 of the fleet's size; multiplied by kUnconfirmedFactor while no
+// other member confirms the suspicion.
 constexpr double kSuspicionPeriods = 3.0;
 constexpr double kUnconfirmedFactor = 3.0;
-constexpr std::size_t kMaxFormer = 16;  // Incarnations remembered of a name.
-// An incarnation that ended can still be heard of with a generation that it rose to before its end, as often
-// as it rose, which is once or twice. Two processes that run at once raise their generations in turn without
-// end.
-constexpr unsigned kDuplicateRaises = 4;
-constexpr int kPausedTicks = 4;  // So many ticks late: the process was stopped, not merely busy.
-
-// True if `other` is another run than `than` and follows it.
-bool Follows(const Incarnation& other, const Incarnation& than) {
-  return other.id != than.id && other > than;
+constexpr std::size_t kMaxFormerIncarnations = 16;  // Kept per member.
+// After this many generation raises by superseded incarnations, two processes are taken to be running under
+// one name. Delayed updates can report the raises of an incarnation after its end, but an incarnation raises
+// its generation only once or twice, whereas two concurrent processes raise theirs in turn indefinitely.
+constexpr unsigned kDuplicateRaiseThreshold = 4;
+constexpr int kPauseThresholdTicks = 4;  // A longer gap means that the process was paused, not just busy.
+
+// True if `candidate` is a later run than `known`, not the same one.
+bool IsLaterRun(const Incarnation& candidate, const Incarnation& known) {
+  return candidate.id != known.id && candidate > known;
 }
 
-bool MayAnswer(const Membership::Member& member) {
+bool IsAliveOrSuspect(const Membership::Member& member) {
   return member.state == MemberState::kAlive || member.state == MemberState::kSuspect;
 }
 
@@ -68,13 +69,13 @@
 }
 
 void Membership::EraseStateOf(MemberId member_id) {
-  former_.erase(member_id);
-  returns_.erase(member_id);
+  superseded_incarnations_.erase(member_id);
+  returned_incarnations_.erase(member_id);
   pending_gossip_.erase(member_id);
   suspected_until_.erase(member_id);
 }
 
-// ---- look-ups ----
+// ---- lookups ----
 
 const Membership::Member* Membership::Find(MemberId member_id) const {
   const auto at =
@@ -87,19 +88,19 @@
   return const_cast<Member*>(std::as_const(*this).Find(member_id));
 }
 
-bool Membership::IsPresent(MemberId member_id, const Incarnation& incarnation) const {
+bool Membership::IsCurrent(MemberId member_id, const Incarnation& incarnation) const {
   const Member* member = Find(member_id);
   return member != nullptr && member->incarnation.id == incarnation.id && member->incarnation.generation != 0;
 }
 
 std::size_t Membership::Alive() const {
-  return static_cast<std::size_t>(std::count_if(members_.begin(), members_.end(), MayAnswer));
+  return static_cast<std::size_t>(std::count_if(members_.begin(), members_.end(), IsAliveOrSuspect));
 }
 
-std::optional<MemberId> Membership::AnyAlive() {
+std::optional<MemberId> Membership::RandomAliveMember() {
   std::vector<MemberId> alive;
   for (const Member& member : members_) {
-    if (MayAnswer(member)) alive.push_back(member.member_id);
+    if (IsAliveOrSuspect(member)) alive.push_back(member.member_id);
   }
   if (alive.empty()) return std::nullopt;
   return alive[random_.Below(alive.size())];
@@ -119,14 +120,15 @@
   health_score_ = std::min(health_score_ + amount, kMaxHealthScore);
 }
 
-// After Lifeguard: shrinks with the logarithm of the confirmations, and is longer while this relay itself is
+// As in Lifeguard: shrinks with the logarithm of the confirmations, and is longer while this relay itself is
 // slow.
 Micros Membership::SuspicionTimeout(unsigned confirmations) const {
   const double fleet_size = static_cast<double>(members_.size()) + 1;
-  const double least = kSuspicionPeriods * std::max(1.0, std::log10(fleet_size));
-  const double most = kUnconfirmedFactor * least;
-  const double confirmed = std::log2(1.0 + confirmations) / std::log2(1.0 + static_cast<double>(kHelpers));
-  const double periods = std::max(least, most - (most - least) * confirmed);
+  const double min_periods = kSuspicionPeriods * std::max(1.0, std::log10(fleet_size));
+  const double max_periods = kUnconfirmedFactor * min_periods;
+  const double confirmed =
+      std::log2(1.0 + confirmations) / std::log2(1.0 + static_cast<double>(kMaxIndirectHelpers));
+  const double periods = std::max(min_periods, max_periods - (max_periods - min_periods) * confirmed);
   return Micros(static_cast<std::int64_t>(static_cast<double>(settings_.period.count()) * periods *
                                           (1 + health_score_)));
 }
@@ -139,47 +141,49 @@
   }
   Member* member = FindMutable(update.member_id);
   if (member == nullptr) return {};
-  if (update.incarnation.id == member->incarnation.id) return OnPresentIncarnation(*member, update, now);
-  if (Follows(update.incarnation, member->incarnation)) return OnNewIncarnation(*member, update, now);
+  if (update.incarnation.id == member->incarnation.id) return OnCurrentIncarnation(*member, update, now);
+  if (IsLaterRun(update.incarnation, member->incarnation)) return OnNewIncarnation(*member, update, now);
   return {};
 }
 
 void Membership::OnSelfUpdate(const MemberUpdate& update) {
   if (update.incarnation.id != self_.id) {
-    OnRivalIncarnation(update.incarnation);
+    OnOtherSelfIncarnation(update.incarnation);
     return;
   }
-  // Refute: a higher number is the one thing that overrides a suspicion.
+  // Refutes the suspicion: only a higher refutation number overrides it.
   if (update.state == MemberState::kAlive || update.refutations < refutations_) return;
   refutations_ = update.refutations + 1;
   WorsenHealth(1);
-  ++counts_.refuted;
+  ++counts_.refutations;
   QueueGossip(settings_.self);
 }
 
-// Another run under this relay's name. A former run can't go on raising its generation; one that does is
-// running now.
-void Membership::OnRivalIncarnation(const Incarnation& rival) {
-  const auto [known, fresh] = rivals_.try_emplace(rival.id, rival.generation);
-  if (!fresh && rival.generation > known->second) {
-    known->second = rival.generation;
-    if (++rival_raises_ == kDuplicateRaises) {
+// Handles an update about another run under this relay's name. A former run can't keep raising its
+// generation, so one that does is still running.
+void Membership::OnOtherSelfIncarnation(const Incarnation& other) {
+  const auto [known, fresh] = other_self_incarnations_.try_emplace(other.id, other.generation);
+  if (!fresh && other.generation > known->second) {
+    known->second = other.generation;
+    if (++other_self_raises_ == kDuplicateRaiseThreshold) {
       has_duplicate_ = true;
-      ++counts_.duplicate;
+      ++counts_.duplicates;
     }
   }
-  if (rivals_.size() > kMaxFormer) rivals_.erase(rivals_.begin());
-  if (!Follows(rival, self_)) return;
-  self_.generation = rival.generation + 1;
-  ++counts_.raised;
+  if (other_self_incarnations_.size() > kMaxFormerIncarnations) {
+    other_self_incarnations_.erase(other_self_incarnations_.begin());
+  }
+  if (!IsLaterRun(other, self_)) return;
+  self_.generation = other.generation + 1;
+  ++counts_.generation_raises;
   QueueGossip(settings_.self);
 }
 
-Membership::Change Membership::OnPresentIncarnation(Member& member, const MemberUpdate& update, Micros now) {
+Membership::Change Membership::OnCurrentIncarnation(Member& member, const MemberUpdate& update, Micros now) {
   member.incarnation.generation = std::max(member.incarnation.generation, update.incarnation.generation);
   if (update.refutations < member.refutations) return {};
   if (update.refutations == member.refutations && update.state <= member.state) {
-    // A confirmation: the more members agree, the sooner the suspect is declared dead.
+    // Another member confirms the suspicion, which shortens the timeout.
     if (update.state == MemberState::kSuspect && member.state == MemberState::kSuspect) {
       auto& until = suspected_until_[member.member_id];
       until = std::min(until, member.since + SuspicionTimeout(1));
@@ -195,17 +199,17 @@
 }
 
 Membership::Change Membership::OnNewIncarnation(Member& member, const MemberUpdate& update, Micros now) {
-  auto& former = former_[update.member_id];
+  auto& former = superseded_incarnations_[update.member_id];
   const auto known = former.find(update.incarnation.id);
   const bool returned = known != former.end() && update.incarnation.generation > known->second;
-  if (returned && ++returns_[update.member_id] == kDuplicateRaises) {
+  if (returned && ++returned_incarnations_[update.member_id] == kDuplicateRaiseThreshold) {
     member.duplicate = true;
-    ++counts_.duplicate;
+    ++counts_.duplicates;
   }
   Change change;
   if (member.incarnation) {
     former[member.incarnation.id] = member.incarnation.generation;
-    if (former.size() > kMaxFormer) former.erase(former.begin());
+    if (former.size() > kMaxFormerIncarnations) former.erase(former.begin());
     change = {true, member.incarnation, false};
   }
   member.incarnation = update.incarnation;
@@ -238,9 +242,9 @@
 
 void Membership::DetectPause(Micros now) {
   const Micros since_last = now - std::exchange(last_tick_, now);
-  if (since_last <= settings_.tick * kPausedTicks) return;
-  // This process was paused. Pings that went unacknowledged meanwhile are its own fault, and its suspicions
-  // get their full timeout anew.
+  if (since_last <= settings_.tick * kPauseThresholdTicks) return;
+  // This process was paused. Pings that went unacknowledged meanwhile don't count against their targets, and
+  // suspicion timeouts are extended by the length of the pause.
   std::erase_if(pending_pings_, [](const auto& pending) { return !pending.second.on_behalf; });
   for (auto& [member_id, until] : suspected_until_) until += since_last;
   WorsenHealth(2);
@@ -258,9 +262,9 @@
       }
     }
     random_.Shuffle(helpers);
-    if (helpers.size() > kHelpers) helpers.resize(kHelpers);
+    if (helpers.size() > kMaxIndirectHelpers) helpers.resize(kMaxIndirectHelpers);
     for (const MemberId helper : helpers) out.push_back({helper, Ping{nonce, pending.target}});
-    counts_.indirect += helpers.size();
+    counts_.indirect_pings += helpers.size();
   }
 }
 
@@ -269,7 +273,7 @@
     const PendingPing pending = pending_pings_[nonce];
     pending_pings_.erase(nonce);
     if (pending.on_behalf) continue;
-    ++counts_.unanswered;
+    ++counts_.unacknowledged;
     WorsenHealth(1);
     Member* member = FindMutable(pending.target);
     if (member == nullptr || member->state != MemberState::kAlive) continue;
@@ -285,16 +289,16 @@
     ++it;  // SetState erases the entry.
     Member* member = FindMutable(member_id);
     if (member == nullptr || now < until) continue;
-    ++counts_.deaths;
+    ++counts_.declared_dead;
     SetState(*member, MemberState::kDead, member->refutations, now);
   }
 }
 
-// Round-robin over a shuffled list, reshuffled each round, which bounds the time to the first detection
-// (SWIM 4.3).
+// Pings members round-robin in an order that is reshuffled each round, which bounds the time until a failure
+// is first detected (SWIM, section 4.3).
 void Membership::SendNextPing(Micros now, std::vector<OutgoingPing>& out) {
   if (now < next_ping_ || members_.empty()) return;
-  // Jitter: relays that started together must not ping in step.
+  // Jitter keeps relays that started together from pinging at the same times.
   next_ping_ = now + Micros(static_cast<std::int64_t>(static_cast<double>(settings_.period.count()) *
                                                       (0.75 + 0.5 * random_.Unit())));
   if (next_in_order_ >= ping_order_.size()) {
@@ -321,7 +325,7 @@
   const auto it = pending_pings_.find(nonce);
   if (it == pending_pings_.end()) return std::nullopt;
   const PendingPing pending = it->second;
-  // Only the target itself, or a helper that was asked to ping it, may acknowledge.
+  // Acknowledgements are accepted from the target and, once indirect pings were sent, from helpers.
   if (from != pending.target && !pending.indirect_sent) return std::nullopt;
   pending_pings_.erase(it);
   if (pending.on_behalf) return pending.on_behalf;
@@ -359,7 +363,7 @@
     out.push_back(update);
     return true;
   };
-  // What is believed of the receiver itself, so that it can refute it, or learn of its former incarnation.
+  // The update about the receiver itself, so that it can refute it or learn of a former incarnation.
   if (const auto update = UpdateAbout(receiver); update && update->state != MemberState::kAlive) add(*update);
   std::vector<std::pair<unsigned, MemberId>> by_urgency;
   by_urgency.reserve(pending_gossip_.size());
@@ -371,8 +375,8 @@
     if (!add(*update)) return out;
     if (--pending_gossip_[member_id] == 0) pending_gossip_.erase(member_id);
   }
-  // Then one member in turn, even if its update was gossiped often enough: a relay that missed it learns it
-  // in the end.
+  // One further member in rotation, even if its update was sent often enough, so that a relay that missed the
+  // update eventually receives it.
   if (!members_.empty()) {
     const MemberId repeated = members_[next_repeated_++ % members_.size()].member_id;
     const auto update = UpdateAbout(repeated);
--- a/src/fleet/message.cpp
+++ b/src/fleet/message.cpp
@@ -3,13 +3,13 @@
 namespace stoatrun::fleet {
 namespace {
 
-constexpr std::size_t kIncarnationBytes = 21;  // Two fixed64 fields in a message of their own.
+constexpr std::size_t kIncarnationBytes = 21;  // A nested message of two fixed64 fields.
 constexpr std::size_t kNestedHeaderBytes = 4;  // Tag and length of a nested message.
-constexpr std::size_t kFixed32Bytes = 5;       // With its tag.
-constexpr std::size_t kFlagBytes = 2;          // With its tag; an enumerator takes as much.
+constexpr std::size_t kFixed32Bytes = 5;       // Including the tag.
+constexpr std::size_t kFlagBytes = 2;          // Including the tag; the same for an enumerator.
 constexpr std::size_t kEnvelopeBytes = 12;     // Magic, schema and checksum.
 
-// A varint of at most ten bytes, and its tag of one or two.
+// Size of a varint of at most ten bytes with a tag of at most two.
 std::size_t VarintBytes(std::uint64_t value) {
   std::size_t size = 2;
   while (value >= 0x80) {
@@ -18,10 +18,10 @@
   }
   return size + 1;
 }
-std::size_t TimeBytes(const std::optional<Micros>& time) {
+std::size_t DurationBytes(const std::optional<Micros>& time) {
   return time ? VarintBytes(static_cast<std::uint64_t>(time->count()) + 1) : 0;
 }
-std::size_t TextBytes(const std::string& text) { return text.size() + 3; }
+std::size_t StringBytes(const std::string& text) { return text.size() + 3; }
 
 template <typename T>
 std::size_t TotalBytes(const std::vector<T>& parts) {
@@ -33,30 +33,30 @@
 }  // namespace
 
 std::size_t SizeOf(const LeaseRequest& request) {
-  return kNestedHeaderBytes + VarintBytes(request.nonce) + TextBytes(request.quota) +
+  return kNestedHeaderBytes + VarintBytes(request.nonce) + StringBytes(request.quota) +
          VarintBytes(request.units) + VarintBytes(request.renews);
 }
 
 std::size_t SizeOf(const LeaseGrant& grant) {
   constexpr std::size_t kLengthBytes = 8;  // At most kLeaseDuration.
-  return kNestedHeaderBytes + VarintBytes(grant.nonce) + VarintBytes(grant.lease) + TextBytes(grant.quota) +
+  return kNestedHeaderBytes + VarintBytes(grant.nonce) + VarintBytes(grant.lease) + StringBytes(grant.quota) +
          VarintBytes(grant.units) + kLengthBytes + kIncarnationBytes;
 }
 
 std::size_t SizeOf(const LeaseReturn& lease_return) {
   return kNestedHeaderBytes + VarintBytes(lease_return.lease) + kIncarnationBytes +
-         TextBytes(lease_return.quota) + VarintBytes(lease_return.units);
+         StringBytes(lease_return.quota) + VarintBytes(lease_return.units);
 }
 
 std::size_t SizeOf(const LeaseReturnAck& ack) {
-  return kNestedHeaderBytes + VarintBytes(ack.lease) + TextBytes(ack.quota) + VarintBytes(ack.units) +
+  return kNestedHeaderBytes + VarintBytes(ack.lease) + StringBytes(ack.quota) + VarintBytes(ack.units) +
          kIncarnationBytes;
 }
 
 std::size_t SizeOf(const HeldLeases& held) {
   std::size_t size = kNestedHeaderBytes + kIncarnationBytes + VarintBytes(held.covers);
   for (const HeldLeases::Item& item : held.items) {
-    size += kNestedHeaderBytes + TextBytes(item.quota) + VarintBytes(item.lease) + VarintBytes(item.units);
+    size += kNestedHeaderBytes + StringBytes(item.quota) + VarintBytes(item.lease) + VarintBytes(item.units);
   }
   return size;
 }
@@ -68,7 +68,7 @@
 
 std::size_t SizeOf(const ConnectionCountsRow& row) {
   const ConnectionCounts& counts = row.counts;
-  return kNestedHeaderBytes + TextBytes(row.group) + VarintBytes(row.class_index) +
+  return kNestedHeaderBytes + StringBytes(row.group) + VarintBytes(row.class_index) +
          VarintBytes(counts.accepted) + VarintBytes(counts.served) + VarintBytes(counts.rejected) +
          VarintBytes(counts.failed) + VarintBytes(counts.open);
 }
@@ -76,33 +76,33 @@
 std::size_t SizeOf(const CountsUpdate& update) {
   return kNestedHeaderBytes + VarintBytes(update.member_id) + kIncarnationBytes +
          VarintBytes(update.version) + VarintBytes(update.part) + VarintBytes(update.parts) +
-         TimeBytes(update.age) + kFlagBytes + TotalBytes(update.rows);
+         DurationBytes(update.age) + kFlagBytes + TotalBytes(update.rows);
 }
 
 std::size_t SizeOf(const CountsDigest& digest) {
-  constexpr std::size_t kHeaderBytes = 2;  // A digest is so short that its length takes one byte.
+  constexpr std::size_t kHeaderBytes = 2;  // A digest is short enough for a one-byte length.
   return kHeaderBytes + VarintBytes(digest.member_id) + kFixed32Bytes + VarintBytes(digest.version) +
-         TimeBytes(digest.age) + kFlagBytes;
+         DurationBytes(digest.age) + kFlagBytes;
 }
 
 std::size_t SizeOf(const Evidence& evidence) {
   return kNestedHeaderBytes + VarintBytes(evidence.author) + kIncarnationBytes +
-         TextBytes(evidence.endpoint) + VarintBytes(static_cast<std::uint64_t>(evidence.endpoint_start)) +
+         StringBytes(evidence.endpoint) + VarintBytes(static_cast<std::uint64_t>(evidence.endpoint_start)) +
          kFlagBytes + VarintBytes(evidence.observations) + VarintBytes(evidence.version) +
-         TimeBytes(evidence.age) + TimeBytes(evidence.valid);
+         DurationBytes(evidence.age) + DurationBytes(evidence.valid);
 }
 
 std::size_t SizeOf(const UnreportedSends& sends) {
-  return kNestedHeaderBytes + TextBytes(sends.endpoint) + VarintBytes(sends.count);
+  return kNestedHeaderBytes + StringBytes(sends.endpoint) + VarintBytes(sends.count);
 }
 
 std::size_t SizeOf(const IdleUnits& idle) {
-  return kNestedHeaderBytes + TextBytes(idle.quota) + VarintBytes(idle.units);
+  return kNestedHeaderBytes + StringBytes(idle.quota) + VarintBytes(idle.units);
 }
 
 std::size_t SizeOf(const MemberListPage& page) {
   std::size_t size = kNestedHeaderBytes + VarintBytes(page.from) + VarintBytes(page.next) + kFlagBytes +
-                     TextBytes(page.basis);
+                     StringBytes(page.basis);
   for (const MemberIncarnation& run : page.incarnations) {
     size += kNestedHeaderBytes + VarintBytes(run.member_id) + kIncarnationBytes;
   }
@@ -110,7 +110,7 @@
 }
 
 std::size_t SizeOf(const Datagram& datagram) {
-  std::size_t size = kEnvelopeBytes + TextBytes(datagram.name) + VarintBytes(datagram.from) +
+  std::size_t size = kEnvelopeBytes + StringBytes(datagram.name) + VarintBytes(datagram.from) +
                      kIncarnationBytes + VarintBytes(datagram.refutations) + VarintBytes(datagram.seq) +
                      VarintBytes(datagram.fleet_size) + kFixed32Bytes + VarintBytes(datagram.echo_seq) +
                      VarintBytes(static_cast<std::uint64_t>(datagram.echo_held.count()));
--- a/src/fleet/node.cpp
+++ b/src/fleet/node.cpp
@@ -11,24 +11,25 @@
 
 using std::chrono::milliseconds;
 
-// Bytes of a datagram that each part may take. What is urgent goes first; counts fill the rest of an answer.
+// Maximum bytes per part of a datagram. Urgent parts are added first; counts fill the rest of an answer.
 constexpr std::size_t kMemberUpdateBytes = 200, kEvidenceBytes = 220, kDigestBytes = 420,
                       kCountsUpdateBytes = 820, kMemberListBytes = 800, kFresherDigestBytes = 300;
-constexpr std::size_t kMaxSendsGossiped = 12, kMaxIdleGossiped = 8, kMaxReturnsSent = 8;
-constexpr std::size_t kLeaseRequestBytes = 64;     // Without the quota's name.
-constexpr std::size_t kNotifiedOfLeave = 5;        // Enough that gossip reaches the others.
-constexpr Micros kDeniedPause = milliseconds(50);  // A denial makes lease requests go out, but not each one.
-
-// Up to 16 relays each tick; beyond that pauses grow with the logarithm, so that what one relay sends does
-// not grow with the fleet.
+constexpr std::size_t kMaxUnreportedSendsGossiped = 12, kMaxIdleUnitsGossiped = 8, kMaxLeaseReturnsSent = 8;
+constexpr std::size_t kLeaseRequestBytes = 64;     // Excluding the quota's name.
+constexpr std::size_t kMaxLeaveNotifications = 5;  // Enough for gossip to reach the other members.
+// A denied acquisition triggers lease requests at most this often.
+constexpr Micros kMinLeaseRequestInterval = milliseconds(50);
+
+// One tick in fleets of up to 16 relays. In larger ones the interval grows with the logarithm of the fleet's
+// size, so that the traffic of a single relay does not grow with the fleet.
 Micros GossipInterval(Micros tick, std::size_t peers) {
-  const double beyond = std::max(0.0, std::log2(static_cast<double>(peers + 1) / 16.0));
-  return Micros(static_cast<std::int64_t>(static_cast<double>(tick.count()) * (1 + beyond)));
+  const double excess_doublings = std::max(0.0, std::log2(static_cast<double>(peers + 1) / 16.0));
+  return Micros(static_cast<std::int64_t>(static_cast<double>(tick.count()) * (1 + excess_doublings)));
 }
 
-std::size_t BytesLeft(const Datagram& datagram, std::size_t most) {
+std::size_t BytesLeft(const Datagram& datagram, std::size_t limit) {
   const std::size_t size = SizeOf(datagram);
-  return size >= kMaxDatagramBytes ? 0 : std::min(most, kMaxDatagramBytes - size);
+  return size >= kMaxDatagramBytes ? 0 : std::min(limit, kMaxDatagramBytes - size);
 }
 
 template <typename Part>
@@ -52,8 +53,8 @@
       totals_(settings, random_.Next()),
       outliers_(settings),
       reported_at_(now) {
-  // From the first moment this incarnation is known here: what peers report of this member later is of former
-  // ones.
+  // Registers this incarnation before any datagram arrives, so that incarnations of this member that peers
+  // report later are taken for previous ones.
   totals_.SetLocal(now, incarnation, ++report_version_, {});
 }
 
@@ -74,9 +75,9 @@
   return alive;
 }
 
-// ---- datagrams out ----
+// ---- sending ----
 
-Datagram& Node::To(Micros now, MemberId receiver, Outbox& out) {
+Datagram& Node::DatagramTo(Micros now, MemberId receiver, Outbox& out) {
   const auto existing =
       std::find_if(out.begin(), out.end(), [&](const Outgoing& outgoing) { return outgoing.to == receiver; });
   if (existing != out.end()) return existing->datagram;
@@ -92,8 +93,8 @@
   return out.back().datagram;
 }
 
-Datagram& Node::GossipTo(Micros now, MemberId receiver, Outbox& out) {
-  Datagram& datagram = To(now, receiver, out);
+Datagram& Node::GossipDatagramTo(Micros now, MemberId receiver, Outbox& out) {
+  Datagram& datagram = DatagramTo(now, receiver, out);
   if (datagram.member_updates.empty()) {
     datagram.member_updates = members_.UpdatesFor(receiver, kMemberUpdateBytes);
   }
@@ -114,13 +115,14 @@
     reported_at_ = now;
     reported_changes_ = local_connections_.Changes();
   }
-  // An unchanged report is still true: it is as of now.
+  // An unchanged report is still current, so its time is updated.
   totals_.SetLocal(now, members_.SelfIncarnation(), report_version_, local_connections_.Rows());
 }
 
 ConnectionTotals Node::Sum(Micros now, std::optional<std::uint32_t> class_index,
                            std::optional<std::string_view> group) {
-  // The own part is what it is now. The version rises, so that no peer takes two states for one.
+  // Uses the own counts as of now. A change raises the version, so that two different states never have the
+  // same version.
   if (local_connections_.Changes() != reported_changes_) {
     reported_changes_ = local_connections_.Changes();
     ++report_version_;
@@ -133,7 +135,7 @@
 
 bool Node::TryAcquire(Micros now, const std::string& quota, Outbox& out) {
   if (quotas_.TryAcquire(now, quota)) return true;
-  if (now >= leases_requested_at_ + kDeniedPause) {
+  if (now >= leases_requested_at_ + kMinLeaseRequestInterval) {
     RequestLeases(now, out);
     TrimAll(out);
   }
@@ -146,7 +148,7 @@
   for (const QuotaLeases::DueRequest& due : quotas_.Tick(now)) {
     const auto lender = due.lender ? due.lender : quotas_.LenderFor(now, due.request.quota, alive);
     if (!lender) continue;
-    Datagram& datagram = To(now, *lender, out);
+    Datagram& datagram = DatagramTo(now, *lender, out);
     if (SizeOf(datagram) + kLeaseRequestBytes + due.request.quota.size() > kMaxDatagramBytes) continue;
     datagram.lease_requests.push_back(due.request);
     quotas_.OnRequestSent(now, *lender, due.request);
@@ -158,21 +160,21 @@
     if (!member.incarnation || member.state == MemberState::kLeft) continue;
     std::vector<LeaseReturn> returns = quotas_.Returns(member.member_id);
     if (returns.empty()) continue;
-    if (returns.size() > kMaxReturnsSent) returns.resize(kMaxReturnsSent);
-    Datagram& datagram = To(now, member.member_id, out);
+    if (returns.size() > kMaxLeaseReturnsSent) returns.resize(kMaxLeaseReturnsSent);
+    Datagram& datagram = DatagramTo(now, member.member_id, out);
     datagram.returns.insert(datagram.returns.end(), returns.begin(), returns.end());
   }
 }
 
-// Where a concurrency lease has ended by this relay's clock and was not returned, asks the borrower what it
-// holds: it may have lost the lease.
+// Asks the borrower which leases it holds if a concurrency lease has ended by this relay's clock and was not
+// returned: the borrower may have lost it.
 void Node::RequestHeldLeases(Micros now, Outbox& out) {
   for (const QuotaLeases::Lease& lease : quotas_.Lent(now)) {
-    if (lease.ended) To(now, lease.other, out).wants_held_leases = true;
+    if (lease.ended) DatagramTo(now, lease.other, out).wants_held_leases = true;
   }
 }
 
-// ---- a turn ----
+// ---- periodic work ----
 
 void Node::Tick(Micros now, Outbox& out) {
   ReportCounts(now);
@@ -186,8 +188,10 @@
 
 void Node::SendPings(Micros now, Outbox& out) {
   for (const Membership::OutgoingPing& outgoing : members_.Tick(now)) {
-    Datagram& datagram = GossipTo(now, outgoing.to, out);
-    // Two pings for one peer in a turn: the indirect one waits for its next chance.
+    Datagram& datagram = GossipDatagramTo(now, outgoing.to, out);
+    // A datagram carries one ping, so a second ping to the same peer in a turn is not sent. A dropped
+    // indirect ping is covered by the other helpers, a dropped direct ping by the indirect pings that follow
+    // it.
     if (!datagram.ping) datagram.ping = outgoing.ping;
   }
 }
@@ -195,10 +199,10 @@
 void Node::Gossip(Micros now, Outbox& out) {
   const std::vector<Membership::Member>& members = members_.Members();
   next_gossip_ = now + GossipInterval(settings_.tick, members.size());
-  auto receiver = members_.AnyAlive();
+  auto receiver = members_.RandomAliveMember();
   if (!receiver && !members.empty()) receiver = members[random_.Below(members.size())].member_id;
   if (!receiver) return;
-  Datagram& datagram = GossipTo(now, *receiver, out);
+  Datagram& datagram = GossipDatagramTo(now, *receiver, out);
   datagram.periodic = true;
   datagram.member_list_from = totals_.MemberListWanted(now, *receiver);
   datagram.evidence = outliers_.EvidenceToGossip(now, members_.SelfIncarnation(),
@@ -211,7 +215,7 @@
 
 void Node::AddLocalSends(Micros now, Datagram& datagram) const {
   for (const UnreportedSends& part : sends_.LocalSends(now)) {
-    if (datagram.unreported_sends.size() < kMaxSendsGossiped &&
+    if (datagram.unreported_sends.size() < kMaxUnreportedSendsGossiped &&
         SizeOf(part) <= BytesLeft(datagram, kMaxDatagramBytes)) {
       datagram.unreported_sends.push_back(part);
     }
@@ -222,14 +226,14 @@
   std::vector<IdleUnits> idle = quotas_.IdleUnitsNow(now);
   random_.Shuffle(idle);
   for (const IdleUnits& part : idle) {
-    if (datagram.idle_units.size() < kMaxIdleGossiped &&
+    if (datagram.idle_units.size() < kMaxIdleUnitsGossiped &&
         SizeOf(part) <= BytesLeft(datagram, kMaxDatagramBytes)) {
       datagram.idle_units.push_back(part);
     }
   }
 }
 
-// ---- datagrams in ----
+// ---- receiving ----
 
 bool Node::IsFromPeer(const Datagram& datagram) const {
   const Membership::Member* member = members_.Find(datagram.from);
@@ -246,31 +250,31 @@
   TrimAll(out);
 }
 
-// Hands each part to the module that owns it. The order is part of the behaviour: it decides what an answer
-// holds.
+// Dispatches each part to the module that owns it. The order matters: it determines the contents of the
+// answer.
 void Node::OnPeerDatagram(Micros now, const Datagram& datagram, Outbox& out) {
   ++counts_.in;
   OnMemberUpdate(now, {datagram.from, datagram.incarnation, datagram.refutations, MemberState::kAlive});
-  if (!members_.IsPresent(datagram.from, datagram.incarnation)) {
-    // A superseded incarnation, or one that does not know that it follows another: it then raises its
-    // generation.
+  if (!members_.IsCurrent(datagram.from, datagram.incarnation)) {
+    // Either a superseded incarnation, or a new one with too low a generation, which raises its generation
+    // when it receives this answer.
     ++counts_.superseded_senders;
     const Membership::Member* present = members_.Find(datagram.from);
-    To(now, datagram.from, out)
+    DatagramTo(now, datagram.from, out)
         .member_updates.push_back(
             {datagram.from, present->incarnation, present->refutations, present->state});
     return;
   }
-  const PeerLinks::Receipt receipt = links_.OnReceived(now, datagram, members_.SelfIncarnation());
-  if (receipt.new_incarnation) sends_.ErasePeer(datagram.from);
+  const PeerLinks::ReceivedHeader header = links_.OnReceived(now, datagram, members_.SelfIncarnation());
+  if (header.new_incarnation) sends_.ErasePeer(datagram.from);
   if (datagram.fleet_size != settings_.fleet_size) ++counts_.fleet_size_mismatches;
   for (const MemberUpdate& update : datagram.member_updates) OnMemberUpdate(now, update);
   OnPing(now, datagram, out);
-  OnCounts(now, datagram, receipt.transit);
+  OnCounts(now, datagram, header.transit);
   OnMemberList(now, datagram, out);
-  for (const Evidence& evidence : datagram.evidence) outliers_.OnEvidence(now, evidence, receipt.transit);
-  // A delayed datagram must not undo what a newer one reported.
-  if (receipt.newest && datagram.periodic) {
+  for (const Evidence& evidence : datagram.evidence) outliers_.OnEvidence(now, evidence, header.transit);
+  // A delayed datagram must not overwrite the report of a newer one.
+  if (header.newest && datagram.periodic) {
     sends_.OnPeerReport(now, datagram.from, datagram.unreported_sends);
     quotas_.OnIdleUnits(now, datagram.from, datagram.idle_units);
   }
@@ -282,7 +286,7 @@
   const Membership::Change change = members_.OnUpdate(now, update);
   if (change.left) totals_.OnIncarnationEnded(now, update.member_id, update.incarnation);
   if (!change.superseded) {
-    if (members_.IsPresent(update.member_id, update.incarnation) && update.state != MemberState::kLeft) {
+    if (members_.IsCurrent(update.member_id, update.incarnation) && update.state != MemberState::kLeft) {
       totals_.OnIncarnation(now, update.member_id, update.incarnation);
     }
     return;
@@ -296,15 +300,15 @@
 void Node::OnPing(Micros now, const Datagram& datagram, Outbox& out) {
   if (datagram.ping) {
     if (const auto forwarded = members_.OnPingRequest(datagram.from, *datagram.ping)) {
-      Datagram& indirect = To(now, forwarded->to, out);
+      Datagram& indirect = DatagramTo(now, forwarded->to, out);
       if (!indirect.ping) indirect.ping = forwarded->ping;
     } else if (!datagram.ping->target || *datagram.ping->target == settings_.self) {
-      GossipTo(now, datagram.from, out).ack = datagram.ping->nonce;
+      GossipDatagramTo(now, datagram.from, out).ack = datagram.ping->nonce;
     }
   }
   if (datagram.ack) {
     if (const auto forwarded = members_.OnAck(now, datagram.from, *datagram.ack)) {
-      To(now, forwarded->to, out).ack = forwarded->nonce;
+      DatagramTo(now, forwarded->to, out).ack = forwarded->nonce;
     }
   }
 }
@@ -316,12 +320,12 @@
 
 void Node::OnMemberList(Micros now, const Datagram& datagram, Outbox& out) {
   if (datagram.member_list_from) {
-    To(now, datagram.from, out).member_list =
+    DatagramTo(now, datagram.from, out).member_list =
         totals_.MemberList(*datagram.member_list_from, kMemberListBytes);
   }
   if (!datagram.member_list) return;
   if (const auto next = totals_.OnMemberList(now, datagram.from, *datagram.member_list)) {
-    To(now, datagram.from, out).member_list_from = next;
+    DatagramTo(now, datagram.from, out).member_list_from = next;
   }
 }
 
@@ -329,32 +333,32 @@
   const MemberId from = datagram.from;
   const Incarnation& self = members_.SelfIncarnation();
   for (const LeaseRequest& request : datagram.lease_requests) {
-    To(now, from, out).grants.push_back(quotas_.OnRequest(now, from, datagram.incarnation, request));
+    DatagramTo(now, from, out).grants.push_back(quotas_.OnRequest(now, from, datagram.incarnation, request));
   }
   for (const LeaseGrant& grant : datagram.grants) {
     quotas_.OnGrant(now, from, datagram.incarnation, self, grant);
   }
   for (const LeaseReturn& lease_return : datagram.returns) {
-    To(now, from, out).return_acks.push_back(quotas_.OnReturn(now, from, lease_return));
+    DatagramTo(now, from, out).return_acks.push_back(quotas_.OnReturn(now, from, lease_return));
   }
   for (const LeaseReturnAck& ack : datagram.return_acks) quotas_.OnReturnAck(from, ack);
   if (datagram.wants_held_leases) {
-    To(now, from, out).held_leases = quotas_.HeldFrom(from, datagram.incarnation);
+    DatagramTo(now, from, out).held_leases = quotas_.HeldFrom(from, datagram.incarnation);
   }
   if (datagram.held_leases) {
     quotas_.OnHeldLeases(now, from, datagram.incarnation, self, *datagram.held_leases);
   }
 }
 
-// Sends what the peer lacks. Asks for what this relay lacks only in answer to a gossip round, never in answer
-// to an answer: two relays must not answer each other without end.
+// Sends the counts that the peer lacks. Requests the counts that this relay lacks only in response to a
+// gossip round, never in response to an answer, so that two relays don't answer each other endlessly.
 void Node::AnswerDigests(Micros now, const Datagram& datagram, Outbox& out) {
   std::vector<CountsDigest> lacking, fresher;
   if (datagram.periodic) lacking = totals_.Lacking(now, datagram.digests);
   const std::vector<CountsUpdate> missing = totals_.Missing(now, datagram.digests, kCountsUpdateBytes);
   if (datagram.periodic) fresher = totals_.Fresher(now, datagram.digests, kFresherDigestBytes);
   if (lacking.empty() && missing.empty() && fresher.empty()) return;
-  Datagram& answer = To(now, datagram.from, out);
+  Datagram& answer = DatagramTo(now, datagram.from, out);
   std::size_t size = SizeOf(answer);
   AppendWhileFits(missing, answer.counts_updates, size);
   AppendWhileFits(lacking, answer.digests, size);
@@ -364,11 +368,11 @@
 void Node::Leave(Micros now, Outbox& out) {
   std::vector<MemberId> alive = AliveMembers();
   random_.Shuffle(alive);
-  if (alive.size() > kNotifiedOfLeave) alive.resize(kNotifiedOfLeave);
-  Sum(now);  // The last report is the final one.
+  if (alive.size() > kMaxLeaveNotifications) alive.resize(kMaxLeaveNotifications);
+  Sum(now);  // Updates the own counts, so that the last report is final.
   const std::vector<CountsDigest> knows_nothing{{settings_.self, 0, 0, std::nullopt, false}};
   for (const MemberId member_id : alive) {
-    Datagram& datagram = To(now, member_id, out);
+    Datagram& datagram = DatagramTo(now, member_id, out);
     datagram.member_updates.push_back(members_.LeaveUpdate());
     datagram.counts_updates = totals_.Missing(now, knows_nothing, kCountsUpdateBytes);
   }
--- a/src/fleet/peer_links.cpp
+++ b/src/fleet/peer_links.cpp
@@ -5,20 +5,20 @@
 namespace stoatrun::fleet {
 namespace {
 
-constexpr std::size_t kMaxSentRemembered = 64;  // An echo of an older datagram bounds nothing useful.
+constexpr std::size_t kMaxSentRecorded = 64;  // An echo of an older datagram gives no useful bound.
 
 }  // namespace
 
 void PeerLinks::Stamp(Micros now, MemberId receiver, Datagram& datagram) {
   Link& link = links_[receiver];
-  datagram.seq = ++link.last_seq;
-  if (link.heard_incarnation) {
-    datagram.echo_run = ShortIncarnationId(link.heard_incarnation);
-    datagram.echo_seq = link.heard_seq;
-    datagram.echo_held = now - link.heard_at;
+  datagram.seq = ++link.last_sent_seq;
+  if (link.peer_incarnation) {
+    datagram.echo_run = ShortIncarnationId(link.peer_incarnation);
+    datagram.echo_seq = link.last_received_seq;
+    datagram.echo_held = now - link.last_received_at;
   }
   link.sent.push_back({datagram.seq, now});
-  if (link.sent.size() > kMaxSentRemembered) link.sent.pop_front();
+  if (link.sent.size() > kMaxSentRecorded) link.sent.pop_front();
 }
 
 std::optional<Micros> PeerLinks::TransitBound(Micros now, const Link& link, const Datagram& datagram,
@@ -27,26 +27,27 @@
   const auto sent = std::find_if(link.sent.begin(), link.sent.end(),
                                  [&](const SentDatagram& own) { return own.seq == datagram.echo_seq; });
   if (sent == link.sent.end()) return std::nullopt;
-  // Either clock may be the fast one.
+  // Either clock may be the faster one.
   return std::max(Micros(0), UpperBoundWithDrift(now - sent->at) - LowerBoundWithDrift(datagram.echo_held));
 }
 
-PeerLinks::Receipt PeerLinks::OnReceived(Micros now, const Datagram& datagram, const Incarnation& self) {
+PeerLinks::ReceivedHeader PeerLinks::OnReceived(Micros now, const Datagram& datagram,
+                                                const Incarnation& self) {
   Link& link = links_[datagram.from];
-  Receipt receipt;
-  receipt.new_incarnation = link.heard_incarnation.id != datagram.incarnation.id;
-  if (receipt.new_incarnation) {
-    link.heard_incarnation = datagram.incarnation;
-    link.heard_seq = 0;
+  ReceivedHeader header;
+  header.new_incarnation = link.peer_incarnation.id != datagram.incarnation.id;
+  if (header.new_incarnation) {
+    link.peer_incarnation = datagram.incarnation;
+    link.last_received_seq = 0;
   }
-  receipt.transit = TransitBound(now, link, datagram, self);
-  if (datagram.seq > link.heard_seq) {
-    link.heard_seq = datagram.seq;
-    link.heard_at = now;
+  header.transit = TransitBound(now, link, datagram, self);
+  if (datagram.seq > link.last_received_seq) {
+    link.last_received_seq = datagram.seq;
+    link.last_received_at = now;
     link.fleet_size = datagram.fleet_size;
   }
-  receipt.newest = datagram.seq == link.heard_seq;
-  return receipt;
+  header.newest = datagram.seq == link.last_received_seq;
+  return header;
 }
 
 void PeerLinks::SetPeers(const std::vector<Peer>& peers) {
--- a/src/fleet/peer_links.h
+++ b/src/fleet/peer_links.h
@@ -1,8 +1,9 @@
 // Per-peer datagram bookkeeping: sequence numbers, echoes, and the transit time that they bound.
 //
-// Each datagram names the newest datagram of the receiver's that its sender has, and how long it has had it.
-// So the receiver knows that the datagram left after its own had arrived: the time since it sent that one,
-// less the time it was held, bounds the transit time without a common clock.
+// Each datagram echoes the sequence number of the newest datagram that its sender has received from the
+// receiver, and the time since its arrival. The datagram was therefore sent after the echoed one had arrived.
+// The time since the receiver sent the echoed datagram, less the time for which the peer held it, bounds the
+// transit time without a common clock.
 #ifndef STOATRUN_FLEET_PEER_LINKS_H_
 #define STOATRUN_FLEET_PEER_LINKS_H_
 
@@ -17,29 +18,29 @@
 
 namespace stoatrun::fleet {
 
-// A peer whose operator file states another size of the fleet.
+// A peer whose operator file states another fleet size.
 struct FleetSizeMismatch {
   MemberId member_id = 0;
   std::uint32_t fleet_size = 0;
 };
 
-// The datagrams exchanged with each peer. Used on the thread of the Node that owns it.
+// Tracks the datagrams exchanged with each peer. Used on the thread of the Node that owns it.
 class PeerLinks {
  public:
-  // What the header of a received datagram shows.
-  struct Receipt {
-    std::optional<Micros> transit;  // Upper bound on the time under way; nothing: unknown.
+  // Derived from the header of a received datagram.
+  struct ReceivedHeader {
+    std::optional<Micros> transit;  // Upper bound on the transit time; nullopt: unknown.
     bool newest = false;            // No newer datagram of this incarnation has arrived.
     bool new_incarnation = false;   // The first datagram of this incarnation.
   };
 
-  // Numbers a datagram that is about to be sent and adds the echo of what came from `receiver`.
+  // Sets the sequence number and the echo of a datagram that is about to be sent to `receiver`.
   void Stamp(Micros now, MemberId receiver, Datagram& datagram);
-  // Takes note of a received datagram. `self`: this relay's incarnation, to which an echo must refer.
-  Receipt OnReceived(Micros now, const Datagram& datagram, const Incarnation& self);
-  // Drops what is kept of peers that the operator file no longer names.
+  // Records a received datagram. `self`: this relay's incarnation, to which the echo must refer.
+  ReceivedHeader OnReceived(Micros now, const Datagram& datagram, const Incarnation& self);
+  // Discards the state of peers that are no longer in the operator file.
   void SetPeers(const std::vector<Peer>& peers);
-  // Peers that stated another size of the fleet than `fleet_size`, by id.
+  // Peers that stated a fleet size other than `fleet_size`, ordered by id.
   std::vector<FleetSizeMismatch> FleetSizeMismatches(std::uint32_t fleet_size) const;
 
  private:
@@ -48,11 +49,11 @@
     Micros at{0};
   };
   struct Link {
-    std::uint64_t last_seq = 0;
-    std::deque<SentDatagram> sent;  // The last ones.
-    Incarnation heard_incarnation;
-    std::uint64_t heard_seq = 0;
-    Micros heard_at{0};
+    std::uint64_t last_sent_seq = 0;
+    std::deque<SentDatagram> sent;  // The most recent ones.
+    Incarnation peer_incarnation;
+    std::uint64_t last_received_seq = 0;
+    Micros last_received_at{0};
     std::uint32_t fleet_size = 0;  // 0: not stated yet.
   };
 
--- a/src/fleet/send_tracker.cpp
+++ b/src/fleet/send_tracker.cpp
@@ -7,15 +7,15 @@
 
 using std::chrono::milliseconds;
 
-constexpr Micros kUnreportedFor = milliseconds(1500);  // A load report shows a send at the latest by then.
-constexpr Micros kPeerReportValid = milliseconds(1500);
-constexpr std::size_t kMaxSends = 4096;
+constexpr Micros kMaxReportDelay = milliseconds(1500);  // By then a load report includes the request.
+constexpr Micros kPeerReportLifetime = milliseconds(1500);
+constexpr std::size_t kMaxOwnSends = 4096;
 
 }  // namespace
 
 void SendTracker::OnRequestSent(Micros now, const std::string& endpoint) {
   sends_.push_back({now, endpoint});
-  while (sends_.size() > kMaxSends || (!sends_.empty() && sends_.front().at + kUnreportedFor <= now)) {
+  while (sends_.size() > kMaxOwnSends || (!sends_.empty() && sends_.front().at + kMaxReportDelay <= now)) {
     sends_.pop_front();
   }
 }
@@ -23,7 +23,7 @@
 std::vector<UnreportedSends> SendTracker::LocalSends(Micros now) const {
   std::map<std::string, std::uint32_t> by_endpoint;
   for (const Send& send : sends_) {
-    if (now < send.at + kUnreportedFor) ++by_endpoint[send.endpoint];
+    if (now < send.at + kMaxReportDelay) ++by_endpoint[send.endpoint];
   }
   std::vector<UnreportedSends> out;
   out.reserve(by_endpoint.size());
@@ -52,7 +52,7 @@
   double reported = 0;
   std::size_t reporters = 0;
   for (const auto& [peer, report] : peer_reports_) {
-    if (now >= report.at + kPeerReportValid) continue;
+    if (now >= report.at + kPeerReportLifetime) continue;
     ++reporters;
     const auto at = report.sends.find(endpoint);
     if (at != report.sends.end()) reported += at->second;
--- a/src/fleet/send_tracker.h
+++ b/src/fleet/send_tracker.h
@@ -1,5 +1,5 @@
-// Requests in flight to endpoints whose load reports may not show them yet: this relay's own, and those of
-// the other relays, estimated from what the recently heard ones report.
+// Requests sent to endpoints whose load reports may not include them yet: this relay's own, and those of the
+// other relays, estimated from the relays that reported recently.
 #ifndef STOATRUN_FLEET_SEND_TRACKER_H_
 #define STOATRUN_FLEET_SEND_TRACKER_H_
 
@@ -16,23 +16,23 @@
 
 namespace stoatrun::fleet {
 
-// Used on the thread of the Node that owns it. Bounded: at most 4,096 own sends are remembered.
+// Used on the thread of the Node that owns it. Memory is bounded: at most 4,096 own requests are recorded.
 class SendTracker {
  public:
-  // This relay sent a request to `endpoint`.
+  // Records that this relay sent a request to `endpoint`.
   void OnRequestSent(Micros now, const std::string& endpoint);
-  // This relay's recent sends, by endpoint, for a gossip datagram.
+  // Returns this relay's recent requests by endpoint, for a gossip datagram.
   std::vector<UnreportedSends> LocalSends(Micros now) const;
 
-  // Replaces what `peer` reported before.
+  // Replaces the previous report of `peer`.
   void OnPeerReport(Micros now, MemberId peer, const std::vector<UnreportedSends>& sends);
-  // The peer started anew or is no longer named: what it reported is void.
+  // Discards the report of a peer that restarted.
   void ErasePeer(MemberId peer);
-  // Drops the reports of peers that the operator file no longer names.
+  // Discards the reports of peers that are no longer in the operator file.
   void SetPeers(const std::vector<Peer>& peers);
 
-  // Estimates what all other relays sent to `endpoint`: the recent reports are taken as a sample of the
-  // `alive_peers`. Nothing: no peer reported recently.
+  // Estimates the unreported requests of all other relays to `endpoint`, taking the recent reports as a
+  // sample of the `alive_peers`. Returns nullopt if no peer reported recently.
   std::optional<double> UnreportedInFlight(Micros now, const std::string& endpoint,
                                            std::size_t alive_peers) const;
 
--- a/tests/fleet/fleet_fixture.h
+++ b/tests/fleet/fleet_fixture.h
@@ -1,4 +1,4 @@
-// What the unit tests of the fleet's modules share: a start time, two incarnations, and a fleet of three
+// Shared by the unit tests of the fleet's modules: a start time, two incarnations, and a fleet of three
 // members.
 #ifndef STOATRUN_TESTS_FLEET_FLEET_FIXTURE_H_
 #define STOATRUN_TESTS_FLEET_FLEET_FIXTURE_H_
@@ -11,7 +11,7 @@
 namespace stoatrun::fleet {
 
 constexpr Micros kStart = std::chrono::seconds(1000);
-// Of the relay under test, and of another one.
+// Incarnations of the relay under test and of another relay.
 constexpr Incarnation kIncarnation{5, 50}, kOtherIncarnation{6, 60};
 
 // The settings of member `self` of a fleet of three, with a rate quota, a concurrency quota and a template.
--- a/tests/fleet/membership_test.cpp
+++ b/tests/fleet/membership_test.cpp
@@ -19,16 +19,16 @@
     "one") {
   Membership peer(ThreeMembers(1), Incarnation{100, 1}, 1, kStart);
   peer.OnUpdate(kStart, {0, Incarnation{900, 7}, 0, MemberState::kAlive});
-  const Incarnation fresh{10, 8};  // Its clock was set back, and its disk is empty.
+  const Incarnation fresh{10, 8};  // Its clock was set back and its disk was lost.
   CHECK_FALSE(peer.OnUpdate(kStart, {0, fresh, 0, MemberState::kAlive}).superseded);
-  CHECK_FALSE(peer.IsPresent(0, fresh));
+  CHECK_FALSE(peer.IsCurrent(0, fresh));
   Membership self(ThreeMembers(0), fresh, 2, kStart);
   self.OnUpdate(kStart, {0, Incarnation{900, 7}, 0, MemberState::kAlive});
   CHECK(self.SelfIncarnation() == Incarnation{901, 8});
   const auto change = peer.OnUpdate(kStart, {0, self.SelfIncarnation(), 0, MemberState::kAlive});
   CHECK(change.superseded);
   CHECK(change.former.id == 7);
-  CHECK(peer.IsPresent(0, self.SelfIncarnation()));
+  CHECK(peer.IsCurrent(0, self.SelfIncarnation()));
   CHECK_FALSE(self.HasDuplicate());
   CHECK_FALSE(peer.Find(0)->duplicate);
 }
--- a/tests/fleet/node_test.cpp
+++ b/tests/fleet/node_test.cpp
@@ -1,4 +1,4 @@
-// The node: strangers' datagrams, and three nodes that exchange everything without delay or loss.
+// Node: datagrams from unknown senders, and three nodes that exchange datagrams without delay or loss.
 #include "fleet/node.h"
 
 #include <catch2/catch.hpp>
@@ -22,7 +22,8 @@
 using std::chrono::seconds;
 
 TEST_CASE(
-    "a datagram of a member that is not named, or under another member's name, counts as a stranger's") {
+    "datagrams of an unlisted member, under a wrong name, or under the node's own id count as from unknown "
+    "senders") {
   Node node(ThreeMembers(0), "n0", kIncarnation, 1, kStart);
   Outbox out;
   Datagram datagram;
@@ -39,10 +40,10 @@
   CHECK(out.empty());
 }
 
-// Three nodes whose datagrams arrive at once and without loss.
+// Three nodes whose datagrams arrive immediately and without loss.
 class ThreeNodes {
  public:
-  // Datagrams that one node sent, with its id.
+  // The datagrams that one node sent.
   struct Sent {
     MemberId from = 0;
     Outbox out;
@@ -58,7 +59,8 @@
   Node& At(MemberId member) { return nodes_[member]; }
   Micros Now() const { return now_; }
 
-  // 50 ms later: the tick of the node whose turn it is, and four hops of answers.
+  // Advances the time by 50 ms, runs the tick of the node whose turn it is, if any, and delivers four hops of
+  // answers.
   void Step() {
     now_ += milliseconds(50);
     std::vector<Sent> sent;
@@ -70,8 +72,8 @@
     for (int hop = 0; hop < 4; ++hop) sent = Deliver(sent);
   }
 
-  // Acquires all units of the rate quota "retry" that the member can have now; its requests for leases go out
-  // and are answered. Returns how many units they were.
+  // Acquires all units of the rate quota "retry" that are available to the member now, and delivers its lease
+  // requests and the answers to them. Returns the number of units acquired.
   std::uint32_t AcquireAll(MemberId member) {
     Outbox out;
     std::uint32_t acquired = 0;
@@ -88,7 +90,7 @@
   }
 
  private:
-  // Delivers all datagrams and returns the answers to them. Each must keep within its bounds.
+  // Delivers all datagrams and returns the answers to them. Checks the size bounds of each.
   std::vector<Sent> Deliver(const std::vector<Sent>& sent) {
     std::vector<Sent> answered;
     for (const Sent& datagrams : sent) {
@@ -112,8 +114,8 @@
   for (int step = 0; step < 200; ++step) fleet.Step();
   for (MemberId member = 0; member < 3; ++member) CHECK(fleet.At(member).Members().Alive() == 2);
 
-  // One relay comes to use most of the quota alone while the others don't want it. The first two seconds are
-  // not counted.
+  // A relay that is the only one to use the quota obtains most of it by leases. The first two seconds are not
+  // counted.
   std::uint32_t acquired = 0;
   const Micros counted_from = fleet.Now() + seconds(2);
   while (fleet.Now() < counted_from + seconds(4)) {
@@ -122,7 +124,7 @@
     if (counted) acquired += acquired_now;
     fleet.Step();
   }
-  // The quota is 12 units a second, of which the own share is 4: leases must bring at least as many again.
+  // The quota is 12 units per second, of which the relay's share is 4: leases must at least double that.
   CHECK(acquired >= 4 * 8);
   CHECK(acquired <= 4 * 12 + 12);
 
