--- a/src/fleet/connection_counts.h
+++ b/src/fleet/connection_counts.h
@@ -72,7 +72,7 @@
   // The member at which to start reading the member list of `peer`; nullopt: no read is due. See
   // member_list_sync.h.
   std::optional<MemberId> MemberListWanted(Micros now, MemberId peer) {
-    return member_list_sync_.Wanted(now, peer);
+    return member_list_sync_.StartReading(now, peer);
   }
   // A page of this relay's member list that starts at `from`. It fits `max_bytes` unless it contains a single
   // member.
--- a/src/fleet/outlier_consensus.cpp
+++ b/src/fleet/outlier_consensus.cpp
@@ -50,7 +50,7 @@
 
 bool OutlierConsensus::IsValid(const RemoteEvidence& remote, Micros now) const {
   if (IsInjected(Fault::kEvidenceNeverExpires)) return true;
-  return now < remote.created_at + std::min(AtMost(remote.evidence.valid), kEvidenceLifetime);
+  return now < remote.created_at + std::min(LowerBoundWithDrift(remote.evidence.valid), kEvidenceLifetime);
 }
 
 void OutlierConsensus::Expire(Endpoint& endpoint, Micros now) const {
@@ -284,7 +284,7 @@
     Expire(endpoint, now);
     RefreshOwnEvidence(now, self, id, endpoint, send_limit);
     if (endpoint.own_sends_left == 0 || now >= endpoint.last_observation_at + kEvidenceLifetime) continue;
-    endpoint.own.age = AtLeast(now - endpoint.last_observation_at);
+    endpoint.own.age = UpperBoundWithDrift(now - endpoint.last_observation_at);
     endpoint.own.incarnation = self;
     if (add(endpoint.own)) --endpoint.own_sends_left;
   }
@@ -294,7 +294,7 @@
       if (std::exchange(remote.awaits_first_send, false)) remote.sends_left = send_limit;
       if (remote.sends_left == 0) continue;
       Evidence evidence = remote.evidence;
-      evidence.age = AtLeast(now - remote.created_at);
+      evidence.age = UpperBoundWithDrift(now - remote.created_at);
       if (!add(evidence)) return out;
       --remote.sends_left;
     }
--- a/src/fleet/quota_borrower.cpp
+++ b/src/fleet/quota_borrower.cpp
@@ -126,7 +126,7 @@
                               QuotaAccount& account, const QuotaAccount::PendingRequest& request) {
   // The lease runs from the request, because the lender cannot have started it earlier.
   const Micros starts = IsInjected(Fault::kLeaseCountsFromGrant) ? now : request.at;
-  const Micros ends = starts + AtMost(std::min(grant.length, kLeaseDuration));
+  const Micros ends = starts + LowerBoundWithDrift(std::min(grant.length, kLeaseDuration));
   ++counts_.granted;
   const auto known = std::find_if(account.borrowed.begin(), account.borrowed.end(),
                                   [&](const QuotaAccount::BorrowedLease& lease) {
