--- a/include/balancer/balancer.h
+++ b/include/balancer/balancer.h
@@ -51,7 +51,7 @@
 // Whether list changes come unasked, or only after WatchEndpoints.
 enum class ListMode { kPushed, kSubscribed };
 // Whether endpoints report load: never, with each answer to a probe, or with every answer.
-enum class ReportMode { kOff, kOnProbe, kWithAnswers };
+enum class ReportMode { kOff, kOnProbe, kWithResponses };
 
 // What holds for all requests of a class. The defaults also serve requests of an unknown class.
 struct ClassSettings {
@@ -89,7 +89,7 @@
 };
 
 // Only ready endpoints are sent attempts. Connections to a draining one go on; a gone one has been removed.
-enum class EndpointState { kReady, kDraining, kGone };
+enum class EndpointState { kReady, kDraining, kRemoved };
 
 // An endpoint as discovery lists it.
 struct Endpoint {
--- a/simulator_adapter/event_reader.cpp
+++ b/simulator_adapter/event_reader.cpp
@@ -59,7 +59,8 @@
 }
 
 balancer::Endpoint ReadEndpoint(MessageReader& row) {
-  static constexpr std::array kStates{EndpointState::kDraining, EndpointState::kReady, EndpointState::kGone};
+  static constexpr std::array kStates{EndpointState::kDraining, EndpointState::kReady,
+                                      EndpointState::kRemoved};
   balancer::Endpoint endpoint;
   endpoint.id = EndpointId(row.Unsigned("server"));
   endpoint.zone = balancer::ZoneId(static_cast<std::uint32_t>(row.UnsignedOr("failureDomain", 0)));
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -32,7 +32,7 @@
   }
   std::size_t EjectedCount(Micros now) const {
     return static_cast<std::size_t>(std::ranges::count_if(endpoints_.All(), [now](const auto* endpoint) {
-      return endpoint->info.state != EndpointState::kGone && endpoint->health.IsEjected(now);
+      return endpoint->info.state != EndpointState::kRemoved && endpoint->health.IsEjected(now);
     }));
   }
 
@@ -257,7 +257,7 @@
   void On(const AttemptEnded& ended) {
     EndpointRecord* endpoint = endpoints_.Find(ended.endpoint);
     const bool sampled = endpoint != nullptr && ended.report && TakeReport(*endpoint, *ended.report);
-    const bool is_fresh = sampled && context_.settings.report_mode == ReportMode::kWithAnswers;
+    const bool is_fresh = sampled && context_.settings.report_mode == ReportMode::kWithResponses;
     if (is_fresh) placement_.AddProbeAnswer(*endpoint);
     Request* request = requests_.Find(ended.id);
     if (request == nullptr || !request->attempt_in_flight) return;
--- a/src/balancer/endpoint_table.h
+++ b/src/balancer/endpoint_table.h
@@ -100,7 +100,7 @@
     }
     if (update.kind == EndpointUpdate::Kind::kChanges) return;
     for (EndpointRecord* endpoint : all_) {  // A full list removes those that it does not name.
-      if (endpoint->listed_in != updates_) SetState(*endpoint, EndpointState::kGone);
+      if (endpoint->listed_in != updates_) SetState(*endpoint, EndpointState::kRemoved);
     }
   }
 
--- a/src/config/site_settings.cpp
+++ b/src/config/site_settings.cpp
@@ -38,7 +38,7 @@
 }
 
 ReportMode ParseReportMode(std::string_view text) {
-  if (text == "inline") return ReportMode::kWithAnswers;
+  if (text == "inline") return ReportMode::kWithResponses;
   if (text == "on_probe") return ReportMode::kOnProbe;
   return ReportMode::kOff;
 }
--- a/src/proxy/balancer_mapping.cpp
+++ b/src/proxy/balancer_mapping.cpp
@@ -70,7 +70,7 @@
     case EndpointState::kGone:
       break;
   }
-  return balancer::EndpointState::kGone;
+  return balancer::EndpointState::kRemoved;
 }
 
 balancer::EndpointUpdate::Kind ToUpdateKind(const EndpointUpdate& update, EndpointSource source) {
--- a/tests/balancer/endpoint_table_test.cpp
+++ b/tests/balancer/endpoint_table_test.cpp
@@ -13,7 +13,7 @@
   fixture.UpdateEndpoints({ReadyEndpoint(5), ReadyEndpoint(6), ReadyEndpoint(7), ReadyEndpoint(8)});
   Endpoint draining = ReadyEndpoint(5), removed = ReadyEndpoint(6);
   draining.state = EndpointState::kDraining;
-  removed.state = EndpointState::kGone;
+  removed.state = EndpointState::kRemoved;
   fixture.UpdateEndpoints({draining, removed}, EndpointUpdate::Kind::kChanges);
   for (std::uint64_t id = 1; id <= 50; ++id) {
     for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(fixture.SendRequest(id))) {
--- a/tests/balancer/golden_actions_test.cpp
+++ b/tests/balancer/golden_actions_test.cpp
@@ -295,7 +295,7 @@
 Settings WithAnswers() {
   Settings settings = AllSettings();
   settings.list_mode = ListMode::kPushed;
-  settings.report_mode = ReportMode::kWithAnswers;
+  settings.report_mode = ReportMode::kWithResponses;
   settings.probes_allowed = false;
   return settings;
 }
