--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -8,15 +8,17 @@
 namespace balancer {
 
 constexpr int kAttemptsPerProbe = 4, kMaxProbesPerTick = 8;  // Probes an endpoint after so many attempts.
-constexpr std::ptrdiff_t kAnswersPerPlacement = 4, kAnswersWhileScarce = 3;  // Fresh probe answers wanted.
-constexpr double kProbeWaitShare = 1.0 / 8;  // Of the latency objective, to wait for probe answers.
-constexpr double kLatencyUtilization = 1.2;  // At least, of an endpoint that misses its latency objective.
+constexpr std::ptrdiff_t kProbeResultsPerPlacement = 4,
+                         kProbeResultsIfSamplesScarce = 3;  // Fresh probe answers wanted.
+constexpr double kProbeWaitFraction = 1.0 / 8;  // Of the latency objective, to wait for probe answers.
+constexpr double kUtilizationIfLate = 1.2;      // At least, of an endpoint that misses its latency objective.
 constexpr Micros kWatchBackoff = std::chrono::seconds(1), kWatchTimeout = std::chrono::seconds(6);
 constexpr Micros kTickInterval = std::chrono::milliseconds(250);  // Between samplings and placement retries.
 // Between samples of one endpoint; near full, where few arrivals bring any; while its reports are empty:
-constexpr Micros kSampleInterval = std::chrono::seconds(3), kFullInterval = std::chrono::seconds(1);
+constexpr Micros kSampleInterval = std::chrono::seconds(3), kNearFullSampleInterval = std::chrono::seconds(1);
 constexpr Micros kUnsampledInterval = std::chrono::milliseconds(500);
-constexpr double kFullCharge = 0.4;  // Price of sampling a full endpoint, which must not wait for its turn.
+constexpr double kNearFullSampleCost =
+    0.4;  // Price of sampling a full endpoint, which must not wait for its turn.
 constexpr double kSamplesPerArrival = 1.5, kMinSampleRate = 0.2;  // The rate is a second's.
 
 class Balancer::Impl {
@@ -60,10 +62,10 @@
   void On(const FleetHint& hint) {
     EndpointRecord* endpoint = endpoints_.Find(hint.endpoint);
     if (endpoint == nullptr) return;
-    endpoint->unreported_by_others = hint.unreported_in_flight;
-    endpoint->warm_up.managed_by_fleet = hint.slow_start_tokens >= 0;
-    if (endpoint->warm_up.managed_by_fleet) endpoint->warm_up.tokens = hint.slow_start_tokens;
-    if (hint.eject) endpoint->health.EjectOnHint(context_.now);
+    endpoint->unreported_by_peers = hint.unreported_in_flight;
+    endpoint->slow_start.tokens_set_by_fleet = hint.slow_start_tokens >= 0;
+    if (endpoint->slow_start.tokens_set_by_fleet) endpoint->slow_start.tokens = hint.slow_start_tokens;
+    if (hint.eject) endpoint->health.EjectByHint(context_.now);
   }
 
   bool HasReports() const { return context_.settings.report_mode != ReportMode::kOff; }
@@ -79,33 +81,34 @@
     EndpointRecord* endpoint = endpoints_.Find(probe.endpoint);
     if (endpoint == nullptr) return;
     endpoint->probe_in_flight = false;
-    const bool budgeted = std::exchange(endpoint->probe_budgeted, false);
+    const bool from_budget = std::exchange(endpoint->probe_from_sample_budget, false);
     if (probe.ok) endpoint->health.RecordProbeSuccess(context_.now);
     if (!probe.ok) endpoint->health.RecordFailure(context_.now, context_.random, FailureSource::kProbe);
-    const bool sampled = probe.ok && TakeReport(*endpoint, probe.report.value_or(LoadReport{}));
-    if (sampled) placement_.AddProbeAnswer(*endpoint);
-    if (probe.ok && !sampled && budgeted) {
+    const bool sampled = probe.ok && ApplyReport(*endpoint, probe.report.value_or(LoadReport{}));
+    if (sampled) placement_.AddProbeResult(*endpoint);
+    if (probe.ok && !sampled && from_budget) {
       sample_budget_ += 1;  // Empty reports after a start must not use it up.
-      if (!endpoint->sampled) endpoint->sampled_at = context_.now;
+      if (!endpoint->has_sample) endpoint->sampled_at = context_.now;
     }
     for (std::size_t k = 0; k < waiting_.size();) {  // Some may have waited for this answer.
       Request& request = *waiting_[k];
-      std::erase(request.awaited_probes, endpoint);
-      if (!request.awaited_probes.empty() || !Decide(request)) ++k;  // Else it no longer waits.
+      std::erase(request.pending_probes, endpoint);
+      if (!request.pending_probes.empty() || !TryPlace(request)) ++k;  // Else it no longer waits.
     }
   }
   void On(const MessageLatencyReported& report) {  // Fresh evidence that costs no probe.
     EndpointRecord* endpoint = endpoints_.Find(report.endpoint);
-    const bool late = std::ranges::any_of(context_.settings.classes, [&](const ClassSettings& rules) {
-      return rules.message_latency_objective.count() > 0 && report.delay >= rules.message_latency_objective;
+    const bool late = std::ranges::any_of(context_.settings.classes, [&](const ClassSettings& settings) {
+      return settings.message_latency_objective.count() > 0 &&
+             report.delay >= settings.message_latency_objective;
     });
     if (endpoint == nullptr || !late) return;
-    RecordSample(*endpoint, {std::max(endpoint->latest.value, kLatencyUtilization)});
+    RecordSample(*endpoint, {std::max(endpoint->latest_sample.utilization, kUtilizationIfLate)});
   }
   void On(const LoadReported& report) {
     if (Request* request = requests_.Find(report.id)) endpoints_.RecordLoad(*request, report.load);
   }
-  bool TakeReport(EndpointRecord& endpoint, const LoadReport& report) {
+  bool ApplyReport(EndpointRecord& endpoint, const LoadReport& report) {
     const auto sample = endpoints_.ToSample(endpoint, report);
     if (sample) RecordSample(endpoint, *sample);
     return sample.has_value();
@@ -119,40 +122,45 @@
     }
   }
 
-  double SampleRate() const { return kSamplesPerArrival * admission_.ArrivalRate(); }
+  double SampleBudgetRate() const { return kSamplesPerArrival * admission_.ArrivalRate(); }
   // One of many replicas with few arrivals: they tell it little, and its answers are old when it uses them.
-  bool SamplesAreScarce() const { return endpoints_.HasMoreReplicas() && SampleRate() < kMinSampleRate; }
+  bool AreSamplesScarce() const {
+    return endpoints_.HasMoreReplicasThanEndpoints() && SampleBudgetRate() < kMinSampleRate;
+  }
   // Samples endpoints with own connections, in turns. The budget follows arrivals, so that the price does not
   // grow with the endpoints; it begins with a probe for each of these, by two replicas at most.
   void SampleEndpoints() {
     if (!CanProbe() && HasReports()) return;
-    const std::size_t targets = std::min(endpoints_.EstablishedCount(), endpoints_.All().size());
-    const double first = std::min(1.0, 2.0 / context_.settings.replicas) * static_cast<double>(targets);
-    if (sample_budget_ < 0) sample_budget_ = first;
-    const double earned = std::max(kMinSampleRate, SampleRate()) * ToSeconds(kTickInterval);
+    const std::size_t targets = std::min(endpoints_.EstablishedConnections(), endpoints_.All().size());
+    const double initial_budget =
+        std::min(1.0, 2.0 / context_.settings.replicas) * static_cast<double>(targets);
+    if (sample_budget_ < 0) sample_budget_ = initial_budget;
+    const double earned = std::max(kMinSampleRate, SampleBudgetRate()) * ToSeconds(kTickInterval);
     sample_budget_ = std::min(sample_budget_ + earned, std::max(2.0, sample_budget_));
-    const double full_charge = SamplesAreScarce() ? kFullCharge : 1.0;
-    int left = kMaxProbesPerTick;
-    for (std::size_t k = 0; k < endpoints_.Ready().size() && sample_budget_ >= full_charge && left > 0; ++k) {
+    const double near_full_cost = AreSamplesScarce() ? kNearFullSampleCost : 1.0;
+    int probes_left = kMaxProbesPerTick;
+    for (std::size_t k = 0;
+         k < endpoints_.Ready().size() && sample_budget_ >= near_full_cost && probes_left > 0; ++k) {
       sample_cursor_ = (sample_cursor_ + 1) % endpoints_.Ready().size();
       EndpointRecord& endpoint = *endpoints_.Ready()[sample_cursor_];
-      const double charge = endpoint.sampled && endpoint.smoothed > kAdmissionLimit ? full_charge : 1.0;
-      if (sample_budget_ < charge || !IsSampleDue(endpoint, charge < 1)) continue;
+      const double cost =
+          endpoint.has_sample && endpoint.smoothed_utilization > kAdmissionLimit ? near_full_cost : 1.0;
+      if (sample_budget_ < cost || !IsSampleDue(endpoint, cost < 1)) continue;
       if (endpoints_.LacksLoadData()) {
         endpoints_.ResetUtilization(endpoint);  // Late messages set it, and nothing else would end that.
       } else if (!HasReports()) {
-        TakeReport(endpoint, LoadReport{});
+        ApplyReport(endpoint, LoadReport{});
       } else if (Probe(endpoint)) {
-        endpoint.probe_budgeted = true;
-        sample_budget_ -= charge;
-        --left;
+        endpoint.probe_from_sample_budget = true;
+        sample_budget_ -= cost;
+        --probes_left;
       }
     }
   }
-  bool IsSampleDue(const EndpointRecord& endpoint, bool is_urgent) const {
+  bool IsSampleDue(const EndpointRecord& endpoint, bool near_full) const {
     if (endpoint.established.empty() && !endpoints_.LacksLoadData()) return false;
-    const Micros regular = endpoint.sampled ? kSampleInterval : kUnsampledInterval;
-    const Micros due = endpoint.sampled_at + (is_urgent ? kFullInterval : regular);
+    const Micros regular = endpoint.has_sample ? kSampleInterval : kUnsampledInterval;
+    const Micros due = endpoint.sampled_at + (near_full ? kNearFullSampleInterval : regular);
     return endpoint.sampled_at.count() == 0 || context_.now >= due;
   }
 
@@ -160,9 +168,11 @@
     const auto [request, added] = requests_.FindOrAdd(info.id);
     if (!added) return nullptr;
     request.info = info;
-    const auto rules = static_cast<std::size_t>(info.class_id);
-    if (rules < context_.settings.classes.size()) request.rules = context_.settings.classes[rules];
-    if (info.load_hint) endpoints_.GetSlowStart().RecordLoadHint(*info.load_hint);
+    const auto class_index = static_cast<std::size_t>(info.class_id);
+    if (class_index < context_.settings.classes.size()) {
+      request.class_settings = context_.settings.classes[class_index];
+    }
+    if (info.load_hint) endpoints_.GetSlowStartPolicy().UpdateMeanLoadHint(*info.load_hint);
     return &request;
   }
   void Finish(Request& request) {
@@ -174,14 +184,14 @@
     Request* request = AddRequest(arrival);
     if (request == nullptr) return;
     ScheduleCheck(*request, arrival.deadline - context_.now);
-    SeekPlacement(*request);
+    StartPlacement(*request);
   }
   void On(const ConnectionResumed& resumed) {
     EndpointRecord* endpoint = endpoints_.Find(resumed.endpoint);
     Request* request = endpoint == nullptr ? nullptr : AddRequest(resumed.request);
     if (request == nullptr) return;
     request->may_have_run = request->was_established = true;
-    request->ran_at = endpoint;
+    request->first_run_endpoint = endpoint;
     StartAttempt(*request, *endpoint);
     endpoint->established.Insert(*request);
   }
@@ -192,39 +202,41 @@
     ++endpoint.affinity_groups[request.info.affinity_group];
   }
 
-  // Decides now, or once the probes sent for that are answered, but not after kProbeWaitShare.
-  void SeekPlacement(Request& request) {
+  // Decides now, or once the probes sent for that are answered, but not after kProbeWaitFraction.
+  void StartPlacement(Request& request) {
     const bool can_reject = request.CanReject();
-    const bool may_be_full = can_reject && admission_.FleetIsFull();
-    const bool is_full = may_be_full && placement_.FindWarmingUp(request) == nullptr;
-    if (is_full || (can_reject && admission_.GuardIsActive())) return SendFinalAnswer(request);
+    const bool may_be_full = can_reject && admission_.IsFleetFull();
+    const bool is_full = may_be_full && placement_.FindInSlowStart(request) == nullptr;
+    if (is_full || (can_reject && admission_.IsOverloadGuardActive())) return SendFinalAnswer(request);
     request.group_home = placement_.FindGroupHome(request);
     ProbeForPlacement(request);
-    if (request.awaited_probes.empty() && Decide(request)) return;
-    Wait(request, FromSeconds(ToSeconds(request.rules.setup_latency_objective) * kProbeWaitShare));
+    if (request.pending_probes.empty() && TryPlace(request)) return;
+    Wait(request,
+         FromSeconds(ToSeconds(request.class_settings.setup_latency_objective) * kProbeWaitFraction));
   }
   void ProbeForPlacement(Request& request) {
     if (!CanProbe() || endpoints_.Ready().empty()) return;
-    const std::ptrdiff_t wanted = SamplesAreScarce() ? kAnswersWhileScarce : kAnswersPerPlacement;
-    const std::ptrdiff_t usable = placement_.CountUsableAnswers(request);
+    const std::ptrdiff_t wanted =
+        AreSamplesScarce() ? kProbeResultsIfSamplesScarce : kProbeResultsPerPlacement;
+    const std::ptrdiff_t usable = placement_.CountUsableProbeResults(request);
     for (auto k = std::min(usable, wanted - 1); k < wanted; ++k) {  // At least one keeps the pool fresh.
       EndpointRecord* target = placement_.FindProbeTarget(request);
-      if (target != nullptr && Probe(*target)) request.awaited_probes.push_back(target);
+      if (target != nullptr && Probe(*target)) request.pending_probes.push_back(target);
     }
   }
   void Wait(Request& request, Micros delay) {
-    request.decide_by = context_.now + delay;
+    request.placement_deadline = context_.now + delay;
     if (!std::exchange(request.waiting, true)) waiting_.push_back(&request);
     ScheduleCheck(request, delay);
   }
   void StopWaiting(Request& request) {
     if (std::exchange(request.waiting, false)) std::erase(waiting_, &request);
-    request.awaited_probes.clear();
+    request.pending_probes.clear();
   }
-  bool Decide(Request& request) {  // False: no endpoint may take the request now.
-    if (!admission_.WindowIsOpen()) return false;
-    const double concurrent = admission_.ConcurrentLoad(request.info, admission_.RecentPlacements());
-    EndpointRecord* endpoint = placement_.Choose(request, concurrent);
+  bool TryPlace(Request& request) {  // False: no endpoint may take the request now.
+    if (!admission_.IsSetupWindowOpen()) return false;
+    const double concurrent_load = admission_.ConcurrentLoad(request.info, admission_.RecentPlacements());
+    EndpointRecord* endpoint = placement_.SelectEndpoint(request, concurrent_load);
     if (endpoint == nullptr) return false;
     if (!admission_.IsFull(*endpoint, request.info) || !request.CanReject()) return Send(request, *endpoint);
     admission_.RecordFleetFull();
@@ -237,8 +249,8 @@
     StopWaiting(request);
     StartAttempt(request, endpoint);
     request.sent_at = context_.now;
-    request.tried.push_back(&endpoint);
-    endpoints_.GetSlowStart().Spend(endpoint.warm_up, request);
+    request.tried_endpoints.push_back(&endpoint);
+    endpoints_.GetSlowStartPolicy().ConsumeTokens(endpoint.slow_start, request);
     endpoints_.RecordPlacement(endpoint, request.info.id);
     admission_.RecordAttempt();
     Emit(SendAttempt{request.info.id, endpoint.info.id, timeout});
@@ -256,9 +268,9 @@
   }
   void On(const AttemptEnded& ended) {
     EndpointRecord* endpoint = endpoints_.Find(ended.endpoint);
-    const bool sampled = endpoint != nullptr && ended.report && TakeReport(*endpoint, *ended.report);
+    const bool sampled = endpoint != nullptr && ended.report && ApplyReport(*endpoint, *ended.report);
     const bool is_fresh = sampled && context_.settings.report_mode == ReportMode::kWithResponses;
-    if (is_fresh) placement_.AddProbeAnswer(*endpoint);
+    if (is_fresh) placement_.AddProbeResult(*endpoint);
     Request* request = requests_.Find(ended.id);
     if (request == nullptr || !request->attempt_in_flight) return;
     EndAttempt(*request, ended.outcome);
@@ -267,7 +279,8 @@
     }
     if (ended.request_finished || request->finished) return Finish(*request);
     const bool retry = ended.outcome != Outcome::kNotSent && request->CanAttempt(context_);
-    return retry && request->CanRepeat(context_.now) ? SeekPlacement(*request) : SendFinalAnswer(*request);
+    return retry && request->IsSafeToRepeat(context_.now) ? StartPlacement(*request)
+                                                          : SendFinalAnswer(*request);
   }
   static bool NeverRan(Outcome outcome) {
     return outcome == Outcome::kRejected || outcome == Outcome::kNotConnected || outcome == Outcome::kNotSent;
@@ -283,12 +296,13 @@
     const auto group = endpoint.affinity_groups.find(request.info.affinity_group);
     if (--group->second == 0) endpoint.affinity_groups.erase(group);
     if (!request.was_established) {
-      std::erase_if(endpoint.unreported, [&](const auto& placed) { return placed.id == request.info.id; });
+      std::erase_if(endpoint.unreported_placements,
+                    [&](const auto& placed) { return placed.id == request.info.id; });
       admission_.RecordFailedSetup(outcome);
     }
     if (NeverRan(outcome) || std::exchange(request.may_have_run, true)) return;
-    request.ran_at = &endpoint;
-    request.ran_since = request.sent_at;
+    request.first_run_endpoint = &endpoint;
+    request.first_run_sent_at = request.sent_at;
   }
   void On(const ClientDisconnected& client) {
     Request* request = requests_.Find(client.id);
@@ -308,14 +322,14 @@
   void On(const TimerFired&) {}  // Due tasks run after every event.
   void Tick() {
     SampleEndpoints();
-    endpoints_.GetSlowStart().LearnCapacity(endpoints_.LoadPerConnection(LoadBound::kUpper));
+    endpoints_.GetSlowStartPolicy().UpdateCapacity(endpoints_.LoadPerConnection(LoadEstimate::kUpperBound));
     Schedule(context_.random.Jittered(kTickInterval, 0.75, 1.25), [this] { Tick(); });
   }
   void CheckRequest(RequestId id) {  // At its deadline, or when it has waited long enough.
     Request* request = requests_.Find(id);
     if (request == nullptr || request->finished || request->IsEstablished()) return;
     if (context_.now >= request->info.deadline) return SendFinalAnswer(*request);
-    if (!request->waiting || context_.now < request->decide_by || Decide(*request)) return;
+    if (!request->waiting || context_.now < request->placement_deadline || TryPlace(*request)) return;
     Wait(*request, context_.random.Jittered(kTickInterval, 0.25, 0.5));
   }
   void ScheduleCheck(const Request& request, Micros delay) {
--- a/src/balancer/endpoint_table.h
+++ b/src/balancer/endpoint_table.h
@@ -6,14 +6,18 @@
 
 namespace balancer {
 
-constexpr double kLatestWeight = 0.7;  // The paper's alpha: weight of the latest sample against the previous.
-constexpr double kMeanCap = 1.0;  // Counted in the mean at most: a few overloaded ones would hide the rest.
-// Reports may lack placements of the last kReportAge, but none made kReportDelay before the previous sample.
-constexpr Micros kReportAge = std::chrono::milliseconds(1500), kReportDelay = std::chrono::milliseconds(300);
-constexpr double kCoreLoad = 1e6;          // Reported loads are microseconds of a core's work a second.
-constexpr double kLoadMemory = 200;        // Connections in the mean load; loads differ by hundreds of times.
-constexpr double kMinReportedCount = 4;    // Connections needed to derive the load of one from reports.
-constexpr double kCountUtilization = 0.5;  // Assumed mean utilization where only counts are known.
+constexpr double kSmoothingFactor =
+    0.7;  // The paper's alpha: weight of the latest sample against the previous.
+constexpr double kMaxUtilizationInMean =
+    1.0;  // Counted in the mean at most: a few overloaded ones would hide the rest.
+// Reports may lack placements of the last kMaxReportStaleness, but none made kReportLatency before the
+// previous sample.
+constexpr Micros kMaxReportStaleness = std::chrono::milliseconds(1500),
+                 kReportLatency = std::chrono::milliseconds(300);
+constexpr double kLoadPerCore = 1e6;     // Reported loads are microseconds of a core's work a second.
+constexpr double kMeanLoadWindow = 200;  // Connections in the mean load; loads differ by hundreds of times.
+constexpr double kMinReportedConnections = 4;    // Connections needed to derive the load of one from reports.
+constexpr double kAssumedMeanUtilization = 0.5;  // Assumed mean utilization where only counts are known.
 
 // Outlier detection: an endpoint that fails is ejected for a time that doubles with each failure in a row.
 constexpr Micros kBaseEjectionTime = std::chrono::milliseconds(500);
@@ -38,7 +42,7 @@
     consecutive_failures_ = 0;
     failed_attempt_ = false;
   }
-  void EjectOnHint(Micros now) { ejected_until_ = std::max(ejected_until_, now + kBaseEjectionTime); }
+  void EjectByHint(Micros now) { ejected_until_ = std::max(ejected_until_, now + kBaseEjectionTime); }
 
  private:
   int consecutive_failures_ = 0;
@@ -46,34 +50,37 @@
   Micros ejected_until_{0};
 };
 
-struct UtilizationSample {             // What one report says.
-  double value = 0, connections = -1;  // Load over capacity; connections if reported with it, else negative.
+struct UtilizationSample {  // What one report says.
+  double utilization = 0,
+         connections = -1;  // Load over capacity; connections if reported with it, else negative.
   bool operator==(const UtilizationSample&) const = default;
 };
 
 struct UnreportedPlacement {  // An own attempt that the endpoint's last report may not count yet.
-  Micros at{0};
+  Micros placed_at{0};
   RequestId id{};
   double weight = 1.0;  // In connections of mean load.
 };
 
 struct EndpointRecord {  // All that is known of one endpoint.
   Endpoint info;
-  std::uint64_t listed_in = 0;                            // Number of the last update that named it.
-  std::size_t ready_position = stoatrun::kNotInDenseSet;  // Among those that take requests.
-  UtilizationSample latest;
-  double smoothed = 0, unreported_by_others = 0;  // Utilization; other replicas' placements, by FleetHint.
-  std::vector<UnreportedPlacement> unreported;
-  Micros sampled_at{0}, migrations_settle_at{0};
+  std::uint64_t last_update = 0;                       // Number of the last update that named it.
+  std::size_t ready_index = stoatrun::kNotInDenseSet;  // Among those that take requests.
+  UtilizationSample latest_sample;
+  double smoothed_utilization = 0,
+         unreported_by_peers = 0;  // Utilization; other replicas' placements, by FleetHint.
+  std::vector<UnreportedPlacement> unreported_placements;
+  Micros sampled_at{0}, next_migration_at{0};
   int attempts_since_probe = 0;
-  bool sampled = false, probe_in_flight = false, probe_budgeted = false;  // Sampled since ready or restarted.
+  bool has_sample = false, probe_in_flight = false,
+       probe_from_sample_budget = false;  // Sampled since ready or restarted.
   EndpointHealth health;
-  WarmUp warm_up;
-  stoatrun::DenseSet<Request, &Request::established_position> established;  // Own connections.
+  SlowStartState slow_start;
+  stoatrun::DenseSet<Request, &Request::established_index> established;  // Own connections.
   std::unordered_map<std::uint64_t, int> affinity_groups;  // Own attempts and connections by group.
 };
 
-enum class LoadBound { kExpected, kUpper };  // Which estimate of a connection's load.
+enum class LoadEstimate { kExpected, kUpperBound };  // Which estimate of a connection's load.
 
 class EndpointTable {  // Samples, smooths and estimates utilization, too.
  public:
@@ -82,7 +89,9 @@
   EndpointRecord* Find(EndpointId id) { return records_.Find(id); }  // Null if it was never listed.
   const std::vector<EndpointRecord*>& All() const { return all_; }   // Removed ones, too.
   const std::vector<EndpointRecord*>& Ready() const { return ready_.Items(); }  // Those that take requests.
-  SlowStart& GetSlowStart() { return slow_start_; }  // The rules for endpoints of this table.
+  SlowStartPolicy& GetSlowStartPolicy() {
+    return slow_start_policy_;
+  }  // The rules for endpoints of this table.
 
   void Apply(const EndpointUpdate& update) {  // Of any kind but kFailed.
     ++updates_;
@@ -92,24 +101,26 @@
       if (info.started_at.count() > 0 && info.started_at != endpoint.info.started_at) {
         ResetUtilization(endpoint);  // What was known of it ended with its process.
         endpoint.health = {};
-        slow_start_.Begin(endpoint.warm_up, info.started_at);
+        slow_start_policy_.Begin(endpoint.slow_start, info.started_at);
       }
       endpoint.info = info;
-      endpoint.listed_in = updates_;
+      endpoint.last_update = updates_;
       SetState(endpoint, info.state);
     }
     if (update.kind == EndpointUpdate::Kind::kChanges) return;
     for (EndpointRecord* endpoint : all_) {  // A full list removes those that it does not name.
-      if (endpoint->listed_in != updates_) SetState(*endpoint, EndpointState::kRemoved);
+      if (endpoint->last_update != updates_) SetState(*endpoint, EndpointState::kRemoved);
     }
   }
 
-  bool HasMoreReplicas() const { return context_.settings.replicas > ready_.size(); }  // Than endpoints.
+  bool HasMoreReplicasThanEndpoints() const {
+    return context_.settings.replicas > ready_.size();
+  }  // Than endpoints.
   // Then own connections say nothing of utilization.
   bool LacksLoadData() const {
-    return context_.settings.report_mode == ReportMode::kOff && HasMoreReplicas();
+    return context_.settings.report_mode == ReportMode::kOff && HasMoreReplicasThanEndpoints();
   }
-  std::size_t EstablishedCount() const {  // Own connections at all endpoints.
+  std::size_t EstablishedConnections() const {  // Own connections at all endpoints.
     std::size_t count = 0;
     for (const EndpointRecord* endpoint : all_) count += endpoint->established.size();
     return count;
@@ -124,77 +135,87 @@
     if (load) return UtilizationSample{std::max(0.0, *load), connections};
     if (!report.outstanding && context_.settings.report_mode != ReportMode::kOff) return std::nullopt;
     const double count = report.outstanding.value_or(static_cast<double>(endpoint.established.size()));
-    const double by_size = count / std::max(endpoint.info.size, 1e-9);
-    mean_count_ = mean_count_ < 0 ? by_size : 0.95 * mean_count_ + 0.05 * by_size;
-    return UtilizationSample{kCountUtilization * by_size / std::max(mean_count_, 1e-9), connections};
+    const double per_core = count / std::max(endpoint.info.size, 1e-9);
+    mean_connections_per_core_ =
+        mean_connections_per_core_ < 0 ? per_core : 0.95 * mean_connections_per_core_ + 0.05 * per_core;
+    return UtilizationSample{kAssumedMeanUtilization * per_core / std::max(mean_connections_per_core_, 1e-9),
+                             connections};
   }
   // Smooths utilization by the paper's u(n). False if the endpoint is not ready: the sample is ignored.
   bool Record(EndpointRecord& endpoint, const UtilizationSample& sample) {
     if (endpoint.info.state != EndpointState::kReady) return false;
-    const double previous = endpoint.sampled ? endpoint.latest.value : sample.value;
+    const double previous = endpoint.has_sample ? endpoint.latest_sample.utilization : sample.utilization;
     // Equal samples are the same report. Without counts and loads placements weigh too roughly to be kept.
-    const bool is_new = !endpoint.sampled || sample != endpoint.latest;
-    Micros reported = is_new ? endpoint.sampled_at - kReportDelay : Micros(0);
-    if (sample.connections < 0 && loads_ <= 0) reported = context_.now;
-    ErasePlacements(endpoint, std::max(reported, context_.now - kReportAge));
+    const bool is_new = !endpoint.has_sample || sample != endpoint.latest_sample;
+    Micros included_until = is_new ? endpoint.sampled_at - kReportLatency : Micros(0);
+    if (sample.connections < 0 && reported_load_count_ <= 0) included_until = context_.now;
+    ErasePlacementsUntil(endpoint, std::max(included_until, context_.now - kMaxReportStaleness));
     ResetUtilization(endpoint);
-    endpoint.latest = sample;
-    endpoint.smoothed = kLatestWeight * sample.value + (1 - kLatestWeight) * previous;
-    endpoint.sampled = true;
+    endpoint.latest_sample = sample;
+    endpoint.smoothed_utilization = kSmoothingFactor * sample.utilization + (1 - kSmoothingFactor) * previous;
+    endpoint.has_sample = true;
     endpoint.sampled_at = context_.now;
-    utilization_sum_ += std::min(endpoint.smoothed, kMeanCap);
-    ++sampled_;
+    utilization_sum_ += std::min(endpoint.smoothed_utilization, kMaxUtilizationInMean);
+    ++sampled_count_;
     return true;
   }
   void ResetUtilization(EndpointRecord& endpoint) {  // It counts as not sampled until the next sample.
-    if (!std::exchange(endpoint.sampled, false)) return;
-    utilization_sum_ -= std::min(std::exchange(endpoint.smoothed, 0), kMeanCap);  // Restarted ones are empty.
-    --sampled_;
+    if (!std::exchange(endpoint.has_sample, false)) return;
+    utilization_sum_ -= std::min(std::exchange(endpoint.smoothed_utilization, 0),
+                                 kMaxUtilizationInMean);  // Restarted ones are empty.
+    --sampled_count_;
   }
   void RecordPlacement(EndpointRecord& endpoint, RequestId id) {  // Counts until a report includes it.
-    ErasePlacements(endpoint, context_.now - kReportAge - Micros(1));
-    endpoint.unreported.push_back({context_.now, id});
+    ErasePlacementsUntil(endpoint, context_.now - kMaxReportStaleness - Micros(1));
+    endpoint.unreported_placements.push_back({context_.now, id});
   }
   void RecordLoad(Request& request, double load) {  // Reported of a connection.
-    if (request.load < 0) mean_load_ += (load - mean_load_) / std::min(++loads_, kLoadMemory);
-    request.load = load;
+    if (request.reported_load < 0) {
+      mean_load_ += (load - mean_load_) / std::min(++reported_load_count_, kMeanLoadWindow);
+    }
+    request.reported_load = load;
     if (request.endpoint == nullptr || mean_load_ <= 0) return;
-    for (UnreportedPlacement& placed : request.endpoint->unreported) {
+    for (UnreportedPlacement& placed : request.endpoint->unreported_placements) {
       if (placed.id == request.info.id) placed.weight = load / mean_load_;
     }
   }
 
-  double MeanUtilization() const { return sampled_ > 0 ? utilization_sum_ / sampled_ : 0.0; }
+  double MeanUtilization() const { return sampled_count_ > 0 ? utilization_sum_ / sampled_count_ : 0.0; }
   // The utilization expected now. An endpoint that has just started is empty until it reports.
   double Estimate(const EndpointRecord& endpoint) const {
-    const double unsampled = slow_start_.IsWarmingUp(endpoint.warm_up) ? 0.0 : MeanUtilization();
-    double weight = endpoint.unreported_by_others;
-    for (const UnreportedPlacement& placed : endpoint.unreported) weight += placed.weight;
+    const double without_sample = slow_start_policy_.IsActive(endpoint.slow_start) ? 0.0 : MeanUtilization();
+    double weight = endpoint.unreported_by_peers;
+    for (const UnreportedPlacement& placed : endpoint.unreported_placements) weight += placed.weight;
     const double load = weight == 0 ? 0 : LoadPerConnection() / std::max(endpoint.info.size, 1e-9);
-    return (endpoint.sampled ? endpoint.smoothed : unsampled) + weight * load;
+    return (endpoint.has_sample ? endpoint.smoothed_utilization : without_sample) + weight * load;
   }
   // Utilization of size 1 by a mean connection. Reported loads lack the cost of sharing a group's work.
-  double LoadPerConnection(LoadBound bound = LoadBound::kExpected) const {
-    double load = 0, sampled_size = 0, size = 0, counted_load = 0, count = 0, own = 0;
+  double LoadPerConnection(LoadEstimate bound = LoadEstimate::kExpected) const {
+    double load = 0, sampled_size = 0, size = 0, load_with_count = 0, reported_connections = 0;
+    double own_connections = 0;
     for (const EndpointRecord* endpoint : ready_.Items()) {
-      const std::size_t unreported = endpoint->sampled ? endpoint->unreported.size() : 0;
+      const std::size_t unreported = endpoint->has_sample ? endpoint->unreported_placements.size() : 0;
       const auto established = static_cast<double>(endpoint->established.size());
-      own += std::max(0.0, established - static_cast<double>(unreported));
+      own_connections += std::max(0.0, established - static_cast<double>(unreported));
       size += endpoint->info.size;
-      if (!endpoint->sampled) continue;
+      if (!endpoint->has_sample) continue;
       sampled_size += endpoint->info.size;
-      load += endpoint->smoothed * endpoint->info.size;
-      counted_load += endpoint->latest.connections < 0 ? 0 : endpoint->smoothed * endpoint->info.size;
-      count += std::max(endpoint->latest.connections, 0.0);
+      load += endpoint->smoothed_utilization * endpoint->info.size;
+      load_with_count +=
+          endpoint->latest_sample.connections < 0 ? 0 : endpoint->smoothed_utilization * endpoint->info.size;
+      reported_connections += std::max(endpoint->latest_sample.connections, 0.0);
     }
-    if (count >= kMinReportedCount) return counted_load / count;
+    if (reported_connections >= kMinReportedConnections) return load_with_count / reported_connections;
     // Own connections stand for those of other replicas, sampled endpoints for the rest.
-    if (own <= 0) own = static_cast<double>(EstablishedCount());
-    const double mean = LacksLoadData() ? kCountUtilization : load / std::max(sampled_size, 1e-9);
-    const double by_own = own > 0 ? mean * size / (own * context_.settings.replicas) : 0;
-    const double reported = mean_load_ / kCoreLoad;
-    if (bound == LoadBound::kUpper || reported <= 0 || by_own <= 0) return std::max(reported, by_own);
-    return std::min(reported, by_own);
+    if (own_connections <= 0) own_connections = static_cast<double>(EstablishedConnections());
+    const double mean = LacksLoadData() ? kAssumedMeanUtilization : load / std::max(sampled_size, 1e-9);
+    const double from_own_connections =
+        own_connections > 0 ? mean * size / (own_connections * context_.settings.replicas) : 0;
+    const double from_reported_loads = mean_load_ / kLoadPerCore;
+    if (bound == LoadEstimate::kUpperBound || from_reported_loads <= 0 || from_own_connections <= 0) {
+      return std::max(from_reported_loads, from_own_connections);
+    }
+    return std::min(from_reported_loads, from_own_connections);
   }
 
  private:
@@ -203,20 +224,22 @@
     if (state == EndpointState::kReady) ready_.Insert(endpoint);
     if (state != EndpointState::kReady && ready_.Erase(endpoint)) ResetUtilization(endpoint);
   }
-  static void ErasePlacements(EndpointRecord& endpoint, Micros until) {
-    std::erase_if(endpoint.unreported, [&](const auto& placed) { return placed.at <= until; });
+  static void ErasePlacementsUntil(EndpointRecord& endpoint, Micros until) {
+    std::erase_if(endpoint.unreported_placements,
+                  [&](const auto& placed) { return placed.placed_at <= until; });
   }
 
   Context& context_;
-  SlowStart slow_start_{context_};
+  SlowStartPolicy slow_start_policy_{context_};
   stoatrun::StableTable<EndpointId, EndpointRecord> records_;
   std::vector<EndpointRecord*> all_;  // In the order in which they were first listed.
-  stoatrun::DenseSet<EndpointRecord, &EndpointRecord::ready_position> ready_;
+  stoatrun::DenseSet<EndpointRecord, &EndpointRecord::ready_index> ready_;
   std::uint64_t updates_ = 0;
   double utilization_sum_ = 0;  // Of capped smoothed utilization, of so many endpoints:
-  int sampled_ = 0;
-  double mean_count_ = -1;            // Connections by endpoint size; negative: none seen.
-  double mean_load_ = 0, loads_ = 0;  // Of the first loads reported of connections; and their number.
+  int sampled_count_ = 0;
+  double mean_connections_per_core_ = -1;  // Connections by endpoint size; negative: none seen.
+  double mean_load_ = 0,
+         reported_load_count_ = 0;  // Of the first loads reported of connections; and their number.
 };
 
 }  // namespace balancer
