--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,4 +1,4 @@
-// The dispatcher: takes events, lets the parts in this folder decide and appends the resulting actions.
+// Dispatches events to the components of this folder and appends the resulting actions.
 #include "balancer/balancer.h"
 
 #include "balancer/placement.h"
@@ -7,19 +7,22 @@
 
 namespace balancer {
 
-constexpr int kAttemptsPerProbe = 4, kMaxProbesPerTick = 8;  // Probes an endpoint after so many attempts.
-constexpr std::ptrdiff_t kProbeResultsPerPlacement = 4,
-                         kProbeResultsIfSamplesScarce = 3;  // Fresh probe answers wanted.
-constexpr double kProbeWaitFraction = 1.0 / 8;  // Of the latency objective, to wait for probe answers.
-constexpr double kUtilizationIfLate = 1.2;      // At least, of an endpoint that misses its latency objective.
+constexpr int kAttemptsPerProbe = 4;  // An endpoint is probed after each so many attempts.
+constexpr int kMaxProbesPerTick = 8;
+// Recent probe results to compare for a placement.
+constexpr std::ptrdiff_t kProbeResultsPerPlacement = 4, kProbeResultsIfSamplesScarce = 3;
+// Part of the set-up latency objective that a request waits for probe results.
+constexpr double kProbeWaitFraction = 1.0 / 8;
+// Least utilization assumed of an endpoint that misses the message latency objective.
+constexpr double kUtilizationIfLate = 1.2;
 constexpr Micros kWatchBackoff = std::chrono::seconds(1), kWatchTimeout = std::chrono::seconds(6);
-constexpr Micros kTickInterval = std::chrono::milliseconds(250);  // Between samplings and placement retries.
-// Between samples of one endpoint; near full, where few arrivals bring any; while its reports are empty:
+constexpr Micros kTickInterval = std::chrono::milliseconds(250);  // Of sampling and of placement retries.
+// Time between samples of an endpoint, of one near full if samples are scarce, and of one with empty reports.
 constexpr Micros kSampleInterval = std::chrono::seconds(3), kNearFullSampleInterval = std::chrono::seconds(1);
 constexpr Micros kUnsampledInterval = std::chrono::milliseconds(500);
-constexpr double kNearFullSampleCost =
-    0.4;  // Price of sampling a full endpoint, which must not wait for its turn.
-constexpr double kSamplesPerArrival = 1.5, kMinSampleRate = 0.2;  // The rate is a second's.
+// Charge for sampling an endpoint near full if samples are scarce; below 1, so that it is sampled more often.
+constexpr double kNearFullSampleCost = 0.4;
+constexpr double kSamplesPerArrival = 1.5, kMinSampleRate = 0.2;  // The rate is per second.
 
 class Balancer::Impl {
  public:
@@ -40,7 +43,7 @@
 
  private:
   void On(const EndpointUpdate& update) {
-    if (update.kind == EndpointUpdate::Kind::kFailed) {  // The old list holds until a watch succeeds.
+    if (update.kind == EndpointUpdate::Kind::kFailed) {  // The list stays in force until a watch succeeds.
       return ScheduleWatch(context_.random.Jittered(kWatchBackoff, 0.5, 1.5));
     }
     if (update.kind != EndpointUpdate::Kind::kCached) watch_due_ = Micros(0);
@@ -87,16 +90,18 @@
     const bool sampled = probe.ok && ApplyReport(*endpoint, probe.report.value_or(LoadReport{}));
     if (sampled) placement_.AddProbeResult(*endpoint);
     if (probe.ok && !sampled && from_budget) {
-      sample_budget_ += 1;  // Empty reports after a start must not use it up.
+      sample_budget_ += 1;  // Refund: after a start, empty reports would use up the budget.
       if (!endpoint->has_sample) endpoint->sampled_at = context_.now;
     }
-    for (std::size_t k = 0; k < waiting_.size();) {  // Some may have waited for this answer.
+    for (std::size_t k = 0; k < waiting_.size();) {  // Place those that wait for no other result.
       Request& request = *waiting_[k];
       std::erase(request.pending_probes, endpoint);
-      if (!request.pending_probes.empty() || !TryPlace(request)) ++k;  // Else it no longer waits.
+      // TryPlace removes the request from waiting_ unless it fails.
+      if (!request.pending_probes.empty() || !TryPlace(request)) ++k;
     }
   }
-  void On(const MessageLatencyReported& report) {  // Fresh evidence that costs no probe.
+  // A missed latency objective shows overload without a probe.
+  void On(const MessageLatencyReported& report) {
     EndpointRecord* endpoint = endpoints_.Find(report.endpoint);
     const bool late = std::ranges::any_of(context_.settings.classes, [&](const ClassSettings& settings) {
       return settings.message_latency_objective.count() > 0 &&
@@ -118,17 +123,20 @@
     for (Request* request : SelectMigrations(context_, endpoint, endpoints_.MeanUtilization())) {
       Emit(MigrateConnection{request->info.id});
       endpoint.established.Erase(*request);
-      request->finished = true;  // The client returns as a new request; the attempt's end is still reported.
+      // The client returns as a new request. AttemptEnded still follows for this one.
+      request->finished = true;
     }
   }
 
   double SampleBudgetRate() const { return kSamplesPerArrival * admission_.ArrivalRate(); }
-  // One of many replicas with few arrivals: they tell it little, and its answers are old when it uses them.
+  // True for one of many replicas with few arrivals: these bring few samples, and its probe results are old
+  // by the time of the next placement.
   bool AreSamplesScarce() const {
     return endpoints_.HasMoreReplicasThanEndpoints() && SampleBudgetRate() < kMinSampleRate;
   }
-  // Samples endpoints with own connections, in turns. The budget follows arrivals, so that the price does not
-  // grow with the endpoints; it begins with a probe for each of these, by two replicas at most.
+  // Samples the endpoints that serve connections of this replica, in turn. The budget follows the arrivals,
+  // so that the cost does not grow with the number of endpoints. It starts at one probe for each endpoint
+  // that may serve some, scaled down so that together the replicas probe an endpoint about twice.
   void SampleEndpoints() {
     if (!CanProbe() && HasReports()) return;
     const std::size_t targets = std::min(endpoints_.EstablishedConnections(), endpoints_.All().size());
@@ -147,7 +155,7 @@
           endpoint.has_sample && endpoint.smoothed_utilization > kAdmissionLimit ? near_full_cost : 1.0;
       if (sample_budget_ < cost || !IsSampleDue(endpoint, cost < 1)) continue;
       if (endpoints_.LacksLoadData()) {
-        endpoints_.ResetUtilization(endpoint);  // Late messages set it, and nothing else would end that.
+        endpoints_.ResetUtilization(endpoint);  // Set by missed message latencies; no report would reset it.
       } else if (!HasReports()) {
         ApplyReport(endpoint, LoadReport{});
       } else if (Probe(endpoint)) {
@@ -202,7 +210,8 @@
     ++endpoint.affinity_groups[request.info.affinity_group];
   }
 
-  // Decides now, or once the probes sent for that are answered, but not after kProbeWaitFraction.
+  // Places the request now or once the probes sent for it are answered, waiting no longer than
+  // kProbeWaitFraction.
   void StartPlacement(Request& request) {
     const bool can_reject = request.CanReject();
     const bool may_be_full = can_reject && admission_.IsFleetFull();
@@ -219,7 +228,7 @@
     const std::ptrdiff_t wanted =
         AreSamplesScarce() ? kProbeResultsIfSamplesScarce : kProbeResultsPerPlacement;
     const std::ptrdiff_t usable = placement_.CountUsableProbeResults(request);
-    for (auto k = std::min(usable, wanted - 1); k < wanted; ++k) {  // At least one keeps the pool fresh.
+    for (auto k = std::min(usable, wanted - 1); k < wanted; ++k) {  // At least one, to keep the pool recent.
       EndpointRecord* target = placement_.FindProbeTarget(request);
       if (target != nullptr && Probe(*target)) request.pending_probes.push_back(target);
     }
@@ -233,7 +242,8 @@
     if (std::exchange(request.waiting, false)) std::erase(waiting_, &request);
     request.pending_probes.clear();
   }
-  bool TryPlace(Request& request) {  // False: no endpoint may take the request now.
+  // Sends or rejects the request. False if the set-up window is closed or no endpoint may take it now.
+  bool TryPlace(Request& request) {
     if (!admission_.IsSetupWindowOpen()) return false;
     const double concurrent_load = admission_.ConcurrentLoad(request.info, admission_.RecentPlacements());
     EndpointRecord* endpoint = placement_.SelectEndpoint(request, concurrent_load);
@@ -310,7 +320,8 @@
     if (request->endpoint != nullptr) request->endpoint->established.Erase(*request);
     Finish(*request);
   }
-  void SendFinalAnswer(Request& request) {  // The only one; the request may be erased.
+  // Does nothing if the request has been finished. May erase it.
+  void SendFinalAnswer(Request& request) {
     if (request.finished) return;
     const RequestId id = request.info.id;
     const bool cancel = request.attempt_in_flight && context_.settings.cancel_allowed;
@@ -319,13 +330,14 @@
     Finish(request);
   }
 
-  void On(const TimerFired&) {}  // Due tasks run after every event.
+  void On(const TimerFired&) {}  // Handle runs the due tasks after every event.
   void Tick() {
     SampleEndpoints();
     endpoints_.GetSlowStartPolicy().UpdateCapacity(endpoints_.LoadPerConnection(LoadEstimate::kUpperBound));
     Schedule(context_.random.Jittered(kTickInterval, 0.75, 1.25), [this] { Tick(); });
   }
-  void CheckRequest(RequestId id) {  // At its deadline, or when it has waited long enough.
+  // Runs at the deadline of a request and at its placement deadline.
+  void CheckRequest(RequestId id) {
     Request* request = requests_.Find(id);
     if (request == nullptr || request->finished || request->IsEstablished()) return;
     if (context_.now >= request->info.deadline) return SendFinalAnswer(*request);
@@ -346,13 +358,13 @@
 
   Context context_;
   stoatrun::StableTable<RequestId, Request> requests_;
-  std::vector<Request*> waiting_;  // For probe answers, or for an endpoint that may take them.
+  std::vector<Request*> waiting_;  // Those with Request::waiting set.
   EndpointTable endpoints_{context_};
   Admission admission_{context_, endpoints_};
   Placement placement_{context_, endpoints_};
   stoatrun::TimedQueue tasks_;
-  std::vector<Action>* actions_ = nullptr;  // Of the event in hand.
-  Micros watch_due_{0};  // When a watch is to be renewed unless its answer comes first; 0: one is in force.
+  std::vector<Action>* actions_ = nullptr;  // Receives the actions of the event being handled.
+  Micros watch_due_{0};        // When to watch again unless an update arrives first; 0: a watch is in force.
   double sample_budget_ = -1;  // In probes; negative: before the first tick.
   std::size_t sample_cursor_ = 0;
   bool started_ = false;
--- a/src/balancer/endpoint_table.h
+++ b/src/balancer/endpoint_table.h
@@ -1,4 +1,5 @@
-// The endpoints of discovery and what is known of each. Records keep their address, also when it is removed.
+// The endpoints listed by discovery with their health, connections and utilization. A record keeps its
+// address and is kept when its endpoint is removed from the list.
 #pragma once
 
 #include "balancer/slow_start.h"
@@ -6,39 +7,42 @@
 
 namespace balancer {
 
-constexpr double kSmoothingFactor =
-    0.7;  // The paper's alpha: weight of the latest sample against the previous.
-constexpr double kMaxUtilizationInMean =
-    1.0;  // Counted in the mean at most: a few overloaded ones would hide the rest.
-// Reports may lack placements of the last kMaxReportStaleness, but none made kReportLatency before the
-// previous sample.
+// Weight of the latest sample against the previous one: alpha in the paper named in rebalancing.h.
+constexpr double kSmoothingFactor = 0.7;
+// Cap of an endpoint's utilization in the mean: uncapped, a few overloaded endpoints would hide the rest.
+constexpr double kMaxUtilizationInMean = 1.0;
+// A report may omit placements of the last kMaxReportStaleness. A new report includes those made up to
+// kReportLatency before the previous sample.
 constexpr Micros kMaxReportStaleness = std::chrono::milliseconds(1500),
                  kReportLatency = std::chrono::milliseconds(300);
-constexpr double kLoadPerCore = 1e6;     // Reported loads are microseconds of a core's work a second.
-constexpr double kMeanLoadWindow = 200;  // Connections in the mean load; loads differ by hundreds of times.
-constexpr double kMinReportedConnections = 4;    // Connections needed to derive the load of one from reports.
-constexpr double kAssumedMeanUtilization = 0.5;  // Assumed mean utilization where only counts are known.
+constexpr double kLoadPerCore = 1e6;  // Connections report load in microseconds of CPU time per second.
+// Connections that the mean load averages over; loads differ by a factor of hundreds.
+constexpr double kMeanLoadWindow = 200;
+constexpr double kMinReportedConnections = 4;    // Fewer do not suffice to derive the load per connection.
+constexpr double kAssumedMeanUtilization = 0.5;  // Where only connection counts are known.
 
-// Outlier detection: an endpoint that fails is ejected for a time that doubles with each failure in a row.
+// Outlier detection: a failing endpoint is ejected for a time that doubles with each consecutive failure.
 constexpr Micros kBaseEjectionTime = std::chrono::milliseconds(500);
 constexpr int kMaxEjectionDoublings = 4;
 
-enum class FailureSource { kProbe, kAttempt };  // What failed at the endpoint.
+enum class FailureSource { kProbe, kAttempt };
 
-class EndpointHealth {  // The failures of one endpoint.
+// The failures of one endpoint and its ejection.
+class EndpointHealth {
  public:
-  bool IsEjected(Micros now) const { return now < ejected_until_; }  // Used only for want of others.
+  // Whether to avoid the endpoint while others may take the request.
+  bool IsEjected(Micros now) const { return now < ejected_until_; }
   void RecordFailure(Micros now, stoatrun::SplitMix64& random, FailureSource source) {
     failed_attempt_ |= source == FailureSource::kAttempt;
-    if (IsEjected(now)) return;  // One fault seen by several requests counts once.
+    if (IsEjected(now)) return;  // One fault that several requests meet counts once.
     const Micros mean = kBaseEjectionTime * (1 << std::min(consecutive_failures_++, kMaxEjectionDoublings));
     ejected_until_ = now + random.Jittered(mean, 0.75, 1.25);
   }
-  // A draining endpoint answers probes while it rejects attempts: a probe does not clear a failed attempt.
+  // Does not clear a failed attempt: a draining endpoint answers probes while it rejects attempts.
   void RecordProbeSuccess(Micros now) {
     if (!failed_attempt_ && !IsEjected(now)) consecutive_failures_ = 0;
   }
-  void RecordEstablished() {  // An attempt succeeded: all is forgiven.
+  void RecordEstablished() {  // A successful attempt clears all failures.
     consecutive_failures_ = 0;
     failed_attempt_ = false;
   }
@@ -50,56 +54,62 @@
   Micros ejected_until_{0};
 };
 
-struct UtilizationSample {  // What one report says.
-  double utilization = 0,
-         connections = -1;  // Load over capacity; connections if reported with it, else negative.
+// The utilization derived from one load report.
+struct UtilizationSample {
+  double utilization = 0;   // Load over capacity.
+  double connections = -1;  // The connection count in the same report; negative: not reported.
   bool operator==(const UtilizationSample&) const = default;
 };
 
-struct UnreportedPlacement {  // An own attempt that the endpoint's last report may not count yet.
+// An attempt sent by this replica that the endpoint's latest report may not include yet.
+struct UnreportedPlacement {
   Micros placed_at{0};
   RequestId id{};
-  double weight = 1.0;  // In connections of mean load.
+  double weight = 1.0;  // Its load over the mean load of a connection.
 };
 
-struct EndpointRecord {  // All that is known of one endpoint.
+// Everything this replica knows about one endpoint.
+struct EndpointRecord {
   Endpoint info;
-  std::uint64_t last_update = 0;                       // Number of the last update that named it.
-  std::size_t ready_index = stoatrun::kNotInDenseSet;  // Among those that take requests.
+  std::uint64_t last_update = 0;                       // Number of the last update that listed it.
+  std::size_t ready_index = stoatrun::kNotInDenseSet;  // In EndpointTable::Ready.
   UtilizationSample latest_sample;
-  double smoothed_utilization = 0,
-         unreported_by_peers = 0;  // Utilization; other replicas' placements, by FleetHint.
+  double smoothed_utilization = 0;
+  double unreported_by_peers = 0;  // FleetHint::unreported_in_flight.
   std::vector<UnreportedPlacement> unreported_placements;
   Micros sampled_at{0}, next_migration_at{0};
   int attempts_since_probe = 0;
-  bool has_sample = false, probe_in_flight = false,
-       probe_from_sample_budget = false;  // Sampled since ready or restarted.
+  bool has_sample = false;  // Sampled since it became ready or restarted.
+  bool probe_in_flight = false, probe_from_sample_budget = false;
   EndpointHealth health;
   SlowStartState slow_start;
-  stoatrun::DenseSet<Request, &Request::established_index> established;  // Own connections.
-  std::unordered_map<std::uint64_t, int> affinity_groups;  // Own attempts and connections by group.
+  stoatrun::DenseSet<Request, &Request::established_index> established;
+  // Attempts and connections of this replica by affinity group.
+  std::unordered_map<std::uint64_t, int> affinity_groups;
 };
 
-enum class LoadEstimate { kExpected, kUpperBound };  // Which estimate of a connection's load.
+enum class LoadEstimate { kExpected, kUpperBound };
 
-class EndpointTable {  // Samples, smooths and estimates utilization, too.
+// The endpoints by id. Also samples, smooths and estimates their utilization.
+class EndpointTable {
  public:
   explicit EndpointTable(Context& context) : context_(context) {}
 
-  EndpointRecord* Find(EndpointId id) { return records_.Find(id); }  // Null if it was never listed.
-  const std::vector<EndpointRecord*>& All() const { return all_; }   // Removed ones, too.
-  const std::vector<EndpointRecord*>& Ready() const { return ready_.Items(); }  // Those that take requests.
-  SlowStartPolicy& GetSlowStartPolicy() {
-    return slow_start_policy_;
-  }  // The rules for endpoints of this table.
+  // Null if the endpoint was never listed.
+  EndpointRecord* Find(EndpointId id) { return records_.Find(id); }
+  // Includes removed endpoints.
+  const std::vector<EndpointRecord*>& All() const { return all_; }
+  const std::vector<EndpointRecord*>& Ready() const { return ready_.Items(); }
+  SlowStartPolicy& GetSlowStartPolicy() { return slow_start_policy_; }
 
-  void Apply(const EndpointUpdate& update) {  // Of any kind but kFailed.
+  // Applies an update of any kind but kFailed.
+  void Apply(const EndpointUpdate& update) {
     ++updates_;
     for (const Endpoint& info : update.entries) {
       auto [endpoint, added] = records_.FindOrAdd(info.id);
       if (added) all_.push_back(&endpoint);
       if (info.started_at.count() > 0 && info.started_at != endpoint.info.started_at) {
-        ResetUtilization(endpoint);  // What was known of it ended with its process.
+        ResetUtilization(endpoint);  // The samples belong to the previous process.
         endpoint.health = {};
         slow_start_policy_.Begin(endpoint.slow_start, info.started_at);
       }
@@ -108,28 +118,29 @@
       SetState(endpoint, info.state);
     }
     if (update.kind == EndpointUpdate::Kind::kChanges) return;
-    for (EndpointRecord* endpoint : all_) {  // A full list removes those that it does not name.
+    for (EndpointRecord* endpoint : all_) {  // A full list removes the endpoints that it does not name.
       if (endpoint->last_update != updates_) SetState(*endpoint, EndpointState::kRemoved);
     }
   }
 
-  bool HasMoreReplicasThanEndpoints() const {
-    return context_.settings.replicas > ready_.size();
-  }  // Than endpoints.
-  // Then own connections say nothing of utilization.
+  bool HasMoreReplicasThanEndpoints() const { return context_.settings.replicas > ready_.size(); }
+  // True if there are no load reports and too few connections of this replica to infer utilization from.
   bool LacksLoadData() const {
     return context_.settings.report_mode == ReportMode::kOff && HasMoreReplicasThanEndpoints();
   }
-  std::size_t EstablishedConnections() const {  // Own connections at all endpoints.
+  // This replica's connections at all endpoints.
+  std::size_t EstablishedConnections() const {
     std::size_t count = 0;
     for (const EndpointRecord* endpoint : all_) count += endpoint->established.size();
     return count;
   }
 
-  // Load over capacity if reported, else CPU utilization, else the reported or own count over the mean.
+  // Uses the load ratio if reported, else CPU utilization, else the reported connection count, or without
+  // load reports this replica's own count, relative to the mean count. None if the report holds no usable
+  // value.
   std::optional<UtilizationSample> ToSample(const EndpointRecord& endpoint, const LoadReport& report) {
     const double connections = report.outstanding.value_or(-1);
-    // An endpoint with own connections has load: zero means that it has made no report yet.
+    // An endpoint that serves connections has load: zero means that it has not measured any yet.
     if (report.load_ratio && *report.load_ratio <= 0 && !endpoint.established.empty()) return std::nullopt;
     const auto& load = report.load_ratio ? report.load_ratio : report.utilization;
     if (load) return UtilizationSample{std::max(0.0, *load), connections};
@@ -141,11 +152,13 @@
     return UtilizationSample{kAssumedMeanUtilization * per_core / std::max(mean_connections_per_core_, 1e-9),
                              connections};
   }
-  // Smooths utilization by the paper's u(n). False if the endpoint is not ready: the sample is ignored.
+  // Updates the smoothed utilization, u(n) in the paper. Ignores the sample and returns false if the endpoint
+  // is not ready.
   bool Record(EndpointRecord& endpoint, const UtilizationSample& sample) {
     if (endpoint.info.state != EndpointState::kReady) return false;
     const double previous = endpoint.has_sample ? endpoint.latest_sample.utilization : sample.utilization;
-    // Equal samples are the same report. Without counts and loads placements weigh too roughly to be kept.
+    // Equal samples are taken for the same report. Without connection counts and reported loads, the weight
+    // of a placement is too inaccurate to keep it beyond a sample.
     const bool is_new = !endpoint.has_sample || sample != endpoint.latest_sample;
     Micros included_until = is_new ? endpoint.sampled_at - kReportLatency : Micros(0);
     if (sample.connections < 0 && reported_load_count_ <= 0) included_until = context_.now;
@@ -159,17 +172,19 @@
     ++sampled_count_;
     return true;
   }
-  void ResetUtilization(EndpointRecord& endpoint) {  // It counts as not sampled until the next sample.
+  // Discards the samples. Utilization becomes 0, as a restarted endpoint is empty.
+  void ResetUtilization(EndpointRecord& endpoint) {
     if (!std::exchange(endpoint.has_sample, false)) return;
-    utilization_sum_ -= std::min(std::exchange(endpoint.smoothed_utilization, 0),
-                                 kMaxUtilizationInMean);  // Restarted ones are empty.
+    utilization_sum_ -= std::min(std::exchange(endpoint.smoothed_utilization, 0), kMaxUtilizationInMean);
     --sampled_count_;
   }
-  void RecordPlacement(EndpointRecord& endpoint, RequestId id) {  // Counts until a report includes it.
+  // Adds an attempt to the estimate until a report includes it.
+  void RecordPlacement(EndpointRecord& endpoint, RequestId id) {
     ErasePlacementsUntil(endpoint, context_.now - kMaxReportStaleness - Micros(1));
     endpoint.unreported_placements.push_back({context_.now, id});
   }
-  void RecordLoad(Request& request, double load) {  // Reported of a connection.
+  // Takes the reported load of a connection.
+  void RecordLoad(Request& request, double load) {
     if (request.reported_load < 0) {
       mean_load_ += (load - mean_load_) / std::min(++reported_load_count_, kMeanLoadWindow);
     }
@@ -181,7 +196,8 @@
   }
 
   double MeanUtilization() const { return sampled_count_ > 0 ? utilization_sum_ / sampled_count_ : 0.0; }
-  // The utilization expected now. An endpoint that has just started is empty until it reports.
+  // The expected present utilization. Without a sample an endpoint in slow start counts as empty, any other
+  // as having the mean utilization.
   double Estimate(const EndpointRecord& endpoint) const {
     const double without_sample = slow_start_policy_.IsActive(endpoint.slow_start) ? 0.0 : MeanUtilization();
     double weight = endpoint.unreported_by_peers;
@@ -189,7 +205,8 @@
     const double load = weight == 0 ? 0 : LoadPerConnection() / std::max(endpoint.info.size, 1e-9);
     return (endpoint.has_sample ? endpoint.smoothed_utilization : without_sample) + weight * load;
   }
-  // Utilization of size 1 by a mean connection. Reported loads lack the cost of sharing a group's work.
+  // The utilization that a connection of mean load adds to an endpoint of size 1. Loads reported for
+  // connections exclude the cost that an affinity group has at its endpoint.
   double LoadPerConnection(LoadEstimate bound = LoadEstimate::kExpected) const {
     double load = 0, sampled_size = 0, size = 0, load_with_count = 0, reported_connections = 0;
     double own_connections = 0;
@@ -206,7 +223,8 @@
       reported_connections += std::max(endpoint->latest_sample.connections, 0.0);
     }
     if (reported_connections >= kMinReportedConnections) return load_with_count / reported_connections;
-    // Own connections stand for those of other replicas, sampled endpoints for the rest.
+    // Assumes that other replicas have as many connections and that the other endpoints are as utilized as
+    // the sampled ones.
     if (own_connections <= 0) own_connections = static_cast<double>(EstablishedConnections());
     const double mean = LacksLoadData() ? kAssumedMeanUtilization : load / std::max(sampled_size, 1e-9);
     const double from_own_connections =
@@ -235,11 +253,11 @@
   std::vector<EndpointRecord*> all_;  // In the order in which they were first listed.
   stoatrun::DenseSet<EndpointRecord, &EndpointRecord::ready_index> ready_;
   std::uint64_t updates_ = 0;
-  double utilization_sum_ = 0;  // Of capped smoothed utilization, of so many endpoints:
-  int sampled_count_ = 0;
-  double mean_connections_per_core_ = -1;  // Connections by endpoint size; negative: none seen.
-  double mean_load_ = 0,
-         reported_load_count_ = 0;  // Of the first loads reported of connections; and their number.
+  double utilization_sum_ = 0;             // Of the sampled endpoints, each capped at kMaxUtilizationInMean.
+  int sampled_count_ = 0;                  // Endpoints in utilization_sum_.
+  double mean_connections_per_core_ = -1;  // Moving average; negative: none seen.
+  double mean_load_ = 0;                   // Moving average of each connection's first reported load.
+  double reported_load_count_ = 0;         // Connections in mean_load_.
 };
 
 }  // namespace balancer
--- a/src/balancer/placement.h
+++ b/src/balancer/placement.h
@@ -1,4 +1,5 @@
-// Placement, which the paper leaves open: by a small pool of fresh probe answers, else by estimates.
+// Placement of requests on endpoints, which the paper named in rebalancing.h leaves open: by a small pool of
+// recent probe results, else by estimated utilization.
 #pragma once
 
 #include "balancer/admission.h"
@@ -7,22 +8,25 @@
 namespace balancer {
 
 constexpr std::size_t kProbePoolCapacity = 12;
-constexpr int kMaxProbeResultUses = 2;  // More would send this replica's clients to one endpoint.
-constexpr Micros kMaxProbeResultAge = std::chrono::seconds(1);  // About a report's age on arrival.
-constexpr std::size_t kProbeCandidates = 3,
-                      kPlacementCandidates = 8;  // Endpoints compared for a probe; for a placement.
-constexpr double kZoneCrossingWeight = 5.0;   // Utilization that outweighs a zone crossing cost of one point.
-constexpr double kLastResortPenalty = 100.0;  // Cost of a tried or ejected endpoint: above any other.
-// Connections of a group share work: an endpoint that has some, or else the group's home, counts as emptier.
+constexpr int kMaxProbeResultUses = 2;  // More would send this replica's clients to a single endpoint.
+constexpr Micros kMaxProbeResultAge = std::chrono::seconds(1);  // About the age of a report on arrival.
+constexpr std::size_t kProbeCandidates = 3;                     // Endpoints compared to choose one to probe.
+constexpr std::size_t kPlacementCandidates = 8;  // Endpoints compared for a placement without probe results.
+constexpr double kZoneCrossingWeight = 5.0;      // Utilization that equals a zone crossing cost of one point.
+// Added to the cost of a tried or ejected endpoint: more than the cost of any other.
+constexpr double kLastResortPenalty = 100.0;
+// Subtracted from the cost of an endpoint that serves connections of the group, or else of the group's home,
+// because the connections of a group share work.
 constexpr double kGroupMemberBonus = 0.5, kGroupHomeBonus = 0.3;
-constexpr double kGroupMaxUtilization =
-    0.6;  // Above this the next endpoint in the group's order becomes its home.
+// Above this utilization an endpoint is no home, and the next one in the group's order is used.
+constexpr double kGroupMaxUtilization = 0.6;
 
-class Placement {  // Finds endpoints for attempts and for probes.
+// Selects endpoints for attempts and for probes.
+class Placement {
  public:
   Placement(Context& context, EndpointTable& endpoints) : context_(context), endpoints_(endpoints) {}
 
-  // Whether the request may be sent to the endpoint: every attempt passes here.
+  // Whether the request may be sent to the endpoint. Checked for every attempt.
   bool CanSend(const Request& request, EndpointRecord& endpoint) const {
     if (endpoint.info.state != EndpointState::kReady || !request.IsSafeToRepeat(context_.now)) return false;
     const bool needs_key = request.may_have_run && request.HasIdempotencyKey();
@@ -30,18 +34,20 @@
     return endpoints_.GetSlowStartPolicy().HasTokens(endpoint.slow_start, endpoint.info.size, request);
   }
 
-  void AddProbeResult(EndpointRecord& endpoint) {  // Whose sample is fresh.
+  // Adds an endpoint that has just been sampled to the pool, in place of its previous result.
+  void AddProbeResult(EndpointRecord& endpoint) {
     const Micros oldest = context_.now - kMaxProbeResultAge;
     std::erase_if(pool_,
                   [&](auto& result) { return result.endpoint == &endpoint || result.received_at < oldest; });
     if (pool_.size() >= kProbePoolCapacity) pool_.erase(pool_.begin());
     pool_.push_back({&endpoint, context_.now, 0});
   }
-  std::ptrdiff_t CountUsableProbeResults(const Request& request) const {  // For this request.
+  std::ptrdiff_t CountUsableProbeResults(const Request& request) const {
     return std::count_if(pool_.begin(), pool_.end(), [&](auto& result) { return IsUsable(request, result); });
   }
 
-  // An endpoint in slow start with budget left here. With many replicas that is rare: it is used first.
+  // An endpoint in slow start for which this replica has tokens. Used before any other, as with many replicas
+  // one rarely has tokens.
   EndpointRecord* FindInSlowStart(const Request& request) {
     const std::vector<EndpointRecord*>& ready = endpoints_.Ready();
     const std::size_t start = context_.random.Below(ready.size());
@@ -54,7 +60,8 @@
     }
     return nullptr;
   }
-  EndpointRecord* FindProbeTarget(const Request& request) {  // The best of a few: it may well be chosen.
+  // The cheapest of a few random endpoints, as it is likely to be selected for the request.
+  EndpointRecord* FindProbeTarget(const Request& request) {
     if (EndpointRecord* in_slow_start = FindInSlowStart(request)) return in_slow_start;
     EndpointRecord* home = request.pending_probes.empty() ? request.group_home : nullptr;
     if (home != nullptr && IsProbeCandidate(request, *home)) return home;
@@ -65,8 +72,9 @@
     }
     return best.Best();
   }
-  // The endpoint that a group's connections go to first: the emptiest that has some, else the first with
-  // capacity in an order that is the group's at every replica (weighted rendezvous hashing).
+  // The group's home, the preferred endpoint for its connections: the least utilized one that serves some of
+  // them, else the first with capacity in an order of the group that is the same at every replica (weighted
+  // rendezvous hashing).
   EndpointRecord* FindGroupHome(const Request& request) const {
     if (!UsesAffinity(request)) return nullptr;
     const std::uint64_t group = request.info.affinity_group;
@@ -82,8 +90,9 @@
     return member.Best() != nullptr ? member.Best() : home.Best();
   }
 
-  // Null while no endpoint may take the request. Equal views must not lead to equal choices: each replica
-  // guesses at random where the others added their `concurrent` load.
+  // Null while no endpoint may take the request. Adds to each cost a random load with a mean of
+  // `concurrent_load`, as other replicas may have placed since the reports, so that replicas with equal data
+  // select different endpoints.
   EndpointRecord* SelectEndpoint(const Request& request, double concurrent_load) {
     stoatrun::ArgMin<ProbeResult> best;
     for (ProbeResult& result : pool_) {
@@ -116,7 +125,7 @@
     }
     return IsUntriedAndNotEjected(request, *result.endpoint) && CanSend(request, *result.endpoint);
   }
-  // With more replicas than endpoints each has too little of a group to know where it is.
+  // With more replicas than endpoints, each serves too few of a group's connections to know their endpoints.
   bool UsesAffinity(const Request& request) const {
     return request.info.affinity_group != 0 &&
            (!endpoints_.HasMoreReplicasThanEndpoints() || endpoints_.LacksLoadData());
--- a/src/balancer/rebalancing.h
+++ b/src/balancer/rebalancing.h
@@ -1,40 +1,46 @@
-// Rebalancing by migration: the mechanism of Xu, Huang, Yan and Drwiega, "De-Registration Based S-CSCF Load
-// Balancing in IMS Core Network", for long-lived connections. When a fresh sample of an endpoint is over the
-// mean utilization by a margin, each replica migrates 5% of its connections there, idle ones first.
+// Rebalancing by migration, after Xu, Huang, Yan and Drwiega, "De-Registration Based S-CSCF Load Balancing in
+// IMS Core Network", applied to long-lived connections. When a new sample puts an endpoint's utilization
+// above the mean by a margin, each replica migrates 5% of its connections there, idle ones first.
 #pragma once
 
 #include "balancer/endpoint_table.h"
 
 namespace balancer {
 
-constexpr double kMigrationFraction = 0.05;  // Share of own connections per trigger, as in the paper.
-// Over margin: above mean + kMigrationMargin * (1 - mean), the paper's 20% over the mean at a mean of 2/3. It
-// shrinks as the fleet fills, as the paper suggests, and grows while migrations would gain nothing.
+constexpr double kMigrationFraction = 0.05;  // Of this replica's connections per trigger, as in the paper.
+// The trigger is mean + kMigrationMargin * (1 - mean): the paper's 20% over the mean at a mean of 2/3. The
+// margin shrinks as the fleet fills up, as the paper suggests, and is wide at low utilization, where
+// migrations gain nothing.
 constexpr double kMigrationMargin = 0.4;
-constexpr double kIdleLoadFraction = 0.2;  // Idle: a reported load below this part of the endpoint's mean.
-// Near capacity 5% a sample would take minutes: all above kOverloadTarget goes at once, a part by each
-// replica.
+// A connection is idle if its reported load is below this fraction of the endpoint's mean.
+constexpr double kIdleLoadFraction = 0.2;
+// Near capacity, 5% per sample would take minutes. Above kOverloadThreshold all load in excess of
+// kOverloadTarget is migrated at once, each replica contributing its part.
 constexpr double kOverloadThreshold = 0.95, kOverloadTarget = 0.8;
-constexpr Micros kMigrationInterval = std::chrono::seconds(3);  // Until samples show a migration.
+constexpr Micros kMigrationInterval = std::chrono::seconds(3);  // Time until samples show a migration.
 
-struct MigrationCandidate {  // In ascending order of keys.
-  double sort_key, weight;   // Weights are loads where known: a count of the heaviest would overshoot.
+struct MigrationCandidate {
+  double sort_key;  // Candidates are taken in ascending order.
+  // On an overloaded endpoint the load where known, else 1. Counting connections would migrate too much, as
+  // the heaviest go first.
+  double weight;
   Request* request;
 };
 
-// The connections to migrate from an endpoint that has just been sampled, in order.
+// Returns the connections to migrate, in order, from an endpoint that has just been sampled.
 inline std::vector<Request*> SelectMigrations(Context& context, EndpointRecord& endpoint, double mean) {
   if (endpoint.established.empty() || context.now < endpoint.next_migration_at) return {};
   if (endpoint.smoothed_utilization <= mean + kMigrationMargin * (1 - mean)) return {};
-  const double utilization =
-      std::min(endpoint.smoothed_utilization, endpoint.latest_sample.utilization);  // It may be falling.
+  // The lower of the two, as utilization may be falling.
+  const double utilization = std::min(endpoint.smoothed_utilization, endpoint.latest_sample.utilization);
   const bool overloaded = utilization > kOverloadThreshold;
   std::vector<MigrationCandidate> candidates;
   double total_weight = 0, total_load = 0;
   for (Request* request : endpoint.established.Items()) {
     const double load =
         request->reported_load >= 0 ? request->reported_load : request->info.load_hint.value_or(-1);
-    // Idle first: by load, else at random. On an overloaded endpoint the heaviest: the fewest migrations.
+    // In ascending order of load where it is known, else in random order. On an overloaded endpoint the
+    // heaviest go first, which takes the fewest migrations.
     const double sort_key = load < 0 ? context.random.Unit() : overloaded ? -load : load;
     candidates.push_back({sort_key, overloaded && load >= 0 ? load : 1.0, request});
     total_weight += candidates.back().weight;
@@ -47,7 +53,7 @@
   double remaining_weight = total_weight * std::max(kMigrationFraction, excess_fraction);
   std::vector<Request*> selected;
   for (const MigrationCandidate& candidate : candidates) {
-    // Fractions are rounded at random: 5% of two connections is one of them in a tenth of the cases.
+    // Fractions are rounded at random: 5% of two connections migrates one of them with a probability of 0.1.
     if (context.random.Unit() * candidate.weight >= remaining_weight) break;
     if (!overloaded && candidate.request->reported_load > idle_load) break;
     remaining_weight -= candidate.weight;
