--- a/tests/balancer/admission_test.cpp
+++ b/tests/balancer/admission_test.cpp
@@ -20,25 +20,25 @@
   }
   EXPECT_EQ(ActionsOfType<RejectRequest>(actions).size(), 1U);
   EXPECT_TRUE(ActionsOfType<SendAttempt>(actions).empty());
-  // The next one is rejected on the same knowledge, without probes.
+  // The next request is rejected by the same reports, without probes.
   const auto next = fixture.SendRequest(2);
   EXPECT_EQ(ActionsOfType<RejectRequest>(next).size(), 1U);
   EXPECT_TRUE(ActionsOfType<ProbeEndpoint>(next).empty());
 }
 
-// A rejection is sent at once; its Retry-After keeps the client from returning too early.
-TEST(Admission, RetryAfterIsWhenTheReasonWillBeOver) {
-  Settings set = DefaultSettings();
-  for (const Micros longest : {Milliseconds(0), Milliseconds(200), Milliseconds(2000)}) {
-    set.max_retry_after = longest;
-    BalancerFixture fixture(set);
+// A rejection is sent at once. Its Retry-After keeps the client from retrying too early.
+TEST(Admission, RetryAfterCoversTheReasonForTheRejection) {
+  Settings settings = DefaultSettings();
+  for (const Micros max_retry_after : {Milliseconds(0), Milliseconds(200), Milliseconds(2000)}) {
+    settings.max_retry_after = max_retry_after;
+    BalancerFixture fixture(settings);
     fixture.UpdateEndpoints({ReadyEndpoint(1)});
     fixture.SendRequest(1);
     const auto rejected = ActionsOfType<RejectRequest>(fixture.ReportLoad(1, 0.99));
     ASSERT_EQ(rejected.size(), 1U);
-    EXPECT_LE(rejected[0].retry_after, std::min(longest, Milliseconds(300)));
-    EXPECT_GE(rejected[0].retry_after, std::min(longest, Milliseconds(100)));
-    if (longest < Milliseconds(2000)) continue;
+    EXPECT_LE(rejected[0].retry_after, std::min(max_retry_after, Milliseconds(300)));
+    EXPECT_GE(rejected[0].retry_after, std::min(max_retry_after, Milliseconds(100)));
+    if (max_retry_after < Milliseconds(2000)) continue;
     fixture.AdvanceTime(rejected[0].retry_after - Milliseconds(1));
     EXPECT_EQ(ActionsOfType<RejectRequest>(fixture.SendRequest(2)).size(),
               1U);  // Too early: rejected without probes.
@@ -48,10 +48,10 @@
 }
 
 TEST(Admission, CountsConcurrentPlacementsOfOtherReplicas) {
-  // Ten endpoints at 0.7 with one own connection each; the nine other replicas are assumed to have as many,
-  // so that one more on each endpoint by all replicas adds 0.7. One arrival a second is admitted, a burst is
-  // rejected at equal utilization.
-  for (const bool rush : {false, true}) {
+  // Ten endpoints at 0.7 with one connection of this replica each. The nine other replicas are assumed to
+  // have as many, so one more connection per endpoint and replica adds 0.7. At the same utilization, one
+  // arrival in three seconds is admitted, and a burst is rejected.
+  for (const bool is_burst : {false, true}) {
     Settings settings = DefaultSettings();
     settings.replicas = 10;
     BalancerFixture fixture(settings);
@@ -67,16 +67,16 @@
       for (const SendAttempt& attempt : ActionsOfType<SendAttempt>(actions)) {
         fixture.Handle(AttemptEstablished{attempt.id, attempt.endpoint});
       }
-      if (!rush) fixture.AdvanceTime(Milliseconds(3000));
+      if (!is_burst) fixture.AdvanceTime(Milliseconds(3000));
     }
-    EXPECT_EQ(rejected > 0, rush);
+    EXPECT_EQ(rejected > 0, is_burst);
   }
 }
 
-// A draining gateway migrates its clients all at once. Samples still count them at their endpoints: counting
-// them again, with concurrent placements besides, rejected most of them despite free capacity.
+// A draining relay migrates all its clients at once. Samples still include them at their endpoints. Counting
+// them again, together with concurrent placements, rejected most of them despite free capacity.
 TEST(Admission, ReconnectingClientsFindFreeCapacity) {
-  for (const bool back : {false, true}) {
+  for (const bool is_reconnect : {false, true}) {
     Settings settings = DefaultSettings();
     settings.replicas = 10;
     BalancerFixture fixture(settings);
@@ -88,7 +88,7 @@
       RequestArrived request;
       request.id = RequestId(id);
       request.deadline = fixture.now + Milliseconds(2000);
-      request.is_reconnect = back;
+      request.is_reconnect = is_reconnect;
       auto actions = fixture.Handle(request);
       for (std::uint64_t k = 1; k <= 10; ++k) {
         const auto placed = fixture.ReportLoad(k, 0.6, 12.0);
@@ -101,12 +101,12 @@
         fixture.Handle(AttemptEstablished{attempt.id, attempt.endpoint});
       }
     }
-    EXPECT_EQ(rejected > 0, !back);
-    EXPECT_EQ(sent == 25, back);
+    EXPECT_EQ(rejected > 0, !is_reconnect);
+    EXPECT_EQ(sent == 25, is_reconnect);
   }
 }
 
-TEST(Admission, FaultsEverywhereStopAttempts) {
+TEST(Admission, FaultsOfAllEndpointsStopAttempts) {
   Settings settings = DefaultSettings();
   settings.probes_allowed = false;
   BalancerFixture fixture(settings);
@@ -140,17 +140,17 @@
     }
   }
   ASSERT_EQ(out.size(), 8U);
-  // All in time: the window grows by one for each, and those that wait follow.
+  // Each establishment in time grows the window by one, and waiting requests are sent.
   for (const SendAttempt& attempt : out) fixture.Handle(AttemptEstablished{attempt.id, attempt.endpoint});
   EXPECT_EQ(ActionsOfType<SendAttempt>(fixture.AdvanceTime(Milliseconds(200))).size(), 16U);
-  // A timeout halves it.
+  // A timeout halves the window.
   BalancerFixture slow(settings);
   slow.UpdateEndpoints(list);
   const auto first = ActionsOfType<SendAttempt>(slow.SendRequest(1));
   slow.EndAttempt(1, static_cast<std::uint64_t>(first[0].endpoint), Outcome::kTimedOut);
   std::size_t more = 0;
   for (std::uint64_t id = 2; id <= 200; ++id) more += ActionsOfType<SendAttempt>(slow.SendRequest(id)).size();
-  EXPECT_EQ(more, 3U);  // A window of four, including the retry.
+  EXPECT_EQ(more, 3U);  // A window of four, one of which the retry takes.
 }
 
 }  // namespace
--- a/tests/balancer/balancer_fixture.h
+++ b/tests/balancer/balancer_fixture.h
@@ -1,5 +1,5 @@
-// A Balancer with a fake clock: events in, actions out, timers fired when they are due. And the settings,
-// endpoints and steps that several test files share.
+// A Balancer driven by a fake clock that fires its timers when they are due, and the settings, endpoints and
+// steps that several test files share.
 #ifndef STOATRUN_TESTS_BALANCER_BALANCER_FIXTURE_H_
 #define STOATRUN_TESTS_BALANCER_BALANCER_FIXTURE_H_
 
@@ -17,7 +17,7 @@
 
 constexpr Micros Milliseconds(std::int64_t count) { return Micros(count * 1000); }
 
-// One replica of a fleet whose endpoints report load with probe answers.
+// A single replica whose endpoints report load with probe responses.
 inline Settings DefaultSettings() {
   Settings settings;
   settings.seed = 7;
@@ -77,11 +77,11 @@
                                       EndpointUpdate::Kind kind = EndpointUpdate::Kind::kCached) {
     return Handle(EndpointUpdate{kind, std::move(entries)});
   }
-  std::vector<Action> SendRequest(std::uint64_t id, Micros patience = Milliseconds(2000),
+  std::vector<Action> SendRequest(std::uint64_t id, Micros time_to_deadline = Milliseconds(2000),
                                   std::optional<double> hint = {}) {
     RequestArrived request;
     request.id = RequestId(id);
-    request.deadline = now + patience;
+    request.deadline = now + time_to_deadline;
     request.load_hint = hint;
     return Handle(request);
   }
@@ -96,14 +96,14 @@
                                  bool finished = false) {
     return Handle(AttemptEnded{RequestId(id), EndpointId(endpoint), outcome, finished, {}});
   }
-  // A probe's answer.
+  // Completes a probe of the endpoint with this load ratio and connection count.
   std::vector<Action> ReportLoad(std::uint64_t endpoint, double load, std::optional<double> count = {}) {
     LoadReport report;
     report.load_ratio = load;
     report.outstanding = count;
     return Handle(ProbeCompleted{EndpointId(endpoint), true, report});
   }
-  // Lets time pass and fires the timers that fall due. Returns all actions of that time.
+  // Advances the clock and fires the timers that become due. Returns all resulting actions.
   std::vector<Action> AdvanceTime(Micros span) {
     std::vector<Action> all;
     const Micros end = now + span;
@@ -138,19 +138,19 @@
   std::vector<Micros> timers_;
 };
 
-// One class, whose requests are placed without probes.
+// One request class and no probes.
 inline Settings NoProbeSettings(Idempotency idempotency,
-                                DeduplicationScope group = DeduplicationScope::kAll) {
+                                DeduplicationScope scope = DeduplicationScope::kAll) {
   Settings settings = DefaultSettings();
   settings.probes_allowed = false;
   settings.classes[0].idempotency = idempotency;
-  settings.classes[0].deduplication_scope = group;
+  settings.classes[0].deduplication_scope = scope;
   settings.classes[0].deduplication_window = Milliseconds(800);
   return settings;
 }
 
-// Sends a request of a group and answers its probes with `loads`, that of endpoint 1 first. Returns where it
-// was established; 0: nowhere.
+// Sends a request of an affinity group and completes its probes with the loads of `loads`, beginning with
+// that of endpoint 1. Returns the endpoint at which it was established; 0: none.
 inline EndpointId PlaceRequest(BalancerFixture& fixture, std::uint64_t id, std::uint64_t group,
                                const std::vector<double>& loads) {
   RequestArrived request;
@@ -173,7 +173,7 @@
   return sent[0].endpoint;
 }
 
-// One of many replicas of a fleet whose endpoints report no load and can't be probed.
+// One of 300 replicas whose endpoints report no load and can't be probed.
 inline Settings NoLoadDataSettings(std::uint64_t seed) {
   Settings settings = DefaultSettings();
   settings.seed = seed;
--- a/tests/balancer/balancer_replay_program.sh
+++ b/tests/balancer/balancer_replay_program.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# The comparison of recorded actions: the same ones pass, a single other one is found, bad files are named.
+# balancer_replay accepts a recording whose actions match, reports the first that differs, and names malformed
+# files.
 set -u
 balancer_replay=$1
 fail() { echo "$1"; exit 1; }
@@ -16,15 +17,15 @@
 EOF
 "$balancer_replay" --write events.txt > recorded.txt || fail "recording failed"
 grep -q '"Send",3,11,8' recorded.txt || fail "no decision in the recording: $(cat recorded.txt)"
-"$balancer_replay" recorded.txt || fail "the same actions must exit 0"
-sed 's/"Send",3,11,8/"Send",3,11,7/' recorded.txt > other.txt
-out=$("$balancer_replay" other.txt); [ $? = 3 ] || fail "another action must exit 3"
-echo "$out" | grep -q 'other.txt:6: batch 3 differs' || fail "it must name the place: $out"
-sed '$d' recorded.txt | sed '2d' > cut.txt
-"$balancer_replay" cut.txt 2>err.txt; [ $? = 2 ] || fail "a batch without its reply must exit 2"
-grep -q 'cut.txt:2: a batch before' err.txt || fail "message: $(cat err.txt)"
-sed '$d' recorded.txt > cut.txt
-"$balancer_replay" cut.txt 2>err.txt; [ $? = 2 ] || fail "a recording cut short must exit 2"
+"$balancer_replay" recorded.txt || fail "matching actions must exit 0"
+sed 's/"Send",3,11,8/"Send",3,11,7/' recorded.txt > differing.txt
+out=$("$balancer_replay" differing.txt); [ $? = 3 ] || fail "a differing action must exit 3"
+echo "$out" | grep -q 'differing.txt:6: batch 3 differs' || fail "the message must name the line: $out"
+sed '$d' recorded.txt | sed '2d' > truncated.txt
+"$balancer_replay" truncated.txt 2>err.txt; [ $? = 2 ] || fail "a batch without its reply must exit 2"
+grep -q 'truncated.txt:2: a batch before' err.txt || fail "message: $(cat err.txt)"
+sed '$d' recorded.txt > truncated.txt
+"$balancer_replay" truncated.txt 2>err.txt; [ $? = 2 ] || fail "a truncated recording must exit 2"
 grep -q 'ends before the reply' err.txt || fail "message: $(cat err.txt)"
 "$balancer_replay" events.none 2>err.txt; [ $? = 2 ] || fail "a missing file must exit 2"
 echo "{\"atTime\":5}" > bad.txt
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -1,4 +1,4 @@
-// The dispatcher: determinism, and events with unknown ids.
+// Dispatch of events: determinism, and events with unknown ids.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -21,7 +21,7 @@
   fixture.Handle(ProbeCompleted{EndpointId(77), false, {}});
   fixture.ResumeConnection(78, 66);
   fixture.SendRequest(1);
-  EXPECT_TRUE(ActionsOfType<SendAttempt>(fixture.SendRequest(1)).empty());  // An id is used once.
+  EXPECT_TRUE(ActionsOfType<SendAttempt>(fixture.SendRequest(1)).empty());  // An id is never reused.
 }
 
 TEST(Balancer, SameEventsGiveSameActions) {
@@ -36,8 +36,8 @@
     for (std::uint64_t id = 1; id <= 100; ++id) {
       for (const Action& action : fixture.RequestAndAdvance(id, Milliseconds(30))) {
         trace.push_back(action.index());
-        if (const auto* found_action = std::get_if<SendAttempt>(&action)) {
-          trace.push_back(static_cast<std::uint64_t>(found_action->endpoint));
+        if (const auto* attempt = std::get_if<SendAttempt>(&action)) {
+          trace.push_back(static_cast<std::uint64_t>(attempt->endpoint));
         }
         if (const auto* probe = std::get_if<ProbeEndpoint>(&action)) {
           trace.push_back(static_cast<std::uint64_t>(probe->endpoint));
--- a/tests/balancer/endpoint_table_test.cpp
+++ b/tests/balancer/endpoint_table_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint updates and watches.
+// Endpoint updates and renewal of watches.
 #include <gtest/gtest.h>
 
 #include <cstdint>
--- a/tests/balancer/fleet_hint_test.cpp
+++ b/tests/balancer/fleet_hint_test.cpp
@@ -1,4 +1,4 @@
-// Hints of other replicas.
+// Hints from other replicas. Each replaces the previous hint for its endpoint.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -8,8 +8,6 @@
 namespace balancer {
 namespace {
 
-// Hints replace the previous one for their endpoint.
-
 TEST(FleetHint, PlacementsOfOtherReplicasCountUntilTheNextHint) {
   BalancerFixture fixture;
   fixture.UpdateEndpoints({NamedEndpoint(1, 11), NamedEndpoint(2, 12)});
@@ -21,7 +19,7 @@
   EXPECT_EQ(PlaceRequest(fixture, 101, 0, {0.2, 0.45}), EndpointId(1));
 }
 
-TEST(FleetHint, EjectsAnEndpointForAWhile) {
+TEST(FleetHint, EjectsAnEndpointForTheBaseEjectionTime) {
   BalancerFixture fixture;
   fixture.UpdateEndpoints({NamedEndpoint(1, 11), NamedEndpoint(2, 12)});
   fixture.Handle(FleetHint{EndpointId(1), 0, -1, true});
@@ -35,9 +33,9 @@
 
 TEST(FleetHint, SetsTheSlowStartTokens) {
   BalancerFixture fixture;
-  Endpoint warming_up = NamedEndpoint(1, 11);
-  warming_up.started_at = fixture.now - Milliseconds(10);
-  fixture.UpdateEndpoints({warming_up, NamedEndpoint(2, 12)});
+  Endpoint starting = NamedEndpoint(1, 11);
+  starting.started_at = fixture.now - Milliseconds(10);
+  fixture.UpdateEndpoints({starting, NamedEndpoint(2, 12)});
   fixture.Handle(FleetHint{EndpointId(1), 0, 0, false});
   for (std::uint64_t k = 1; k <= 3; ++k) {
     EXPECT_EQ(PlaceRequest(fixture, k, 0, {0.0, 0.5}), EndpointId(2)) << k;
--- a/tests/balancer/large_fleet_test.cpp
+++ b/tests/balancer/large_fleet_test.cpp
@@ -1,4 +1,4 @@
-// A hundred replicas that share nothing: what is harmless at one may be harmful when all do it.
+// A hundred replicas that share no state: decisions that are harmless in one may add up to an overload.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 constexpr std::size_t kReplicas = 100;
 
-// An endpoint's reported load over capacity and connections.
+// The load report of an endpoint: load over capacity, and connections.
 struct ReportedLoad {
   double load, count;
 };
@@ -28,26 +28,28 @@
       Settings settings = DefaultSettings();
       settings.seed = 1000 + k;
       settings.replicas = kReplicas;
-      all_.push_back(std::make_unique<BalancerFixture>(settings));
-      all_.back()->now = Milliseconds(10'000);
-      all_.back()->UpdateEndpoints(list);
+      replicas_.push_back(std::make_unique<BalancerFixture>(settings));
+      replicas_.back()->now = Milliseconds(10'000);
+      replicas_.back()->UpdateEndpoints(list);
     }
   }
   void AdvanceTime(Micros span) {
-    for (auto& replica : all_) Play(*replica, replica->AdvanceTime(span));
+    for (auto& replica : replicas_) Dispatch(*replica, replica->AdvanceTime(span));
   }
-  // A client reconnects to each replica.
+  // At each replica a client reconnects.
   void ReconnectClients(std::uint64_t id) {
     for (std::size_t k = 0; k < kReplicas; ++k) {
       RequestArrived request;
       request.id = RequestId(id);
-      request.deadline = all_[k]->now + Milliseconds(2000);
+      request.deadline = replicas_[k]->now + Milliseconds(2000);
       request.is_reconnect = true;
-      Play(*all_[k], all_[k]->Handle(request));
+      Dispatch(*replicas_[k], replicas_[k]->Handle(request));
     }
   }
   void UpdateEndpoints(const std::vector<Endpoint>& list) {
-    for (auto& replica : all_) Play(*replica, replica->UpdateEndpoints(list, EndpointUpdate::Kind::kFull));
+    for (auto& replica : replicas_) {
+      Dispatch(*replica, replica->UpdateEndpoints(list, EndpointUpdate::Kind::kFull));
+    }
   }
   int SentTo(std::uint64_t endpoint) const {
     const auto at = sent_.find(EndpointId(endpoint));
@@ -56,7 +58,7 @@
   int rejected = 0;
 
  private:
-  void Play(BalancerFixture& replica, std::vector<Action> actions) {
+  void Dispatch(BalancerFixture& replica, std::vector<Action> actions) {
     for (std::size_t k = 0; k < actions.size(); ++k) {
       std::vector<Action> more;
       if (const auto* probe = std::get_if<ProbeEndpoint>(&actions[k])) {
@@ -72,14 +74,14 @@
     }
   }
 
-  std::vector<std::unique_ptr<BalancerFixture>> all_;
+  std::vector<std::unique_ptr<BalancerFixture>> replicas_;
   std::map<std::uint64_t, ReportedLoad> reports_;
   std::map<EndpointId, int> sent_;
 };
 
-// Clients of a lost endpoint reconnect to all replicas at once. All see the same reports; when each chose the
-// least utilized endpoint, that one was asked for twice its capacity before its next report.
-TEST(LargeFleet, EqualViewsDoNotLeadToEqualChoices) {
+// Clients of a lost endpoint reconnect at all replicas at once, and all replicas have the same reports. When
+// each selected the least utilized endpoint, that one was sent twice its capacity before its next report.
+TEST(LargeFleet, ReplicasWithEqualReportsSelectDifferentEndpoints) {
   std::vector<Endpoint> list;
   std::map<std::uint64_t, ReportedLoad> reports;
   for (std::uint64_t id = 1; id <= 4; ++id) {
@@ -88,16 +90,17 @@
   }
   Fleet fleet(list, reports);
   fleet.ReconnectClients(1);
-  int most = 0, all = 0;
+  int max_sent = 0, total_sent = 0;
   for (std::uint64_t id = 1; id <= 4; ++id) {
-    most = std::max(most, fleet.SentTo(id));
-    all += fleet.SentTo(id);
+    max_sent = std::max(max_sent, fleet.SentTo(id));
+    total_sent += fleet.SentTo(id);
   }
-  EXPECT_GE(all, 30);
-  EXPECT_LE(most, all / 2);
+  EXPECT_GE(total_sent, 30);
+  EXPECT_LE(max_sent, total_sent / 2);
 }
 
-// A hundred replicas that each see capacity for a few more would fill an endpoint many times over.
+// Each replica sees capacity for a few more connections. A hundred of them would overload an endpoint many
+// times.
 TEST(LargeFleet, NearlyFullFleetRejectsConcurrentPlacements) {
   std::vector<Endpoint> list;
   std::map<std::uint64_t, ReportedLoad> reports;
@@ -110,8 +113,8 @@
   EXPECT_GE(fleet.rejected, 90);
 }
 
-// Each replica has a hundredth of the slow start budget. Probed like any other endpoint, new endpoints were
-// used by few replicas and stayed empty through their slow start while the old ones were full.
+// Each replica has a hundredth of the slow-start budget. When new endpoints were probed like any others, few
+// replicas used them, and they stayed nearly empty during their slow start while the old endpoints were full.
 TEST(LargeFleet, SlowStartBudgetIsUsedWhileOtherEndpointsAreFull) {
   std::vector<Endpoint> list;
   std::map<std::uint64_t, ReportedLoad> reports;
@@ -121,13 +124,13 @@
   }
   reports[13] = {0.1, 3};
   Fleet fleet(list, reports);
-  for (std::uint64_t k = 0; k < 4; ++k) {  // The replicas learn the capacity of an endpoint.
+  for (std::uint64_t k = 0; k < 4; ++k) {  // The replicas estimate the capacity of an endpoint.
     fleet.ReconnectClients(10 + k);
     fleet.AdvanceTime(Milliseconds(1500));
   }
-  Endpoint warming_up = ReadyEndpoint(13);
-  warming_up.started_at = Milliseconds(16'000);
-  list.push_back(warming_up);
+  Endpoint starting = ReadyEndpoint(13);
+  starting.started_at = Milliseconds(16'000);
+  list.push_back(starting);
   fleet.UpdateEndpoints(list);
   for (std::uint64_t second = 0; second < 9; ++second) {
     const int before = fleet.SentTo(13);
@@ -139,7 +142,7 @@
   EXPECT_GE(fleet.SentTo(13), 40);
 }
 
-// The utilization from before its restart kept an endpoint in slow start from being probed first.
+// The utilization sampled before its restart kept an endpoint in slow start from being probed first.
 TEST(LargeFleet, RestartedEndpointIsProbedFirstAlthoughItWasFull) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Settings settings = DefaultSettings();
@@ -162,7 +165,8 @@
   }
 }
 
-// Probed by each replica that has a connection there, an endpoint answered the same question a hundred times.
+// When each replica probed all endpoints that served its connections, an endpoint was probed a hundred
+// times.
 TEST(LargeFleet, ProbesDoNotGrowWithReplicasThatStartTogether) {
   std::size_t probes = 0;
   for (std::size_t k = 0; k < kReplicas; ++k) {
@@ -175,11 +179,11 @@
     probes += ActionsOfType<ProbeEndpoint>(fixture.AdvanceTime(Milliseconds(500))).size();
     probes += ActionsOfType<ProbeEndpoint>(fixture.SendRequest(9)).size();
   }
-  EXPECT_LE(probes, 320U);  // Three for each placement; without the limit four samples more by each replica.
+  EXPECT_LE(probes, 320U);  // Three per placement. Without the limit each replica takes four samples more.
 }
 
-// A replica without arrivals knows the state of its endpoints by samples only. One sample in five seconds
-// left clients for ten seconds on endpoints that answered nobody in time.
+// A replica without arrivals learns the state of its endpoints from samples only. With one sample in five
+// seconds, clients stayed for ten seconds on endpoints that answered no message in time.
 TEST(LargeFleet, ReplicaWithoutArrivalsSamplesAFullEndpointMoreOften) {
   const auto probes_of = [](double load) {
     Settings settings = DefaultSettings();
@@ -188,7 +192,7 @@
     fixture.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2)});
     fixture.ResumeConnection(1, 1);
     fixture.ReportLoad(2, load);
-    fixture.ReportLoad(1, load);  // As full as the other: nothing migrates.
+    fixture.ReportLoad(1, load);  // As utilized as the other, so that nothing migrates.
     int probes = 0;
     for (int k = 0; k < 100; ++k) {
       for (const Action& action : fixture.AdvanceTime(Milliseconds(100))) {
--- a/tests/balancer/load_estimate_test.cpp
+++ b/tests/balancer/load_estimate_test.cpp
@@ -1,4 +1,4 @@
-// Estimates of utilization between reports.
+// Estimates of utilization between load reports.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -10,8 +10,8 @@
 namespace balancer {
 namespace {
 
-// A new replica has few connections of its own: judged by these, one connection seemed to fill an endpoint,
-// and the replica rejected requests while all endpoints had capacity.
+// A new replica has few connections. When it derived the load per connection from these alone, one connection
+// seemed to fill an endpoint, and it rejected requests while all endpoints had capacity.
 TEST(LoadEstimate, NewReplicaUsesReportedConnectionCounts) {
   BalancerFixture fixture;
   fixture.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2), ReadyEndpoint(3), ReadyEndpoint(4)});
@@ -35,8 +35,8 @@
   EXPECT_EQ(rejected, 0U);
 }
 
-// Equal samples are the same report. When each probe erased the placements made since, all requests went to
-// the endpoint with the lowest old report until it was overloaded.
+// Equal samples are the same report. When every probe result erased the placements made since that report,
+// all requests went to the endpoint with the lowest reported load until it was overloaded.
 TEST(LoadEstimate, OwnPlacementsCountUntilAReportCanIncludeThem) {
   BalancerFixture fixture;
   fixture.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2)});
@@ -62,9 +62,9 @@
   EXPECT_LE(to_first, all / 2 + 1);
 }
 
-// Reports without counts: the load of a connection was derived from own connections alone. In a new replica
-// one connection was taken for a third of the load of the fleet, and further requests were rejected.
-TEST(LoadEstimate, NewReplicaDoesNotTakeItsFewConnectionsForTheFleetsLoad) {
+// Reports without counts: the load per connection was derived from the replica's own connections alone. A new
+// replica attributed a third of the fleet's load to one connection and rejected further requests.
+TEST(LoadEstimate, NewReplicaDoesNotAttributeTheFleetsLoadToItsFewConnections) {
   Settings settings = DefaultSettings();
   settings.replicas = 2;
   BalancerFixture fixture(settings);
@@ -78,7 +78,7 @@
     ++sent;
     fixture.Handle(LoadReported{RequestId(id), 40'000.0});  // A fiftieth of an endpoint of two cores.
   }
-  EXPECT_GE(sent, 11);  // 9 without this.
+  EXPECT_GE(sent, 11);  // 9 by own connections alone.
 }
 
 // Two endpoints of equal size; the second has 20 own connections whose reported load is half of its capacity.
@@ -92,21 +92,22 @@
   return fixture;
 }
 
-// Equal samples are the same report, with counts or without. Each probe once erased the placements made
-// since, and an empty endpoint was sent all requests until its next report.
+// Equal samples are the same report, with or without counts. When every probe result erased the placements
+// made since that report, an empty endpoint was sent all requests until its next report.
 TEST(LoadEstimate, UnreportedPlacementsCountWithoutReportedCounts) {
   BalancerFixture fixture = HalfFullEndpoint(2);
-  int at_empty = 0;
+  int sent_to_empty = 0;
   for (std::uint64_t id = 101; id <= 116; ++id) {
     const EndpointId target = PlaceRequest(fixture, id, 0, {0.2, 0.5});
-    fixture.Handle(LoadReported{RequestId(id), 50'000.0});  // 12 fill the difference.
-    at_empty += target == EndpointId(1) ? 1 : 0;
+    fixture.Handle(LoadReported{RequestId(id), 50'000.0});  // 12 make up for the difference in load.
+    sent_to_empty += target == EndpointId(1) ? 1 : 0;
   }
-  EXPECT_LE(at_empty, 14);  // All 16 without this.
-  EXPECT_GE(at_empty, 10);
+  EXPECT_LE(sent_to_empty, 14);  // All 16 if each probe result erased the placements.
+  EXPECT_GE(sent_to_empty, 10);
 }
 
-// Loads differ by a factor of hundreds: an unreported placement counts with the load that it reports itself.
+// Loads of connections differ by a factor of hundreds, so an unreported placement is weighted by the load
+// reported for it.
 TEST(LoadEstimate, UnreportedPlacementCountsWithItsReportedLoad) {
   for (const double load : {50'000.0, 800'000.0}) {
     BalancerFixture fixture = HalfFullEndpoint(2);
@@ -116,8 +117,8 @@
   }
 }
 
-// A connection fills more of a small endpoint than of a large one.
-TEST(LoadEstimate, PlacementCountsByTheSizeOfItsEndpoint) {
+// A connection uses a larger part of a small endpoint than of a large one.
+TEST(LoadEstimate, PlacementIsWeightedByTheSizeOfItsEndpoint) {
   for (const double size : {1.0, 8.0}) {
     BalancerFixture fixture = HalfFullEndpoint(size);
     ASSERT_EQ(PlaceRequest(fixture, 101, 0, {0.40, 0.45}), EndpointId(1));
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -1,4 +1,4 @@
-// Ejection of endpoints that fail.
+// Ejection of failing endpoints.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -24,8 +24,8 @@
   }
 }
 
-// A draining endpoint answers probes with ever lower load while a stale list still calls it ready.
-TEST(OutlierDetection, ProbeAnswerDoesNotClearAnEndpointThatRejectsAttempts) {
+// A draining endpoint answers probes with decreasing load while a stale list still has it as ready.
+TEST(OutlierDetection, ProbeSuccessDoesNotClearFailedAttempts) {
   BalancerFixture fixture;
   fixture.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2)});
   std::size_t to_draining = 0;
@@ -48,10 +48,11 @@
     fixture.AdvanceTime(Milliseconds(100));
   }
   EXPECT_GE(to_draining, 1U);
-  EXPECT_LE(to_draining, 5U);  // Six seconds: after 0.5, 1.5 and 3.5; without a memory every half second.
+  EXPECT_LE(to_draining, 5U);  // Within 6 s: after 0.5, 1.5 and 3.5 s. With equal ejection times every 0.5 s.
 }
 
-// An endpoint that fails fast has little load and attracted requests: an eighth of all attempts got an error.
+// An endpoint that fails fast has a low load, which attracted requests: an eighth of all attempts ended in an
+// error.
 TEST(OutlierDetection, EndpointWithErrorsIsEjectedAlthoughItsUtilizationIsLow) {
   BalancerFixture fixture;
   fixture.UpdateEndpoints({NamedEndpoint(1, 11), NamedEndpoint(2, 12), NamedEndpoint(3, 13)});
@@ -73,7 +74,7 @@
     }
     fixture.AdvanceTime(Milliseconds(40));
   }
-  EXPECT_LE(failed, 2);  // In 0.4 s.
+  EXPECT_LE(failed, 2);  // Within 0.4 s.
 }
 
 }  // namespace
--- a/tests/balancer/placement_test.cpp
+++ b/tests/balancer/placement_test.cpp
@@ -1,4 +1,4 @@
-// Placement: the pool of probe answers, zones and affinity groups.
+// Placement: the pool of probe results, zones and affinity groups.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 namespace balancer {
 namespace {
 
-TEST(Placement, LeastUtilizedFreshAnswerWins) {
+TEST(Placement, SelectsTheLeastUtilizedProbedEndpoint) {
   BalancerFixture fixture;
   fixture.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2), ReadyEndpoint(3), ReadyEndpoint(4)});
   const auto probes = ActionsOfType<ProbeEndpoint>(fixture.SendRequest(1));
@@ -31,7 +31,7 @@
             1U);  // An eighth of the latency objective of 300 ms.
 }
 
-TEST(Placement, ProbeAnswerServesFewRequestsAndExpires) {
+TEST(Placement, ProbeResultServesFewRequestsAndExpires) {
   BalancerFixture fixture;
   fixture.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2), ReadyEndpoint(3), ReadyEndpoint(4),
                            ReadyEndpoint(5), ReadyEndpoint(6), ReadyEndpoint(7), ReadyEndpoint(8)});
@@ -42,29 +42,29 @@
     ASSERT_EQ(sent.size(), 1U);
     placed += sent[0].endpoint == EndpointId(3) ? 1 : 0;
   }
-  EXPECT_LE(placed, 3U);  // Twice by its answer, further ones only by estimates.
-  BalancerFixture late;
-  late.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2)});
-  late.ReportLoad(1, 0.1);
-  late.now += Milliseconds(1001);
-  EXPECT_FALSE(ActionsOfType<ProbeEndpoint>(late.SendRequest(1)).empty());
+  EXPECT_LE(placed, 3U);  // Two by the probe result, any others by estimates.
+  BalancerFixture expired;
+  expired.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2)});
+  expired.ReportLoad(1, 0.1);
+  expired.now += Milliseconds(1001);
+  EXPECT_FALSE(ActionsOfType<ProbeEndpoint>(expired.SendRequest(1)).empty());
 }
 
-TEST(Placement, EndpointInTheZoneWinsUntilARemoteOneIsClearlyEmptier) {
-  for (const double far : {0.45, 0.2}) {
+TEST(Placement, PrefersItsZoneUntilARemoteEndpointIsClearlyEmptier) {
+  for (const double remote_load : {0.45, 0.2}) {
     Settings settings = DefaultSettings();
     settings.zone_crossing_cost = 0.02;  // Weighs 0.1 of utilization.
     BalancerFixture fixture(settings);
     fixture.UpdateEndpoints({ReadyEndpoint(1, 0), ReadyEndpoint(2, 1)});
     fixture.ReportLoad(1, 0.5);
-    fixture.ReportLoad(2, far);
+    fixture.ReportLoad(2, remote_load);
     const auto sent = ActionsOfType<SendAttempt>(fixture.RequestAndAdvance(1, Milliseconds(40)));
     ASSERT_EQ(sent.size(), 1U);
-    EXPECT_EQ(sent[0].endpoint, far < 0.4 ? EndpointId(2) : EndpointId(1));
+    EXPECT_EQ(sent[0].endpoint, remote_load < 0.4 ? EndpointId(2) : EndpointId(1));
   }
 }
 
-TEST(Placement, WithoutProbesOwnConnectionCountsDecide) {
+TEST(Placement, WithoutProbesUsesOwnConnectionCounts) {
   Settings settings = DefaultSettings();
   settings.probes_allowed = false;
   settings.report_mode = ReportMode::kOff;
@@ -78,8 +78,8 @@
   EXPECT_EQ(sent[0].endpoint, EndpointId(2));
 }
 
-// Every endpoint that serves some of a group has its costs: 8 groups on 14 endpoints once cost more than
-// their connections did, as each new one went to the emptiest endpoint.
+// Each endpoint that serves connections of a group bears the group's cost. When each new connection went to
+// the emptiest endpoint, 8 groups spread over 14 endpoints cost more than their connections.
 TEST(AffinityGroups, NewConnectionJoinsItsGroupUntilAnotherEndpointIsClearlyEmptier) {
   for (const double member_load : {0.55, 0.95}) {
     BalancerFixture fixture;
@@ -108,17 +108,18 @@
         {NamedEndpoint(1, 11), NamedEndpoint(2, 12), NamedEndpoint(3, 13), NamedEndpoint(4, 14)});
     second.UpdateEndpoints(
         {NamedEndpoint(1, 14), NamedEndpoint(2, 13), NamedEndpoint(3, 12), NamedEndpoint(4, 11)});
-    const auto at_a = static_cast<std::uint64_t>(PlaceRequest(first, 1, group, {0.3, 0.3, 0.3, 0.3}));
-    const auto at_b = static_cast<std::uint64_t>(PlaceRequest(second, 1, group, {0.3, 0.3, 0.3, 0.3}));
-    same += at_a == 5 - at_b ? 1 : 0;
-    used.insert(at_a);
+    const auto first_home = static_cast<std::uint64_t>(PlaceRequest(first, 1, group, {0.3, 0.3, 0.3, 0.3}));
+    const auto second_home = static_cast<std::uint64_t>(PlaceRequest(second, 1, group, {0.3, 0.3, 0.3, 0.3}));
+    same += first_home == 5 - second_home ? 1 : 0;
+    used.insert(first_home);
   }
-  EXPECT_GE(same, 19);  // By chance: 5.
+  EXPECT_GE(same, 19);  // A random choice would give 5.
   EXPECT_EQ(used.size(), 4U);
 }
 
-// A site without load reports, 300 replicas and groups that cost three connections each lost half its
-// service: every endpoint served some of nearly every group, at three times the load of the connections.
+// Without load reports, 300 replicas spread nearly every group over all endpoints. With groups that cost as
+// much as three connections each, the endpoints had three times the load of the connections, and half of the
+// service was lost.
 TEST(AffinityGroups, WithoutLoadDataManyReplicasUseOneHome) {
   for (std::uint64_t group = 1; group <= 20; ++group) {
     std::set<std::uint64_t> homes;
@@ -134,9 +135,9 @@
   }
 }
 
-// Own counts made an endpoint with two connections look full, so that its clients were migrated or rejected;
-// and the effect of late messages never ended.
-TEST(AffinityGroups, WithoutLoadDataLateMessagesCountForAWhileAndOwnConnectionsDoNot) {
+// Judged by the replica's own counts, an endpoint with two connections seemed full, so that its clients were
+// migrated or rejected. And the utilization set by missed message latencies was never reset.
+TEST(AffinityGroups, WithoutLoadDataMissedLatencyIsResetAndOwnCountsAreIgnored) {
   BalancerFixture fixture(NoLoadDataSettings(1));
   fixture.UpdateEndpoints(
       {NamedEndpoint(1, 11), NamedEndpoint(2, 12), NamedEndpoint(3, 13), NamedEndpoint(4, 14)});
@@ -162,12 +163,12 @@
   fixture.now += Milliseconds(5000);
   std::vector<double> loads(4, 0.3);
   loads[static_cast<std::uint64_t>(first) - 1] =
-      0.9;  // Smoothed 0.72: with a member there it would still be chosen.
+      0.9;  // Smoothed 0.72: still selected if it counted as serving the group.
   EXPECT_NE(PlaceRequest(fixture, 2, 77, loads), first);
 }
 
-// A hundred replicas with equally old samples all sent a group to its one home: over the days of large fleets
-// more was lost by that than the spread of groups costs.
+// A hundred replicas with equally old samples sent a group to the same home at once, which in runs of large
+// fleets cost more service than spreading groups does.
 TEST(AffinityGroups, IgnoredWithMoreReplicasThanEndpoints) {
   for (const std::uint32_t replicas : {4U, 5U}) {
     Settings settings = DefaultSettings();
--- a/tests/balancer/rebalancing_test.cpp
+++ b/tests/balancer/rebalancing_test.cpp
@@ -1,4 +1,4 @@
-// Rebalancing by migration: smoothing, trigger, batches, and relief of overloaded endpoints.
+// Rebalancing by migration: smoothing, trigger, batch sizes, and overloaded endpoints.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 namespace balancer {
 namespace {
 
-// Two endpoints at a utilization of 0.5, `connections` own connections on endpoint 1.
+// Two endpoints at a utilization of 0.5; the replica has `connections` connections to endpoint 1.
 BalancerFixture TwoEndpoints(std::uint64_t connections, const Settings& settings = DefaultSettings()) {
   BalancerFixture fixture(settings);
   fixture.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2)});
@@ -27,7 +27,7 @@
   EXPECT_EQ(ActionsOfType<MigrateConnection>(over.ReportLoad(1, 0.91)).size(), 5U);
 }
 
-TEST(Rebalancing, MigrationsSettleBeforeTheNextBatch) {
+TEST(Rebalancing, BatchesAreSpacedByTheMigrationInterval) {
   BalancerFixture fixture = TwoEndpoints(100);
   ASSERT_EQ(ActionsOfType<MigrateConnection>(fixture.ReportLoad(1, 0.93)).size(), 5U);
   EXPECT_TRUE(ActionsOfType<MigrateConnection>(fixture.ReportLoad(1, 0.93)).empty());
@@ -36,7 +36,7 @@
 }
 
 TEST(Rebalancing, SmallBatchesAreRoundedAtRandom) {
-  // 5% of 2 connections is a tenth of a migration: none as a rule, one in ten replicas.
+  // 5% of 2 connections is 0.1: one replica in ten migrates one.
   std::size_t migrations = 0;
   for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
     Settings settings = DefaultSettings();
@@ -58,7 +58,7 @@
   fixture.ReportLoad(1, 0.5);
   const auto migrated = ActionsOfType<MigrateConnection>(fixture.ReportLoad(1, 0.93));
   ASSERT_EQ(migrated.size(), 1U);
-  EXPECT_EQ(migrated[0].id, RequestId(13));  // Reported load before any hint.
+  EXPECT_EQ(migrated[0].id, RequestId(13));  // Reported load takes precedence over the load hint.
 }
 
 TEST(Rebalancing, OnlyIdleConnectionsMigrateWhereLoadIsReported) {
@@ -71,11 +71,11 @@
   fixture.ReportLoad(2, 0.5);
   fixture.ReportLoad(1, 0.5);
   EXPECT_EQ(ActionsOfType<MigrateConnection>(fixture.ReportLoad(1, 0.93)).size(),
-            2U);  // 5% are five, but two are idle.
+            2U);  // 5% would be five, but only two are idle.
 }
 
 TEST(Rebalancing, ZeroLoadOfAnEndpointWithOwnConnectionsIsIgnored) {
-  // At the start all endpoints report zero; with a mean of zero every later sample would be over the margin.
+  // After a start all endpoints report zero. With a mean of zero, every later sample would exceed the margin.
   BalancerFixture fixture;
   fixture.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2), ReadyEndpoint(3)});
   for (std::uint64_t k = 1; k <= 60; ++k) fixture.ResumeConnection(k, 1 + k % 3);
@@ -85,7 +85,7 @@
   EXPECT_TRUE(ActionsOfType<MigrateConnection>(fixture.ReportLoad(1, 0.6)).empty());
 }
 
-TEST(OverloadedEndpoint, AllLoadAboveTheReliefTargetMigratesAtOnce) {
+TEST(OverloadedEndpoint, AllLoadAboveTheOverloadTargetMigratesAtOnce) {
   // Smoothing includes the old 0.5: smoothed 2.95, latest 4, so 1 - max(0.75, 0.8) / 2.95 = 72.9% of 100.
   BalancerFixture fixture = TwoEndpoints(100);
   const std::size_t migrated = ActionsOfType<MigrateConnection>(fixture.ReportLoad(1, 4.0)).size();
@@ -93,8 +93,8 @@
   EXPECT_LE(migrated, 73U);
 }
 
-TEST(OverloadedEndpoint, ReliefCountsLoadNotConnections) {
-  // One connection carries half of the load: 1 - 0.8 / 1.37 = 42% of the load is less than that one.
+TEST(OverloadedEndpoint, MigrationsAreWeightedByLoad) {
+  // One connection has half of the load, more than the 1 - 0.8 / 1.37 = 42% to migrate.
   BalancerFixture fixture;
   fixture.UpdateEndpoints({ReadyEndpoint(1), ReadyEndpoint(2)});
   for (std::uint64_t k = 1; k <= 20; ++k) fixture.ResumeConnection(k, 1, k == 9 ? 190.0 : 10.0);
@@ -103,7 +103,7 @@
   EXPECT_LE(ActionsOfType<MigrateConnection>(fixture.ReportLoad(1, 1.74)).size(), 1U);
 }
 
-TEST(OverloadedEndpoint, MissedMessageLatencyIsAFreshSample) {
+TEST(OverloadedEndpoint, MissedMessageLatencyCountsAsASample) {
   BalancerFixture fixture = TwoEndpoints(100);
   EXPECT_TRUE(ActionsOfType<MigrateConnection>(
                   fixture.Handle(MessageLatencyReported{EndpointId(1), Milliseconds(99)}))
@@ -120,8 +120,8 @@
   fixture.ReportLoad(2, 9.0);
   fixture.ReportLoad(3, 0.4);
   fixture.ReportLoad(4, 0.4);
-  EXPECT_FALSE(
-      ActionsOfType<MigrateConnection>(fixture.ReportLoad(1, 1.2)).empty());  // The raw mean would be 2.75.
+  // Uncapped, the mean would be 2.75.
+  EXPECT_FALSE(ActionsOfType<MigrateConnection>(fixture.ReportLoad(1, 1.2)).empty());
 }
 
 }  // namespace
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// One final answer for each request, and no retry that might take effect twice.
+// Exactly one final answer per request, and no retry that may run a request twice.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -13,7 +13,7 @@
   return ActionsOfType<RejectRequest>(actions).size() + ActionsOfType<FailRequest>(actions).size();
 }
 
-TEST(FinalAnswer, WithoutEndpointsComesAtTheDeadline) {
+TEST(FinalAnswer, WithoutEndpointsIsSentAtTheDeadline) {
   BalancerFixture fixture;
   fixture.UpdateEndpoints({});
   EXPECT_EQ(CountAnswers(fixture.SendRequest(1, Milliseconds(500))), 0U);
@@ -42,7 +42,7 @@
   EXPECT_TRUE(ActionsOfType<SendAttempt>(late).empty());
 }
 
-TEST(FinalAnswer, ComesAtTheAttemptLimit) {
+TEST(FinalAnswer, IsSentAtTheAttemptLimit) {
   Settings settings = NoProbeSettings(Idempotency::kIdempotent);
   settings.max_attempts = 2;
   BalancerFixture fixture(settings);
@@ -52,7 +52,7 @@
   const auto second = ActionsOfType<SendAttempt>(
       fixture.Handle(AttemptEnded{RequestId(1), first[0].endpoint, Outcome::kRejected, false, {}}));
   ASSERT_EQ(second.size(), 1U);
-  EXPECT_NE(second[0].endpoint, first[0].endpoint);  // Other endpoints first.
+  EXPECT_NE(second[0].endpoint, first[0].endpoint);  // Untried endpoints first.
   EXPECT_EQ(CountAnswers(fixture.Handle(
                 AttemptEnded{RequestId(1), second[0].endpoint, Outcome::kRejected, false, {}})),
             1U);
@@ -102,7 +102,8 @@
     const auto first = ActionsOfType<SendAttempt>(fixture.SendRequest(1));
     const auto actions = fixture.Handle(AttemptEnded{RequestId(1), first[0].endpoint, outcome, false, {}});
     EXPECT_TRUE(ActionsOfType<SendAttempt>(actions).empty());
-    EXPECT_TRUE(ActionsOfType<RejectRequest>(actions).empty());  // A rejection would call a retry harmless.
+    // A rejection would tell the client that a retry is harmless.
+    EXPECT_TRUE(ActionsOfType<RejectRequest>(actions).empty());
     EXPECT_EQ(ActionsOfType<FailRequest>(actions).size(), 1U);
   }
 }
@@ -118,8 +119,8 @@
 }
 
 TEST(Idempotency, KeyedRetryStaysInItsDeduplicationScope) {
-  for (const DeduplicationScope group : {DeduplicationScope::kZone, DeduplicationScope::kCell}) {
-    BalancerFixture fixture(NoProbeSettings(Idempotency::kIdempotencyKey, group));
+  for (const DeduplicationScope scope : {DeduplicationScope::kZone, DeduplicationScope::kCell}) {
+    BalancerFixture fixture(NoProbeSettings(Idempotency::kIdempotencyKey, scope));
     // Endpoints 5 and 6 share zone and cell, the others share neither with them.
     fixture.UpdateEndpoints(
         {ReadyEndpoint(5, 0, 1), ReadyEndpoint(6, 0, 1), ReadyEndpoint(7, 1, 2), ReadyEndpoint(8, 1, 2)});
@@ -136,7 +137,7 @@
   BalancerFixture fixture(NoProbeSettings(Idempotency::kIdempotencyKey, DeduplicationScope::kCell));
   fixture.UpdateEndpoints({ReadyEndpoint(5), ReadyEndpoint(6)});
   const auto first = ActionsOfType<SendAttempt>(fixture.SendRequest(1, Milliseconds(3000)));
-  fixture.now += Milliseconds(801);  // Measured from the send, not from the outcome.
+  fixture.now += Milliseconds(801);  // Counted from when the attempt was sent, not from its end.
   const auto actions =
       fixture.Handle(AttemptEnded{RequestId(1), first[0].endpoint, Outcome::kTimedOut, false, {}});
   EXPECT_TRUE(ActionsOfType<SendAttempt>(actions).empty());
@@ -144,12 +145,12 @@
 }
 
 TEST(Idempotency, KeyedThatMayHaveRunIsRejectedOnlyInAScopeOfAll) {
-  for (const DeduplicationScope group : {DeduplicationScope::kAll, DeduplicationScope::kCell}) {
-    BalancerFixture fixture(NoProbeSettings(Idempotency::kIdempotencyKey, group));
+  for (const DeduplicationScope scope : {DeduplicationScope::kAll, DeduplicationScope::kCell}) {
+    BalancerFixture fixture(NoProbeSettings(Idempotency::kIdempotencyKey, scope));
     fixture.UpdateEndpoints({ReadyEndpoint(5)});
     fixture.SendRequest(1, Milliseconds(400));
     const auto actions = fixture.AdvanceTime(Milliseconds(420));
-    EXPECT_EQ(ActionsOfType<RejectRequest>(actions).size(), group == DeduplicationScope::kAll ? 1U : 0U);
+    EXPECT_EQ(ActionsOfType<RejectRequest>(actions).size(), scope == DeduplicationScope::kAll ? 1U : 0U);
     EXPECT_EQ(CountAnswers(actions), 1U);
   }
 }
