--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -105,7 +105,7 @@
     EndpointRecord* endpoint = endpoints_.Find(report.endpoint);
     const bool late = std::ranges::any_of(context_.settings.classes, [&](const ClassSettings& settings) {
       return settings.message_latency_objective.count() > 0 &&
-             report.delay >= settings.message_latency_objective;
+             report.latency >= settings.message_latency_objective;
     });
     if (endpoint == nullptr || !late) return;
     RecordSample(*endpoint, {std::max(endpoint->latest_sample.utilization, kUtilizationIfLate)});
