--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -1,4 +1,5 @@
-// A request and the rules on its attempts and final answer: limits, idempotency and deduplication.
+// The state of one request and the rules for its attempts and its final answer: attempt limits, idempotency
+// and deduplication.
 #pragma once
 
 #include <algorithm>
@@ -12,56 +13,72 @@
 using stoatrun::FromSeconds, stoatrun::ToSeconds;
 struct EndpointRecord;
 
-constexpr double kFirstTimeoutShare = 0.5;  // Of the time left, for an attempt that others may follow.
+// Share of the time left that one attempt may take while further attempts are allowed.
+constexpr double kAttemptTimeoutFraction = 0.5;
 
-struct Context {  // What all parts share; `now` is the time of the event in hand.
+// State shared by all components of a balancer.
+struct Context {
   const Settings settings;
   stoatrun::SplitMix64 random{settings.seed};
-  Micros now{0};
+  Micros now{0};  // Time of the event being handled.
 };
 
-struct Request {  // From its arrival until no attempt of it is in flight.
+// A request, kept from its arrival until it is finished and has no attempt in flight.
+struct Request {
   RequestArrived info;
-  ClassSettings rules;
-  bool finished = false;  // Has its final answer, is migrated, or its client is gone.
-  bool attempt_in_flight = false, may_have_run = false;  // In flight also while established.
-  bool waiting = false;                                  // For probe answers or an endpoint that may take it.
-  bool was_established = false;                          // Stays so after a migration.
-  std::size_t established_position = stoatrun::kNotInDenseSet;  // Among its endpoint's connections.
-  EndpointRecord *endpoint = nullptr, *group_home = nullptr;  // Of the last attempt; preferred by its group.
-  const EndpointRecord* ran_at = nullptr;  // Of the first attempt that may have run, sent at `ran_since`.
-  Micros ran_since{0}, sent_at{0}, decide_by{0};
+  ClassSettings class_settings;
+  bool finished = false;           // Was answered or migrated, or its client has disconnected.
+  bool attempt_in_flight = false;  // Also true while the connection is established.
+  bool may_have_run = false;       // Whether an earlier attempt may have been executed.
+  bool waiting = false;            // For probe results, or for an endpoint that may take the request.
+  bool was_established = false;    // Not reset by a migration.
+  std::size_t established_index = stoatrun::kNotInDenseSet;  // In EndpointRecord::established.
+  EndpointRecord* endpoint = nullptr;                        // Of the latest attempt.
+  EndpointRecord* group_home = nullptr;                      // See Placement::FindGroupHome.
+  // The endpoint of the first attempt that may have run, and when that attempt was sent.
+  const EndpointRecord* first_run_endpoint = nullptr;
+  Micros first_run_sent_at{0};
+  Micros sent_at{0};             // When the latest attempt was sent.
+  Micros placement_deadline{0};  // When to place the request without waiting for further probe results.
   std::uint32_t attempts = 0;
-  double load = -1;  // Reported load; negative: not reported.
-  std::vector<const EndpointRecord*> tried, awaited_probes;
+  double reported_load = -1;  // Negative: not reported.
+  std::vector<const EndpointRecord*> tried_endpoints, pending_probes;
 
-  bool IsEstablished() const { return established_position != stoatrun::kNotInDenseSet; }
-  bool IsSettingUp() const { return attempt_in_flight && !finished && !IsEstablished(); }  // Its attempt.
-  bool WasTried(const EndpointRecord& at) const { return std::ranges::find(tried, &at) != tried.end(); }
-  bool CanAttempt(const Context& context) const {  // Within its limits.
-    const bool in_limits = attempts < context.settings.max_attempts && context.now < info.deadline;
-    return !finished && !attempt_in_flight && in_limits;
+  bool IsEstablished() const { return established_index != stoatrun::kNotInDenseSet; }
+  // Whether an attempt is in flight and not yet established.
+  bool IsSettingUp() const { return attempt_in_flight && !finished && !IsEstablished(); }
+  bool WasTried(const EndpointRecord& at) const {
+    return std::ranges::find(tried_endpoints, &at) != tried_endpoints.end();
   }
-  bool HasKey() const { return rules.idempotency == Idempotency::kIdempotencyKey; }  // For deduplication.
-  bool CanRepeat(Micros now) const {  // Harmlessly, although an earlier attempt may have run.
-    if (!may_have_run || rules.idempotency == Idempotency::kIdempotent) return true;
-    return HasKey() && now < ran_since + rules.deduplication_window;
+  // Whether the attempt limit and the deadline permit another attempt.
+  bool CanAttempt(const Context& context) const {
+    const bool within_limits = attempts < context.settings.max_attempts && context.now < info.deadline;
+    return !finished && !attempt_in_flight && within_limits;
   }
-  // Whether `target` would recognize a repeat of what may have run at `ran`.
-  bool IsDeduplicatedAt(const Endpoint& target, const Endpoint& ran) const {
-    if (rules.deduplication_scope == DeduplicationScope::kZone) return ran.zone == target.zone;
-    return rules.deduplication_scope == DeduplicationScope::kAll || ran.cell == target.cell;
+  bool HasIdempotencyKey() const { return class_settings.idempotency == Idempotency::kIdempotencyKey; }
+  // Whether the request may be sent again although an earlier attempt may have run.
+  bool IsSafeToRepeat(Micros now) const {
+    if (!may_have_run || class_settings.idempotency == Idempotency::kIdempotent) return true;
+    return HasIdempotencyKey() && now < first_run_sent_at + class_settings.deduplication_window;
+  }
+  // Whether `target` deduplicates a repeat of the attempt that may have run at `first_run`.
+  bool IsDeduplicatedAt(const Endpoint& target, const Endpoint& first_run) const {
+    if (class_settings.deduplication_scope == DeduplicationScope::kZone) return first_run.zone == target.zone;
+    return class_settings.deduplication_scope == DeduplicationScope::kAll || first_run.cell == target.cell;
   }
   // Whether the final answer may be a rejection, which tells the client that a retry is harmless.
   bool CanReject() const {
-    if (rules.idempotency == Idempotency::kIdempotent || (!may_have_run && !attempt_in_flight)) return true;
-    return HasKey() && rules.deduplication_scope == DeduplicationScope::kAll;
+    if (class_settings.idempotency == Idempotency::kIdempotent || (!may_have_run && !attempt_in_flight)) {
+      return true;
+    }
+    return HasIdempotencyKey() && class_settings.deduplication_scope == DeduplicationScope::kAll;
   }
-  Micros AttemptTimeout(const Context& context) const {  // Of the next attempt.
+  // The timeout of the next attempt.
+  Micros AttemptTimeout(const Context& context) const {
     const Micros left = info.deadline - context.now;
     if (attempts + 1 >= context.settings.max_attempts) return left;
-    const Micros share = FromSeconds(ToSeconds(left) * kFirstTimeoutShare);
-    return std::max(share, std::min(left, rules.setup_latency_objective));
+    const Micros share = FromSeconds(ToSeconds(left) * kAttemptTimeoutFraction);
+    return std::max(share, std::min(left, class_settings.setup_latency_objective));
   }
 };
 
