--- a/src/proxy/session.h
+++ b/src/proxy/session.h
@@ -1,5 +1,5 @@
-// A session: one client's request for a connection and, once an endpoint has accepted it, the connection
-// itself.
+// A session: a client's request for a connection and, once an endpoint has accepted the request, the
+// forwarded connection between the two.
 #ifndef STOATRUN_PROXY_SESSION_H_
 #define STOATRUN_PROXY_SESSION_H_
 
@@ -18,11 +18,11 @@
 
 namespace stoatrun {
 
-// Called when a session's timer expires.
+// Receives the expirations of session timers.
 class SessionTimeoutHandler {
  public:
   virtual ~SessionTimeoutHandler() = default;
-  // The timer of this session has expired.
+  // The timer of `session` has expired.
   virtual void OnSessionTimeout(SlotId session) = 0;
 };
 
@@ -32,30 +32,30 @@
 //       |  Establish      |    HalfClose       |
 //       +-----------------+--------------------+----> erased (SessionTable::Erase)
 //
-// kPending: the client waits for the answer to its request; attempts are made one after the other.
-// kEstablished: an endpoint has accepted the request, and bytes are forwarded both ways.
-// kHalfClosed: the client has ended its sending; the endpoint's last bytes are still forwarded.
+// kPending: the client waits for the answer to its request; attempts are made one at a time.
+// kEstablished: an endpoint has accepted the request, and bytes are forwarded in both directions.
+// kHalfClosed: the client has finished sending (FIN); the endpoint's remaining bytes are still forwarded.
 //
-// The timer's meaning depends on the state. kPending: the next attempt to resume. kEstablished: the endpoint
-// must answer by then. kHalfClosed: the endpoint must end by then.
+// The timer depends on the state. kPending: start of the next resumption attempt. kEstablished: deadline for
+// the endpoint's answer to the client's line. kHalfClosed: deadline for the endpoint to close.
 class Session {
  public:
-  // See above.
+  // The states in the diagram above.
   enum class State : std::uint8_t { kPending, kEstablished, kHalfClosed };
 
-  // Made by SessionTable only. `handler` must outlive the session.
+  // Called by SessionTable only. `handler` must outlive the session.
   Session(SlotId slot, TimerQueue& timers, SessionTimeoutHandler& handler, std::string_view client_id)
       : id(slot),
         connection_id(client_id),
         timer(timers, [&handler, slot] { handler.OnSessionTimeout(slot); }) {}
 
-  // The state; two of the values have a question of their own.
+  // The present state.
   State CurrentState() const { return state_; }
-  // Whether the client still waits for its answer.
+  // Whether the client still waits for the answer to its request.
   bool IsPending() const { return state_ == State::kPending; }
-  // Whether both sides may send.
+  // Whether both sides may send lines.
   bool IsEstablished() const { return state_ == State::kEstablished; }
-  // Whether the client asked for the endpoint that already has its connection.
+  // Whether the client asked to resume a connection at the endpoint that already has it.
   bool IsResumed() const { return !resume_endpoint.empty(); }
 
   // kPending -> kEstablished: the endpoint accepted the request at `now`.
@@ -67,7 +67,7 @@
     timer.Cancel();
   }
 
-  // kEstablished -> kHalfClosed: the client ended its sending; the endpoint has until `deadline`.
+  // kEstablished -> kHalfClosed: the client finished sending; the endpoint must close by `deadline`.
   void HalfClose(Micros deadline) {
     assert(state_ == State::kEstablished);
     state_ = State::kHalfClosed;
@@ -75,29 +75,29 @@
   }
 
   const SlotId id;
-  const std::string connection_id;  // As the client named its connection.
-  SlotId client;                    // In Downstream.
-  SlotId attempt;                   // In Upstream; none while no attempt is open.
+  const std::string connection_id;  // The connection id of the client's request.
+  SlotId client;                    // The client's connection in Downstream.
+  SlotId attempt;                   // The attempt in Upstream; unset while none is open.
   Timer timer;
 
   // The request. The views are valid while the session is pending.
   ConnectRequest request;
-  std::string_view before_timeout, after_timeout;  // The request line around its timeout.
-  std::string_view group;                          // The tenant to which usage and quotas are booked.
+  std::string_view before_timeout, after_timeout;  // The request line before and after the timeout.
+  std::string_view group;                          // The tenant that usage and quotas are charged to.
   std::string resume_endpoint;  // The id of the endpoint that already has the connection; empty: none.
-  Micros resume_until{0};       // When attempts to resume end.
+  Micros resume_until{0};       // No resumption attempt is started from this time on.
 
-  EndpointIndex endpoint = 0;       // Of the last attempt.
-  std::uint32_t attempt_count = 0;  // Those to resume are not counted.
+  EndpointIndex endpoint = 0;       // The endpoint of the last attempt.
+  std::uint32_t attempt_count = 0;  // Resumption attempts are not counted.
 
-  // Of an established session.
+  // Used once the session is established.
   Micros unanswered_since{0};  // When the oldest unanswered line of the client was forwarded; 0: none.
   Micros answered_at{0};       // When the last answer reached the client, or the session was established.
-  AttemptEnd announced_end = AttemptEnd::kBroken;  // What the endpoint's last line said of its end.
+  AttemptEnd announced_end = AttemptEnd::kBroken;  // The end that the endpoint's last line announced.
 
   UsageHandle usage;
   FleetClient::ConnectionHandle fleet_connection;
-  // As it would be counted if the session ended now.
+  // The outcome that is counted if the session ends now.
   FleetClient::ConnectionOutcome outcome = FleetClient::ConnectionOutcome::kFailed;
 
  private:
--- a/src/proxy/session_controller.h
+++ b/src/proxy/session_controller.h
@@ -1,5 +1,6 @@
-// The life of sessions: turns what clients and endpoints do into events for the balancer and executes its
-// actions. It never chooses an endpoint, retries or sheds load by itself.
+// Drives the sessions: translates the events of client and endpoint connections into events for the balancer
+// and executes the balancer's actions. Endpoint selection, retries and load shedding are the balancer's
+// decisions.
 #ifndef STOATRUN_PROXY_SESSION_CONTROLLER_H_
 #define STOATRUN_PROXY_SESSION_CONTROLLER_H_
 
@@ -23,16 +24,16 @@
 
 namespace stoatrun {
 
-// Adds and erases all sessions (see session_table.h for what follows from that), makes their attempts and
-// ends their connections. Used by the event loop's thread only.
+// Adds and erases all sessions (session_table.h describes the consequences for callers), opens their attempts
+// and ends their connections. Used by the event loop's thread only.
 class SessionController : public DownstreamEvents,
                           public UpstreamEvents,
                           public ActionHandler,
                           private SessionTimeoutHandler {
  public:
-  // The parts of the proxy that the controller works with. All must outlive it, but none is used in its
-  // constructor: they may be constructed after it.
-  struct Parts {
+  // The objects that the controller works with. All must outlive it. Its constructor uses none of them, so
+  // they may be constructed after it.
+  struct Dependencies {
     EventLoop& loop;
     const SiteSettings& site;
     Counters& counters;
@@ -46,11 +47,11 @@
     Forwarder& forwarder;
   };
 
-  // Uses none of `parts` yet.
-  explicit SessionController(const Parts& parts) : parts_(parts) {}
+  // Only stores the references.
+  explicit SessionController(const Dependencies& deps) : deps_(deps) {}
 
-  // Migrates `count` of the established sessions: those that were answered most recently, whose clients will
-  // not send for a while.
+  // Migrates `count` of the established sessions, most recently answered first: their clients are furthest
+  // from sending the next line.
   void MigrateIdle(std::size_t count);
 
   // ActionHandler
@@ -85,19 +86,19 @@
   Session& AddSession(SlotId client, const OpenRequest& request);
   // Sends a pending session's client its final answer and erases the session.
   void Answer(SlotId session_id, std::string_view line, FleetClient::ConnectionOutcome outcome);
-  // The client of a pending session has left.
+  // Ends a pending session whose client has disconnected or sent a second request.
   void EndPending(Session& session, ConnectionEnd end);
-  // The client of an established session has broken its connection.
+  // Ends an established session whose client connection was reset.
   void ResetEstablished(Session& session);
   // Ends a session past kPending: closes both connections, erases it and reports the end to the balancer.
   void EndEstablished(Session& session, AttemptEnd end, std::string_view last_line);
-  // The index of a class; ClassNames().size() if there is none of this name.
+  // The index of the class called `name`; the number of classes if there is none.
   std::size_t ClassIndex(std::string_view name) const;
   // The counters of a class; null if the index is not valid.
   ClassCounters* CountersOfClass(std::size_t class_index);
-  Micros Now() const { return parts_.loop.Now(); }
+  Micros Now() const { return deps_.loop.Now(); }
 
-  const Parts parts_;
+  const Dependencies deps_;
 };
 
 }  // namespace stoatrun
--- a/src/proxy/session_resumption.cpp
+++ b/src/proxy/session_resumption.cpp
@@ -5,20 +5,23 @@
 namespace stoatrun {
 namespace {
 
-constexpr Micros kResumeFor = std::chrono::seconds(35);  // Clients give up after 40 s.
-// Between two attempts, or two looks for an endpoint that is not listed yet: it often is within that time.
+// Ends before clients give up, which they do after 40 s.
+constexpr Micros kResumptionWindow = std::chrono::seconds(35);
+// The interval between attempts, and between lookups of an endpoint that is not listed yet: endpoints are
+// often listed within this time.
 constexpr Micros kRetryInterval = std::chrono::milliseconds(250);
-constexpr Micros kAttemptTimeout = std::chrono::seconds(10);  // The endpoint may be slow, and three fit in.
+// Tolerates a slow endpoint, and leaves time for three attempts within the window.
+constexpr Micros kAttemptTimeout = std::chrono::seconds(10);
 
 }  // namespace
 
 void SessionResumption::Begin(Session& session, std::string_view endpoint) {
   session.resume_endpoint = endpoint;
-  session.resume_until = loop_.Now() + kResumeFor;
-  Try(session);
+  session.resume_until = loop_.Now() + kResumptionWindow;
+  StartAttempt(session);
 }
 
-bool SessionResumption::RetryAfter(Session& session, AttemptEnd end) {
+bool SessionResumption::ScheduleRetry(Session& session, AttemptEnd end) {
   if (end == AttemptEnd::kError || loop_.Now() >= session.resume_until) return false;
   session.timer.Set(loop_.Now() + kRetryInterval);
   return true;
@@ -26,11 +29,11 @@
 
 bool SessionResumption::RetryNow(Session& session) {
   if (loop_.Now() >= session.resume_until) return false;
-  Try(session);
+  StartAttempt(session);
   return true;
 }
 
-void SessionResumption::Try(Session& session) {
+void SessionResumption::StartAttempt(Session& session) {
   const auto endpoint = upstream_.Endpoints().Find(session.resume_endpoint);
   if (!endpoint) {
     session.timer.Set(loop_.Now() + kRetryInterval);
--- a/src/proxy/session_resumption.h
+++ b/src/proxy/session_resumption.h
@@ -1,5 +1,5 @@
-// Resumption of connections that were open before this process started. Such a connection belongs to its
-// endpoint: the balancer has nothing to decide, and the endpoint may not be listed yet.
+// Resumption of connections that were open before this process started. The endpoint that holds such a
+// connection is fixed, so the balancer is not involved, and it may not be in the endpoint list yet.
 #ifndef STOATRUN_PROXY_SESSION_RESUMPTION_H_
 #define STOATRUN_PROXY_SESSION_RESUMPTION_H_
 
@@ -11,22 +11,24 @@
 
 namespace stoatrun {
 
-// Makes the attempts to resume pending sessions, with pauses between them. Used by the event loop's thread
-// only.
+// Makes attempts to resume pending sessions at a fixed interval. Used by the event loop's thread only.
 class SessionResumption {
  public:
   // All references must outlive the object.
   SessionResumption(EventLoop& loop, Upstream& upstream) : loop_(loop), upstream_(upstream) {}
 
-  // Begins to resume `session` at the endpoint with the id `endpoint`.
+  // Starts to resume `session` at the endpoint with the id `endpoint`.
   void Begin(Session& session, std::string_view endpoint);
-  // The session's attempt ended so. True: another attempt is made later; false: the request has failed.
-  bool RetryAfter(Session& session, AttemptEnd end);
-  // The session's timer expired. False: the request has failed.
+  // Schedules another attempt after one that ended with `end`. Returns false if the request has failed: the
+  // endpoint answered with an error, or the resumption window is over.
+  bool ScheduleRetry(Session& session, AttemptEnd end);
+  // Makes the scheduled attempt when the session's timer has expired. Returns false if the request has failed
+  // because the resumption window is over.
   bool RetryNow(Session& session);
 
  private:
-  void Try(Session& session);
+  // Opens an attempt, or schedules the next lookup if the endpoint is not listed.
+  void StartAttempt(Session& session);
 
   EventLoop& loop_;
   Upstream& upstream_;
