--- a/src/proxy/downstream.cpp
+++ b/src/proxy/downstream.cpp
@@ -9,38 +9,38 @@
 namespace stoatrun {
 namespace {
 
-// A client without a request line is owed an answer within 3 s of connecting.
+// The protocol requires an answer within 3 s of connecting, even without a request line.
 constexpr Micros kRequestLineTimeout = std::chrono::milliseconds(2000);
-// How long a client may take to end its sending after this side has; the longer time holds while it still
-// sends or has not read all, for closing a socket with unread bytes causes a reset, which may overtake the
-// answer.
+// How long to wait for the client's FIN after this side has sent its own. The longer time applies while the
+// client still sends or has not read all output: closing a socket with unread bytes sends a reset, which may
+// overtake the answer.
 constexpr Micros kEndTimeout = std::chrono::milliseconds(800);
 constexpr Micros kDiscardTimeout = std::chrono::milliseconds(2400);
-// Bytes read and discarded from a client that has its answer: what one core of the machine reads in the
-// longer time above. A client that sends more loses its answer to a reset.
+// The maximum number of bytes read and discarded from a client that has been answered: as much as one core
+// reads within kDiscardTimeout. A client that sends more may lose its answer to a reset.
 constexpr std::size_t kMaxDiscarded = std::size_t{96} * 1024 * 1024;
-// Descriptors for what is neither client nor attempt: 32 idle connections for probes, a dozen probes under
-// way, the listener, the event loop, the log and discovery.
+// Descriptors for everything but clients and attempts: 32 idle probe connections, a dozen probes in progress,
+// the listener, the event loop, the log and discovery.
 constexpr std::size_t kReservedDescriptors = 48;
-// So many clients without a request line are always kept, however many sessions there are.
-constexpr std::size_t kMinUnopened = 16;
-// Request lines come right after the connection: after this time a client counts as idle.
-constexpr Micros kIdleAfter = std::chrono::milliseconds(250);
+// The number of clients without a request line that are never evicted, however many sessions there are.
+constexpr std::size_t kMinAwaitingRequest = 16;
+// Request lines normally follow the connection at once. A client without one after this time counts as idle.
+constexpr Micros kIdleThreshold = std::chrono::milliseconds(250);
 constexpr std::string_view kErrorLine = "ERR\r\n", kBusyLine = "BUSY\r\n", kPongLine = "PONG\r\n";
 
-// The start of what a client sent, made printable for the log.
+// The start of a client's input, with unprintable characters replaced, for the log.
 std::string Printable(std::string_view input) {
   std::string text(input.substr(0, 120));
   for (char& symbol : text) symbol = symbol < ' ' || symbol > '~' ? '.' : symbol;
   return text;
 }
 
-// A client must wait for the answer to its request line. If it sent a second one before, that would be
-// forwarded as a line of the first request.
+// A client must wait for the answer to its request line. A second request line sent before that would be
+// forwarded as a line of the first connection.
 bool IsSecondRequest(std::string_view input_after_line) { return input_after_line.starts_with("OPEN "); }
 
 std::string_view ToReason(OpenRequestError error) {
-  return error == OpenRequestError::kUnknownClass ? "unknown class" : "id of an open one";
+  return error == OpenRequestError::kUnknownClass ? "unknown class" : "connection id in use";
 }
 
 }  // namespace
@@ -50,50 +50,51 @@
     : loop_(loop),
       events_(events),
       counters_(counters),
-      descriptor_limit_(std::max(descriptor_limit, kReservedDescriptors + 2 * kMinUnopened)),
+      descriptor_limit_(std::max(descriptor_limit, kReservedDescriptors + 2 * kMinAwaitingRequest)),
       listener_(loop, *this, counters, capacity_log_) {
   loop_.AddTurnEndHook([this] { clients_.Reclaim(); });
 }
 
-// ---- clients come and go ----
+// ---- client connections ----
 
 void Downstream::OnAccepted(UniqueFd socket) {
   Client& client = clients_.Add(*this);
-  client.position = unopened_.insert(unopened_.end(), client.id);
+  client.position = awaiting_request_.insert(awaiting_request_.end(), client.id);
   client.since = loop_.Now();
   client.timer.Set(loop_.Now() + kRequestLineTimeout);
   client.tcp.Adopt(socket.Release());
   EvictOldest();
 }
 
-std::size_t Downstream::OpenedCount() const { return clients_.Size() - unopened_.size() - ending_.size(); }
+std::size_t Downstream::SessionCount() const {
+  return clients_.Size() - awaiting_request_.size() - ending_.size();
+}
 
-// Each opened client needs two descriptors, for itself and its attempt.
-bool Downstream::CanAccept() const {
-  return 2 * (OpenedCount() + 1) + kReservedDescriptors + kMinUnopened <= descriptor_limit_;
+// Each session needs two descriptors: for its client and for its attempt.
+bool Downstream::CanAddSession() const {
+  return 2 * (SessionCount() + 1) + kReservedDescriptors + kMinAwaitingRequest <= descriptor_limit_;
 }
 
-// Hundreds of clients that connect and send nothing must not use up the descriptors that sessions, attempts,
-// probes and discovery need. Clients that have their answer are evicted first, then the oldest without a
-// request.
+// Keeps clients that connect and send nothing from using up the descriptors that sessions, attempts, probes
+// and discovery need. Clients that have been answered are evicted first, then the oldest without a request.
 void Downstream::EvictOldest() {
-  const std::size_t used = std::min(descriptor_limit_, 2 * OpenedCount() + kReservedDescriptors);
-  const std::size_t capacity = std::max(kMinUnopened, descriptor_limit_ - used);
-  while (unopened_.size() + ending_.size() > capacity) {
-    const SlotId id = ending_.empty() ? unopened_.front() : ending_.front();
+  const std::size_t used = std::min(descriptor_limit_, 2 * SessionCount() + kReservedDescriptors);
+  const std::size_t capacity = std::max(kMinAwaitingRequest, descriptor_limit_ - used);
+  while (awaiting_request_.size() + ending_.size() > capacity) {
+    const SlotId id = ending_.empty() ? awaiting_request_.front() : ending_.front();
     Client* client = clients_.Find(id);
-    if (client->state == State::kRequestLine) {
-      client->tcp.ReadNow();  // Its request line may be there, though the loop has not reported it yet.
+    if (client->state == State::kAwaitingRequest) {
+      client->tcp.ReadNow();  // Its request line may have arrived without having been reported.
       client = clients_.Find(id);
-      if (client == nullptr || client->state != State::kRequestLine) continue;
-      EndEvicted(*client);
+      if (client == nullptr || client->state != State::kAwaitingRequest) continue;
+      RejectEvicted(*client);
     }
     client->tcp.Close();
     Erase(*client);
   }
 }
 
-void Downstream::EndEvicted(Client& client) {
+void Downstream::RejectEvicted(Client& client) {
   ++counters_.evicted;
   client.tcp.Write({kErrorLine});
   client.tcp.Finish();
@@ -101,7 +102,7 @@
 }
 
 void Downstream::Erase(Client& client) {
-  if (client.state == State::kRequestLine) unopened_.erase(client.position);
+  if (client.state == State::kAwaitingRequest) awaiting_request_.erase(client.position);
   if (client.state == State::kEnding) ending_.erase(client.position);
   client.timer.Cancel();
   clients_.Erase(client.id);
@@ -109,36 +110,37 @@
 
 bool Downstream::HasPendingClients() {
   const auto has_recent = [this](const std::list<SlotId>& clients) {
-    return !clients.empty() && loop_.Now() < clients_.Find(clients.back())->since + kIdleAfter;
+    return !clients.empty() && loop_.Now() < clients_.Find(clients.back())->since + kIdleThreshold;
   };
   const auto has_output = [this](SlotId id) { return clients_.Find(id)->tcp.QueuedBytes() > 0; };
-  return OpenedCount() > 0 || has_recent(unopened_) || has_recent(ending_) ||
+  return SessionCount() > 0 || has_recent(awaiting_request_) || has_recent(ending_) ||
          std::any_of(ending_.begin(), ending_.end(), has_output);
 }
 
 void Downstream::EndIdle(bool others_pending) {
   std::vector<SlotId> idle;
-  for (const SlotId id : unopened_) {
-    if (loop_.Now() < clients_.Find(id)->since + kIdleAfter) break;  // As all behind it, which came later.
+  for (const SlotId id : awaiting_request_) {
+    // All that follow were accepted later.
+    if (loop_.Now() < clients_.Find(id)->since + kIdleThreshold) break;
     idle.push_back(id);
   }
   for (const SlotId id : idle) {
     Client* client = clients_.Find(id);
-    if (client == nullptr) continue;  // Evicted when one before it became a session.
-    client->tcp.ReadNow();            // Its line may be there.
-    if (client->state != State::kRequestLine) continue;
+    if (client == nullptr) continue;  // Evicted when a client before it opened a session.
+    client->tcp.ReadNow();            // Its request line may have arrived.
+    if (client->state != State::kAwaitingRequest) continue;
     if (client->tcp.input().empty() || !others_pending) End(id, kBusyLine);
   }
 }
 
 TcpConnection* Downstream::Find(SlotId client_id) {
   Client* client = clients_.Find(client_id);
-  return client == nullptr || client->state != State::kOpened ? nullptr : &client->tcp;
+  return client == nullptr || client->state != State::kInSession ? nullptr : &client->tcp;
 }
 
 void Downstream::Establish(SlotId client_id, std::string_view line) {
   Client* client = clients_.Find(client_id);
-  if (client == nullptr || client->state != State::kOpened) return;
+  if (client == nullptr || client->state != State::kInSession) return;
   client->tcp.Write({line});
   client->tcp.Consume(client->request_line_size);
   client->request_line_size = 0;
@@ -147,14 +149,14 @@
 void Downstream::End(SlotId client_id, std::string_view last_line) {
   Client* client = clients_.Find(client_id);
   if (client == nullptr || client->state == State::kEnding) return;
-  // Closing at once would answer bytes under way with a reset, which may overtake the last line.
-  if (client->state == State::kRequestLine) unopened_.erase(client->position);
+  // Closing immediately would answer bytes in transit with a reset, which may overtake the last line.
+  if (client->state == State::kAwaitingRequest) awaiting_request_.erase(client->position);
   client->state = State::kEnding;
   client->position = ending_.insert(ending_.end(), client->id);
   client->since = loop_.Now();
   if (!last_line.empty()) client->tcp.Write({last_line});
   client->tcp.Finish();
-  if (client->tcp.PeerFinished() && client->tcp.QueuedBytes() == 0) {  // Both sides have ended.
+  if (client->tcp.PeerFinished() && client->tcp.QueuedBytes() == 0) {  // Both sides have finished.
     client->tcp.Close();
     Erase(*client);
     return;
@@ -177,7 +179,7 @@
     const std::string_view input = client.tcp.input();
     const auto size = LineLength(input);
     if (size.value_or(input.size() + 1) > kMaxLine) {
-      RejectMalformed(client, "too long");
+      RejectMalformed(client, "request line too long");
       return;
     }
     if (!size || !HandleLine(client, *size)) return;
@@ -190,12 +192,12 @@
   if (line == "PING") return AnswerPing(client, size);
   const auto request = ParseOpenRequest(line);
   if (!request) {
-    RejectMalformed(client, "not of the form");
+    RejectMalformed(client, "not a valid OPEN request");
   } else if (IsSecondRequest(input.substr(size))) {
-    RejectMalformed(client, "more than one");
+    RejectMalformed(client, "second request before the answer");
   } else if (const auto error = events_.Validate(*request)) {
     RejectMalformed(client, ToReason(*error));
-  } else if (!CanAccept()) {
+  } else if (!CanAddSession()) {
     RejectForCapacity(client, *request);
   } else {
     HandleOpen(client, *request, size);
@@ -206,7 +208,7 @@
 bool Downstream::AnswerPing(Client& client, std::size_t size) {
   ++counters_.pings;
   if (client.tcp.QueuedBytes() > TcpConnection::kHighWatermark) {
-    RejectMalformed(client, "reads no answers");
+    RejectMalformed(client, "PING answers are not read");
     return false;
   }
   client.tcp.Write({healthy_ ? kPongLine : kErrorLine});
@@ -216,13 +218,13 @@
 }
 
 void Downstream::HandleOpen(Client& client, const OpenRequest& request, std::size_t size) {
-  unopened_.erase(client.position);
-  client.state = State::kOpened;
+  awaiting_request_.erase(client.position);
+  client.state = State::kInSession;
   client.request_line_size = size;
   client.timer.Cancel();
   const SlotId id = client.id;
   const SlotId owner = events_.OnOpen(id, request);
-  if (Client* opened = clients_.Find(id)) opened->owner = owner;  // It may have had its answer already.
+  if (Client* remaining = clients_.Find(id)) remaining->owner = owner;  // OnOpen may have ended the client.
   EvictOldest();
 }
 
@@ -247,16 +249,16 @@
   End(client.id, kErrorLine);
 }
 
-// ---- events of the connections ----
+// ---- connection events ----
 
 void Downstream::OnTimeout(SlotId id) {
   Client* client = clients_.Find(id);
   if (client == nullptr) return;
-  if (client->state == State::kRequestLine) {
-    RejectMalformed(*client, "no first line in time");
+  if (client->state == State::kAwaitingRequest) {
+    RejectMalformed(*client, "request line timed out");
     return;
   }
-  // A client that reads slowly is still owed the rest of its answer.
+  // Gives a client that reads slowly more time for the rest of its answer.
   if (client->tcp.QueuedBytes() > 0 && loop_.Now() < client->since + kDiscardTimeout) {
     client->timer.Set(client->since + kDiscardTimeout);
     return;
@@ -268,9 +270,9 @@
 void Downstream::OnData(SlotId id) {
   Client* client = clients_.Find(id);
   if (client == nullptr) return;
-  if (client->state == State::kRequestLine) {
+  if (client->state == State::kAwaitingRequest) {
     ReadRequestLines(*client);
-  } else if (client->state == State::kOpened) {
+  } else if (client->state == State::kInSession) {
     const bool unanswered = client->request_line_size > 0;
     if (unanswered && IsSecondRequest(client->tcp.input().substr(client->request_line_size))) {
       ++counters_.malformed;
@@ -284,8 +286,8 @@
 void Downstream::OnInputDiscarded(SlotId id, std::size_t size) {
   Client* client = clients_.Find(id);
   if (client == nullptr) return;
-  client->discarded += size;
-  if (client->discarded > kMaxDiscarded) {
+  client->discarded_bytes += size;
+  if (client->discarded_bytes > kMaxDiscarded) {
     client->tcp.SetReading(false);
     return;
   }
@@ -295,12 +297,12 @@
 void Downstream::OnEnd(SlotId id, ConnectionEnd end) {
   Client* client = clients_.Find(id);
   if (client == nullptr) return;
-  if (client->state == State::kOpened) {
+  if (client->state == State::kInSession) {
     events_.OnClientEnd(client->owner, end);
     return;
   }
   if (end == ConnectionEnd::kFinished) {
-    if (client->state == State::kRequestLine && !client->tcp.input().empty()) {
+    if (client->state == State::kAwaitingRequest && !client->tcp.input().empty()) {
       RejectMalformed(*client, "unterminated");
       return;
     }
@@ -310,16 +312,17 @@
   Erase(*client);
 }
 
-// All that an established session's client sent must be forwarded first; one that still waits has left.
+// A client that closes while its request is unanswered has abandoned it. In an established session,
+// everything the client has sent must be forwarded first; OnEnd follows.
 void Downstream::OnPeerClosing(SlotId id) {
   Client* client = clients_.Find(id);
-  if (client == nullptr || client->state != State::kOpened || client->request_line_size == 0) return;
+  if (client == nullptr || client->state != State::kInSession || client->request_line_size == 0) return;
   events_.OnClientEnd(client->owner, ConnectionEnd::kFinished);
 }
 
 void Downstream::OnWritable(SlotId id) {
   Client* client = clients_.Find(id);
-  if (client != nullptr && client->state == State::kOpened) events_.OnClientWritable(client->owner);
+  if (client != nullptr && client->state == State::kInSession) events_.OnClientWritable(client->owner);
 }
 
 }  // namespace stoatrun
--- a/src/proxy/downstream.h
+++ b/src/proxy/downstream.h
@@ -1,5 +1,5 @@
-// The downstream side: client connections. Reads a client's request line, passes it on as a session, answers
-// health checks, and ends connections so that the last answer reaches the client.
+// The downstream side: client connections. Reads a client's request line and reports it to DownstreamEvents,
+// answers health checks, and ends connections in a way that does not lose the last line sent to the client.
 //
 // Used by the event loop's thread only.
 #ifndef STOATRUN_PROXY_DOWNSTREAM_H_
@@ -22,62 +22,63 @@
 
 namespace stoatrun {
 
-// Why a well-formed request is not valid here.
+// Why a well-formed request is rejected.
 enum class OpenRequestError : std::uint8_t { kUnknownClass, kDuplicateId };
 
-// Receives what clients request and send. `owner` is the id that OnOpen returned for the client.
+// Receives the requests and events of clients. `owner` is the id that OnOpen returned for the client.
 class DownstreamEvents {
  public:
   virtual ~DownstreamEvents() = default;
-  // Checks a well-formed request; nullopt: it is valid.
+  // Checks a well-formed request. Returns nullopt if it is valid.
   virtual std::optional<OpenRequestError> Validate(const OpenRequest& request) = 0;
-  // Takes over a valid request and returns the id for the client's further events. The views in `request`
-  // stay valid until Establish or End is called for the client.
+  // Accepts a valid request and returns the id for the client's further events. The views in `request` stay
+  // valid until Establish or End is called for the client.
   virtual SlotId OnOpen(SlotId client, const OpenRequest& request) = 0;
-  // The client sent bytes.
+  // The client has input.
   virtual void OnClientBytes(SlotId owner) = 0;
-  // The client ended its sending, or its connection broke.
+  // The client finished sending (FIN), its connection failed, or it sent a second request before its answer.
   virtual void OnClientEnd(SlotId owner, ConnectionEnd end) = 0;
-  // All output to the client is written.
+  // All output to the client has been written.
   virtual void OnClientWritable(SlotId owner) = 0;
-  // A valid request was rejected because too few descriptors are left.
+  // A valid request was rejected because too few file descriptors are available.
   virtual void OnRejectedForCapacity(const OpenRequest& /*request*/) {}
 };
 
 // Owns the listener and all client connections.
 class Downstream : public TcpConnectionHandler, private ListenerEvents {
  public:
-  // All references must outlive the object. `descriptor_limit`: descriptors that the whole process may use.
+  // All references must outlive the object. `descriptor_limit` is that of the whole process.
   Downstream(EventLoop& loop, DownstreamEvents& events, Counters& counters, std::size_t descriptor_limit);
 
-  // The listening socket: see the methods of Listener. Listen and AdoptListener throw.
+  // The following methods forward to Listener. Listen and AdoptListener throw as described there.
   void Listen(const Address& address) { listener_.Listen(address); }
-  // Takes over a listening socket of the platform's.
+  // Takes over a listening socket that the platform provides.
   void AdoptListener(int fd) { listener_.Adopt(fd); }
-  // Accepts no further clients.
+  // Stops accepting clients.
   void StopListening() { listener_.Stop(); }
-  // Whether the listening socket is the platform's.
+  // Whether the listening socket was provided by the platform.
   bool IsInherited() const { return listener_.IsInherited(); }
   // The local port of the listening socket.
   int Port() const { return listener_.Port(); }
 
-  // What health checks (PING) are answered from now on: PONG or ERR.
+  // Sets the answer to health checks (PING): PONG if healthy, otherwise ERR.
   void SetHealthy(bool healthy) { healthy_ = healthy; }
 
-  // The connection of a client with a session; null if it has ended.
+  // Returns the connection of a client with a session, or null if it has ended.
   TcpConnection* Find(SlotId client);
-  // Answers the request line. What the client sends from here on belongs to the session.
+  // Answers the request line with `line` and removes the request from the client's input: all that follows it
+  // belongs to the session.
   void Establish(SlotId client, std::string_view line);
-  // Sends a last line (may be empty) and ends the connection in order.
+  // Sends `last_line`, which may be empty, and closes the connection without a reset.
   void End(SlotId client, std::string_view last_line);
-  // Ends the connection with a TCP reset.
+  // Closes the connection with a TCP reset.
   void Reset(SlotId client);
 
-  // Whether a client may yet send a request, or has not received all of its answer. Clients that have sent no
-  // request line for a while, and those that do not close after their answer, do not count.
+  // Whether a client may still send a request, or has not received all of its answer. Idle clients without a
+  // request line, and those that do not close after their answer, do not count.
   bool HasPendingClients();
-  // For a graceful shutdown: tells clients that have been connected for a while without a request line to
-  // retry, and ends their connections in order. One that has sent a part of its line is spared while
+  // For a graceful shutdown: answers idle clients without a request line with BUSY and closes their
+  // connections without a reset. A client that has sent part of its request line is kept while
   // `others_pending`.
   void EndIdle(bool others_pending);
 
@@ -88,8 +89,9 @@
   void OnWritable(SlotId id) override;
 
  private:
-  // kRequestLine -> kOpened -> kEnding, or kRequestLine -> kEnding. The connection may break in any state.
-  enum class State : std::uint8_t { kRequestLine, kOpened, kEnding };
+  // kAwaitingRequest -> kInSession -> kEnding, or kAwaitingRequest -> kEnding. The connection may fail in any
+  // state.
+  enum class State : std::uint8_t { kAwaitingRequest, kInSession, kEnding };
   struct Client {
     Client(SlotId slot, Downstream& downstream)
         : id(slot),
@@ -98,27 +100,27 @@
     SlotId id, owner;
     TcpConnection tcp;
     Timer timer;
-    State state = State::kRequestLine;
-    std::list<SlotId>::iterator position{};  // In unopened_ or ending_.
-    Micros since{0};                         // Accepted, or ended by this side.
-    std::size_t request_line_size = 0;  // While it is in the input buffer: until the request is answered.
-    std::size_t discarded = 0;          // Bytes.
+    State state = State::kAwaitingRequest;
+    std::list<SlotId>::iterator position{};  // In awaiting_request_ or ending_.
+    Micros since{0};                         // When it was accepted, or entered kEnding.
+    std::size_t request_line_size = 0;       // Of an unanswered request, still in the input; 0: none.
+    std::size_t discarded_bytes = 0;
   };
 
   void OnAccepted(UniqueFd socket) override;
   void OnTimeout(SlotId id);
   void ReadRequestLines(Client& client);
-  // Handles one complete line. False: no further line may be read.
+  // Handles one complete line of `size` bytes. Returns whether another request line may follow.
   bool HandleLine(Client& client, std::size_t size);
   bool AnswerPing(Client& client, std::size_t size);
   void HandleOpen(Client& client, const OpenRequest& request, std::size_t size);
   void RejectForCapacity(Client& client, const OpenRequest& request);
   void RejectMalformed(Client& client, std::string_view reason);
-  std::size_t OpenedCount() const;
-  // Whether there are descriptors for one more client and its attempt.
-  bool CanAccept() const;
+  std::size_t SessionCount() const;
+  // Whether enough descriptors are available for one more session.
+  bool CanAddSession() const;
   void EvictOldest();
-  void EndEvicted(Client& client);
+  void RejectEvicted(Client& client);
   void Erase(Client& client);
 
   EventLoop& loop_;
@@ -127,7 +129,8 @@
   bool healthy_ = true;
   const std::size_t descriptor_limit_;
   SlotMap<Client> clients_;
-  std::list<SlotId> unopened_, ending_;  // Clients in kRequestLine and in kEnding, oldest first.
+  // The clients in kAwaitingRequest and in kEnding, oldest first.
+  std::list<SlotId> awaiting_request_, ending_;
   LogRateLimiter malformed_log_, capacity_log_;
   Listener listener_;
 };
--- a/src/proxy/line_protocol.cpp
+++ b/src/proxy/line_protocol.cpp
@@ -12,7 +12,7 @@
 namespace stoatrun {
 namespace {
 
-// A day. No client waits longer; resumed connections ask for 71 minutes.
+// One day. Resumed connections ask for 71 minutes, and no client waits longer than a day.
 constexpr double kMaxTimeoutMs = 8.64e7;
 
 // The known fields of a request line.
@@ -20,7 +20,7 @@
 // Their names, in the order of the enumeration.
 constexpr std::array<std::string_view, 8> kFieldNames{"c", "t", "d", "g", "r", "again", "at", "h"};
 
-// Only visible ASCII belongs to this protocol; anything else must not reach an endpoint.
+// The protocol consists of printable ASCII; other bytes must not be forwarded to an endpoint.
 bool IsPrintableAscii(std::string_view line) {
   return std::all_of(line.begin(), line.end(), [](char c) { return c >= ' ' && c <= '~'; });
 }
@@ -50,7 +50,7 @@
       request.affinity_group = value;
       return true;
     case Field::kRetry:
-      return true;  // For endpoints only.
+      return true;  // Used by endpoints only.
     case Field::kReconnect:
       request.is_reconnect = value == "1";
       return true;
@@ -79,7 +79,7 @@
     const auto* const name = std::find(kFieldNames.begin(), kFieldNames.end(), field.substr(0, equals));
     if (name == kFieldNames.end()) continue;
     const auto index = static_cast<std::size_t>(name - kFieldNames.begin());
-    // Which of two values an endpoint would use is not known here, and an empty one says nothing.
+    // An endpoint could use either value of a repeated field, and an empty value has no meaning.
     if (value.empty() || std::exchange(seen[index], true)) return false;
     if (!SetField(line, static_cast<Field>(index), value, request)) return false;
   }
@@ -134,7 +134,7 @@
   request.id = id;
   request.key = key;
   if (!ParseFields(line, fields, request) || request.class_name.empty()) return std::nullopt;
-  if (request.before_timeout.empty()) {  // Only a resumed connection may wait without a timeout.
+  if (request.before_timeout.empty()) {  // Only a request to resume a connection may omit the timeout.
     if (request.resume_endpoint.empty()) return std::nullopt;
     request.before_timeout = line;
   }
--- a/src/proxy/line_protocol.h
+++ b/src/proxy/line_protocol.h
@@ -1,6 +1,6 @@
-// The line protocol that clients and endpoints speak: parsing of request lines and of the values in them.
-// Lines are parsed in place: results are views into the parsed text, which must outlive them. No state, no
-// I/O.
+// Parsing of the line protocol between clients, the proxy and endpoints: request lines and the values in
+// them. Lines are parsed in place: results are views into the parsed text, which must outlive them. No state,
+// no I/O.
 #ifndef STOATRUN_PROXY_LINE_PROTOCOL_H_
 #define STOATRUN_PROXY_LINE_PROTOCOL_H_
 
@@ -11,19 +11,19 @@
 
 namespace stoatrun {
 
-// The longest line in bytes, its line end included.
+// The maximum length of a line in bytes, including its line end.
 constexpr std::size_t kMaxLine = 4096;
 
-// The length of the first line of `input`, its line end included; nullopt while the line is incomplete.
+// The length of the first line of `input`, including its line end; nullopt while the line is incomplete.
 std::optional<std::size_t> LineLength(std::string_view input);
 
-// `line` without CR and LF at its end.
+// Returns `line` without a trailing LF or CRLF.
 std::string_view StripLineEnd(std::string_view line);
 
 // A line split at its first space.
 struct SplitLine {
-  std::string_view first;  // The first word.
-  std::string_view rest;   // What follows the space; empty if there is none.
+  std::string_view first;
+  std::string_view rest;  // The text after the space; empty if there is no space.
 };
 
 // Splits `line` at its first space.
@@ -32,7 +32,7 @@
 // Parses a finite floating-point number; nullopt if `text` is anything else.
 std::optional<double> ParseDecimal(std::string_view text);
 
-// Parses a non-negative amount as clients write it: digits, or digits with a point between them. Signs,
+// Parses a non-negative decimal amount: digits, optionally with a decimal point between them. Signs,
 // exponents, hexadecimal digits and names such as `inf` are errors.
 std::optional<double> ParseAmount(std::string_view text);
 
@@ -47,12 +47,12 @@
   std::int64_t timeout_ms = 0;       // Field d.
   std::optional<double> load;        // Field h.
   bool is_reconnect = false;         // Field again.
-  std::string_view before_timeout;   // The line up to the value of d, which is all that a proxy rewrites; the
-  std::string_view after_timeout;    // line after it, without line end.
+  // The line before and after the value of d, the only part that the proxy rewrites; without line end.
+  std::string_view before_timeout, after_timeout;
 };
 
-// Parses a request line without its line end. Ignores unknown fields, for those of later protocol versions;
-// nullopt if a known field is empty, repeated or malformed, or a mandatory one is missing.
+// Parses a request line without its line end. Ignores unknown fields, which later protocol versions may add.
+// Returns nullopt if a known field is empty, repeated or malformed, or if a mandatory one is missing.
 std::optional<OpenRequest> ParseOpenRequest(std::string_view line);
 
 // Calls `callback(name, value)` for each number in a list of metrics such as `inflight=7,queue=2` and skips
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -19,12 +19,12 @@
 namespace stoatrun {
 namespace {
 
-// Each takes some 20 us: a flood of clients must not delay established sessions by more than a millisecond or
-// two a turn.
+// One accept takes about 20 us. The limit keeps a burst of connections from delaying established sessions by
+// more than 1 to 2 ms per turn of the event loop.
 constexpr int kAcceptsPerTurn = 64;
 constexpr std::string_view kBusyLine = "BUSY\r\n";
 
-UniqueFd OpenSpare() { return UniqueFd(open("/dev/null", O_RDONLY | O_CLOEXEC)); }
+UniqueFd OpenSpareFd() { return UniqueFd(open("/dev/null", O_RDONLY | O_CLOEXEC)); }
 
 [[noreturn]] void ThrowSystemError(const char* operation) {
   throw std::system_error(errno, std::generic_category(), operation);
@@ -44,7 +44,11 @@
 }  // namespace
 
 Listener::Listener(EventLoop& loop, ListenerEvents& events, Counters& counters, LogRateLimiter& capacity_log)
-    : loop_(loop), events_(events), counters_(counters), capacity_log_(capacity_log), spare_(OpenSpare()) {
+    : loop_(loop),
+      events_(events),
+      counters_(counters),
+      capacity_log_(capacity_log),
+      spare_fd_(OpenSpareFd()) {
   ev_init(&watcher_, OnReadable);
   watcher_.data = this;
 }
@@ -70,7 +74,7 @@
   if (SocketOption(fd, SO_DOMAIN) != AF_INET) ThrowInvalidDescriptor(fd, "is not an IPv4 socket");
   if (SocketOption(fd, SO_TYPE) != SOCK_STREAM) ThrowInvalidDescriptor(fd, "is not a TCP socket");
   if (SocketOption(fd, SO_ACCEPTCONN) != 1) ThrowInvalidDescriptor(fd, "does not listen");
-  // Programs that this process might start must not keep the socket open.
+  // Child processes must not inherit the socket.
   if (fcntl(fd, F_SETFD, FD_CLOEXEC) != 0 || fcntl(fd, F_SETFL, fcntl(fd, F_GETFL) | O_NONBLOCK) != 0) {
     ThrowInvalidDescriptor(fd, "can't be made non-blocking");
   }
@@ -86,7 +90,7 @@
 
 void Listener::Stop() {
   if (!socket_) return;
-  // The queue holds at most SOMAXCONN connections.
+  // The queue holds at most SOMAXCONN connections, which bounds the loop.
   for (int remaining = inherited_ ? 0 : SOMAXCONN; remaining > 0 && AcceptPending();) {
     remaining -= kAcceptsPerTurn;
   }
@@ -121,17 +125,18 @@
   }
   if (errno == EINTR || errno == ECONNABORTED) return true;
   if (errno == EAGAIN) return false;
-  // accept() reports a lack of descriptors before it looks at the queue: perhaps no client waits.
-  if ((errno == EMFILE || errno == ENFILE) && spare_) return RejectForCapacity();
+  // accept() reports a lack of descriptors even if the queue is empty.
+  if ((errno == EMFILE || errno == ENFILE) && spare_fd_) return RejectForCapacity();
   ++counters_.accept_failed;
   LogLine(Level::kWarn, "accept failed").Field("errno", errno);
   return false;
 }
 
-// Without a descriptor the queue would stay readable and keep the loop busy, and its clients would get no
-// answer. The spare descriptor accepts one client at a time, to tell it to retry later.
+// While no descriptor is available, the listening socket would stay readable, which keeps the event loop
+// busy, and the clients in its queue would get no answer. The spare descriptor is used to accept one client
+// at a time and tell it to retry later.
 bool Listener::RejectForCapacity() {
-  spare_.Reset();
+  spare_fd_.Reset();
   UniqueFd client(accept4(socket_.Get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   const bool rejected = static_cast<bool>(client);
   if (rejected) {
@@ -147,9 +152,9 @@
           .Field("left_out", capacity_log_.TakeSuppressed());
     }
     DiscardUnreadInput(client.Get());
-    client.Reset();  // Before the spare is opened again, which needs the descriptor.
+    client.Reset();  // Frees the descriptor for OpenSpareFd.
   }
-  spare_ = OpenSpare();
+  spare_fd_ = OpenSpareFd();
   return rejected;
 }
 
--- a/src/proxy/listener.h
+++ b/src/proxy/listener.h
@@ -1,5 +1,5 @@
-// The listening socket: accepts client connections, and rejects them while no descriptor is left. Used by the
-// event loop's thread only.
+// The listening socket: accepts client connections, and rejects them while no file descriptor is available.
+// Used by the event loop's thread only.
 #ifndef STOATRUN_PROXY_LISTENER_H_
 #define STOATRUN_PROXY_LISTENER_H_
 
@@ -21,10 +21,11 @@
   virtual void OnAccepted(UniqueFd socket) = 0;
 };
 
-// Owns one listening TCP socket over IPv4: bound here, or inherited from the platform.
+// Owns one listening TCP socket over IPv4, bound by this process or inherited from the platform.
 class Listener {
  public:
-  // All references must outlive the object. `capacity_log` limits what is logged of rejected clients.
+  // All references must outlive the object. `capacity_log` limits the rate at which rejected clients are
+  // logged.
   Listener(EventLoop& loop, ListenerEvents& events, Counters& counters, LogRateLimiter& capacity_log);
   ~Listener();
   Listener(const Listener&) = delete;
@@ -32,14 +33,14 @@
 
   // Binds `address` and listens. Throws std::system_error.
   void Listen(const Address& address);
-  // Takes over a listening socket that the platform keeps open and passes to each process in turn. Throws
-  // ConfigError if `fd` is not a listening TCP socket over IPv4.
+  // Takes over a listening socket that the platform keeps open and passes on to each successive process.
+  // Throws ConfigError if `fd` is not a listening TCP socket over IPv4.
   void Adopt(int fd);
-  // Whether the socket was adopted.
+  // Whether the socket was passed to Adopt.
   bool IsInherited() const { return inherited_; }
-  // Stops accepting and closes the socket; no effect if there is none. The queue of a socket that was bound
-  // here is emptied first, for closing the socket would reset the connections in it; an inherited socket's
-  // queue is left to the next process.
+  // Stops accepting and closes the socket; no effect if there is none. The connections in the queue of a
+  // socket that this process bound are accepted first, because closing the socket would reset them; the queue
+  // of an inherited socket is left to the next process.
   void Stop();
   // The local port; 0 if there is no socket.
   int Port() const;
@@ -47,11 +48,12 @@
  private:
   static void OnReadable(struct ev_loop* loop, ev_io* watcher, int events);
   void StartAccepting();
-  // Accepts at most kAcceptsPerTurn connections. False: the queue is empty, or none can be accepted now.
+  // Accepts at most kAcceptsPerTurn connections. Returns false if the queue is empty or accepting failed.
   bool AcceptPending();
-  // Accepts one connection; false: as above.
+  // Accepts one connection. Returns false if the queue is empty or accepting failed.
   bool AcceptOne();
-  // False: no connection was waiting.
+  // Accepts one connection with the spare descriptor and rejects it with BUSY. Returns false if the queue is
+  // empty.
   bool RejectForCapacity();
 
   EventLoop& loop_;
@@ -60,7 +62,7 @@
   LogRateLimiter& capacity_log_;
   ev_io watcher_{};
   UniqueFd socket_;
-  UniqueFd spare_;  // Given up for a moment to accept and reject a client when no descriptor is left.
+  UniqueFd spare_fd_;  // Closed temporarily to accept and reject a client when no descriptor is available.
   bool inherited_ = false;
 };
 
