--- a/src/proxy/forwarder.cpp
+++ b/src/proxy/forwarder.cpp
@@ -12,11 +12,12 @@
 namespace stoatrun {
 namespace {
 
-// Clients send every 2 s and are answered at once. A session whose endpoint is silent must be given up within
-// 7 s of its last answer.
+// Clients send a line every 2 s and are answered immediately. The client of a silent endpoint must be
+// migrated within 7 s of the last answer.
 constexpr Micros kAnswerTimeout = std::chrono::milliseconds(4300);
 
-// How many bytes of `input` to forward. Input that is longer than any line may be is forwarded as it is.
+// How many bytes of `input` to forward. An incomplete line that exceeds the maximum length is forwarded in
+// pieces.
 std::size_t ForwardableSize(std::string_view input, Forwarder::Extent extent) {
   const std::size_t last_line_end = input.rfind('\n');
   const std::size_t complete = last_line_end == std::string_view::npos ? 0 : last_line_end + 1;
@@ -35,7 +36,7 @@
   return lines;
 }
 
-// The end that an endpoint announces with a line that begins with `word`; kBroken: none.
+// The end that an endpoint announces with a line that begins with `word`; kBroken if it announces none.
 AttemptEnd AnnouncedEnd(std::string_view word) {
   if (word == "BYE") return AttemptEnd::kServed;
   if (word == "MOVE") return AttemptEnd::kMigrated;
@@ -85,7 +86,8 @@
   const std::string_view forwarded = input.substr(0, ForwardableSize(input, extent));
   if (forwarded.empty()) return;
   client->Write({forwarded});
-  // Handled once the buffers are done with: the balancer may migrate this client.
+  // The lines are copied and handled after the buffers have been updated, because the balancer may migrate
+  // this client while it handles them.
   const std::vector<std::string> lines = SplitLines(forwarded);
   attempt->Consume(forwarded.size());
   if (session->timer.IsSet() && session->IsEstablished()) session->timer.Set(loop_.Now() + kAnswerTimeout);
--- a/src/proxy/forwarder.h
+++ b/src/proxy/forwarder.h
@@ -1,5 +1,5 @@
-// Forwards the bytes of established sessions between client and endpoint, with backpressure both ways, and
-// reads the endpoint's lines as they pass.
+// Forwards the bytes of established sessions between client and endpoint, with backpressure in both
+// directions, and parses the endpoint's lines on the way.
 #ifndef STOATRUN_PROXY_FORWARDER_H_
 #define STOATRUN_PROXY_FORWARDER_H_
 
@@ -19,25 +19,26 @@
 // Used by the event loop's thread only.
 class Forwarder {
  public:
-  // What is forwarded to the client.
+  // How much of an endpoint's input is forwarded to the client.
   enum class Extent : std::uint8_t {
-    kCompleteLines,  // An incomplete line stays, so that a MOVE of the proxy's own always falls between
-                     // lines.
-    kEverything,     // The endpoint has ended: no more will come.
+    // An incomplete line stays buffered, so that a MOVE that the proxy sends is never inside a line.
+    kCompleteLines,
+    // For an endpoint that has ended the connection: the rest of an incomplete line will not come.
+    kEverything,
   };
 
   // All references must outlive the object.
   Forwarder(EventLoop& loop, SessionTable& sessions, Downstream& downstream, Upstream& upstream,
             BalancerDriver& balancer, MessageLatencyReporter& latency_reporter);
 
-  // Forwards what the client has sent to the session's endpoint.
+  // Forwards the client's input to the session's endpoint.
   void ForwardToEndpoint(Session& session);
-  // Forwards what the endpoint has sent to the client, and reports loads and latencies to the balancer: any
-  // session may have been erased afterwards. No effect if the session has been erased.
+  // Forwards the endpoint's input to the client, and reports loads and latencies to the balancer, which may
+  // erase any session. No effect if the session has been erased.
   void ForwardToClient(SlotId session_id, Extent extent);
-  // All output to the client is written: reads from the endpoint again.
+  // Resumes reading from the endpoint, as all output to the client has been written.
   void OnClientWritable(SlotId session_id);
-  // All output to the endpoint is written: reads from the client again.
+  // Resumes reading from the client, as all output to the endpoint has been written.
   void OnEndpointWritable(SlotId session_id);
 
  private:
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -6,8 +6,8 @@
 namespace stoatrun {
 namespace {
 
-void WarnOfRestart(bool unchanged, std::string_view setting) {
-  if (!unchanged) LogLine(Level::kWarn, "reload takes a restart").Field("changed", setting);
+void WarnIfRestartNeeded(bool changed, std::string_view setting) {
+  if (changed) LogLine(Level::kWarn, "reload takes a restart").Field("changed", setting);
 }
 
 }  // namespace
@@ -43,8 +43,8 @@
     downstream_.Listen(config_.listen);
   }
   endpoint_updater_.Apply(config_.cached_endpoints, EndpointSource::kCached);
-  // Where updates are pushed the balancer asks for none; over sockets they come from an agent of this
-  // machine's own, which speaks only to a watch.
+  // With pushed updates the balancer does not request a watch. A proxy on sockets still needs one, because
+  // the agent on this machine sends its updates only to an open watch.
   if (pushed_) discovery_.Watch();
   started_ = true;
   fleet_.Start();
@@ -57,9 +57,9 @@
 void Proxy::Reload(const Config& config) {
   ++counters_.reloads;
   LogLine(Level::kInfo, "reload").Field("discovery", config.discovery_text);
-  WarnOfRestart(config.proxy_name == config_.proxy_name, "name");
-  WarnOfRestart(config.listen == config_.listen, "listen");
-  WarnOfRestart(config.settings_text == config_.settings_text, "settings");
+  WarnIfRestartNeeded(config.proxy_name != config_.proxy_name, "name");
+  WarnIfRestartNeeded(config.listen != config_.listen, "listen");
+  WarnIfRestartNeeded(config.settings_text != config_.settings_text, "settings");
   discovery_.ChangeAddress(config.discovery, config.discovery_text);
 }
 
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,7 +1,8 @@
-// The proxy: accepts clients' requests for connections, opens them at endpoints that the balancer chooses,
-// and forwards their bytes. This class only wires the parts together; SessionController drives them.
+// The proxy: accepts clients' requests for connections, opens them at endpoints that the balancer selects,
+// and forwards their bytes. This class only wires the components together; SessionController drives them.
 //
-// Everything runs on the event loop's thread: calls must come from it, or from where the loop does not run.
+// Everything runs on the event loop's thread. Call the methods on that thread, or while the loop is not
+// running.
 #ifndef STOATRUN_PROXY_PROXY_H_
 #define STOATRUN_PROXY_PROXY_H_
 
@@ -31,55 +32,56 @@
 
 namespace stoatrun {
 
-// Owns all parts of the proxy.
+// Owns all components of the proxy.
 class Proxy {
  public:
-  // `meter` meters the usage of established sessions; `fleet` is the rest of the proxy's fleet. Both may be
-  // null; `loop` and they must outlive the proxy.
+  // `meter` records the usage of established sessions; `fleet` is the interface to the rest of the fleet.
+  // Both may be null. All arguments but `config` must outlive the proxy.
   Proxy(EventLoop& loop, const Config& config, UsageMeter* meter = nullptr, FleetClient* fleet = nullptr);
   Proxy(const Proxy&) = delete;
   Proxy& operator=(const Proxy&) = delete;
 
-  // Listens and serves. Throws std::system_error if the address can't be bound, and ConfigError if the
-  // configured descriptor is not a listening socket.
+  // Starts to listen and to serve. Throws std::system_error if the address can't be bound, and ConfigError if
+  // the configured descriptor is not a listening socket.
   void Start();
-  // Begins the graceful shutdown, which ends by stopping the event loop. No effect if it has begun.
+  // Starts the graceful shutdown, which ends by stopping the event loop. No effect if it has started already.
   void BeginGracefulShutdown();
 
-  // Applies a changed configuration as far as that is possible without a restart: moves the watch to the new
-  // discovery address. What else changed is logged.
+  // Applies the part of a changed configuration that does not need a restart: moves the watch to the new
+  // discovery address. Logs a warning for every other change.
   void Reload(const Config& config);
-  // A changed configuration could not be read, for `reason`; the present one stays in force.
+  // Logs and counts a changed configuration that could not be read; the present one stays in force.
   void OnReloadFailed(std::string_view reason);
 
-  // Begins the operators' drain: see OperatorDrain. No effect while draining.
+  // Starts the operators' drain: see OperatorDrain. No effect while draining.
   void StartDrain();
   // Ends the operators' drain.
   void Activate();
 
-  // Whether the proxy serves and the front load balancer may send clients here.
+  // Whether the proxy is serving and the front load balancer may send clients to it.
   bool Ready() const;
   // The local port of the listening socket.
   int Port() const { return downstream_.Port(); }
-  // What was counted since the start.
+  // The counters since the start.
   const Counters& Counts() const { return counters_; }
-  // The classes' names, in the order of the counters by class.
+  // The names of the classes, in the order of Counters::classes.
   const std::vector<std::string>& ClassNames() const { return config_.settings.class_names; }
-  // The number of requests that were accepted and have not ended, established sessions included.
+  // The number of sessions, pending and established.
   std::size_t SessionCount() const { return sessions_.Size(); }
-  // The number of endpoints listed now, ready or draining.
+  // The number of endpoints in the present list, ready or draining.
   std::size_t EndpointCount() const { return upstream_.Endpoints().ListedCount(); }
-  // The number of endpoints that outlier detection has ejected now.
+  // The number of endpoints that are ejected by outlier detection.
   std::size_t EjectedCount() const { return balancer_.EjectedCount(); }
 
  private:
-  const Config config_;  // As the proxy was started.
+  const Config config_;  // The configuration at the start.
   Counters counters_;
-  const bool pushed_;  // Endpoint updates come without the balancer's asking for them.
+  const bool pushed_;  // Endpoint updates arrive without a request of the balancer.
   bool started_ = false;
 
-  // The parts know each other by reference, so the order matters: none uses another in its constructor that
-  // is declared after it, and Downstream, whose destructor still answers waiting clients, is destroyed first.
+  // The components hold references to each other, so their order matters: no constructor uses a component
+  // that is declared later, and Downstream, whose destructor still answers waiting clients, must be destroyed
+  // before those declared above it.
   SessionTable sessions_;
   SessionController controller_;
   BalancerDriver balancer_;
--- a/src/proxy/proxy_settings.cpp
+++ b/src/proxy/proxy_settings.cpp
@@ -12,14 +12,15 @@
 
 using std::chrono::milliseconds;
 
-// What discovery announced stays in force for 6 s unless settings say otherwise; the rest of what they say is
-// for the caller's turn and the answer.
+// What discovery announced stays in force for 6 s, unless the settings specify less.
 constexpr Micros kMaxPollInterval = std::chrono::seconds(6);
-constexpr double kSharedServiceFraction = 0.6;  // Of the time until contents count as announced.
-constexpr double kLocalAgentFraction = 0.3;     // Of the grace time of a drain.
+// Of the time until the service's contents count as announced; the rest is for the call and its answer.
+constexpr double kSharedServiceFraction = 0.6;
+// Of the grace time of a drain.
+constexpr double kLocalAgentFraction = 0.3;
 constexpr Micros kMinPollInterval = milliseconds(10);
 constexpr Micros kDefaultGrace = milliseconds(250);
-// Where neither the configuration nor the system has a limit.
+// Used if the system's limit can't be read.
 constexpr std::size_t kDefaultDescriptorLimit = 1024;
 
 }  // namespace
--- a/src/proxy/proxy_settings.h
+++ b/src/proxy/proxy_settings.h
@@ -1,4 +1,4 @@
-// Limits of the proxy's parts, derived from its configuration and from the system's limits.
+// Limits of the proxy's components, derived from its configuration and from the system's limits.
 #ifndef STOATRUN_PROXY_PROXY_SETTINGS_H_
 #define STOATRUN_PROXY_PROXY_SETTINGS_H_
 
@@ -14,13 +14,13 @@
 // The time limits of connections to endpoints.
 Upstream::Timeouts UpstreamTimeouts(const SiteSettings& site);
 
-// The longest time between two calls to discovery. An agent of this machine's own costs nothing, and what it
-// has counts as announced whether or not it is polled: the time is a part of the grace time of a drain. A
-// service that all proxies share is polled seldom, but an answer comes before the settings count its contents
-// as announced.
+// The longest time between two calls to discovery. Polling an agent on this machine costs little, and its
+// contents count as announced whether or not they have been polled, so the interval is a fraction of the
+// grace time of a drain. A service that all proxies share is polled rarely, but often enough that an answer
+// arrives before the settings count its contents as announced.
 Micros MaxDiscoveryPollInterval(const SiteSettings& site);
 
-// The number of descriptors that this process may use.
+// The number of file descriptors that this process may use.
 std::size_t DescriptorLimit(const Config& config);
 
 }  // namespace stoatrun
