--- a/tests/proxy/client_disconnect_test.cpp
+++ b/tests/proxy/client_disconnect_test.cpp
@@ -1,4 +1,5 @@
-// Clients that disconnect while something is owed to them or to others: docs/design/endings.md.
+// Clients that disconnect before they have been answered, or while data is still to be delivered; see
+// docs/design/endings.md.
 #include <fmt/format.h>
 
 #include <catch2/catch.hpp>
@@ -18,45 +19,48 @@
 
 TEST_CASE(
     "a request whose client has disconnected is not forwarded, wherever it waits and whatever follows it") {
-  const std::string way = GENERATE("close", "half", "reset");
-  const std::string behind = GENERATE("nothing", "part of a line", "a full buffer");
-  const std::string place = GENERATE("queue", "between attempts", "connecting", "budget");
-  INFO(way << ", " << behind << ", " << place);
+  const std::string client_end = GENERATE("close", "half", "reset");
+  const std::string sent_after_request = GENERATE("nothing", "part of a line", "a full buffer");
+  const std::string request_state = GENERATE("queue", "between attempts", "connecting", "budget");
+  INFO(client_end << ", " << sent_after_request << ", " << request_state);
   FleetClientRecorder fleet;
   LoopbackFixture fixture({"s-1"}, {.fleet = &fleet});
-  if (place == "queue") fixture.Play(kDrained);
-  if (place == "budget") {
+  if (request_state == "queue") fixture.Play(kDrained);
+  if (request_state == "budget") {
     fleet.slow_start_sends = 0;
     fixture.Play(kReady);
   }
-  if (place == "connecting") fixture.Play("s-1 full");
-  if (behind == "a full buffer") {
+  if (request_state == "connecting") fixture.Play("s-1 full");
+  if (sent_after_request == "a full buffer") {
     fixture.Play("a both OPEN 1 k c=watch,d=2000 | M 1 " + std::string(20'000, 'x'));
   } else {
     fixture.Play("a send OPEN 1 k c=watch,d=2000");
   }
-  if (behind == "part of a line") fixture.Play("a raw M 1 par");
-  if (place == "between attempts") fixture.Play("s-1 expect OPEN 1 k*\ns-1 send BUSY\ns-1 expect-end");
-  fixture.Play("wait 30\na " + way);
-  fixture.Play("wait 150");  // Half of the time after which nothing may be sent.
+  if (sent_after_request == "part of a line") fixture.Play("a raw M 1 par");
+  if (request_state == "between attempts") {
+    fixture.Play("s-1 expect OPEN 1 k*\ns-1 send BUSY\ns-1 expect-end");
+  }
+  fixture.Play("wait 30\na " + client_end);
+  fixture.Play("wait 150");  // Half of the time after which no attempt may be sent.
   CHECK(fixture.Counts().client_disconnects == 1);
   CHECK(fixture.ProxyUnderTest().SessionCount() == 0);
   const auto attempts = fixture.Counts().attempts;
   fleet.slow_start_sends = 100;
-  if (place == "queue") fixture.Play(kReady);
+  if (request_state == "queue") fixture.Play(kReady);
   fixture.Play("wait 2000");
   CHECK(fixture.Counts().attempts == attempts);
-  fixture.Play("s-1 legs " + std::string(place == "between attempts" ? "1" : "0"));
+  fixture.Play("s-1 legs " + std::string(request_state == "between attempts" ? "1" : "0"));
 }
 
 TEST_CASE_METHOD(
     SingleEndpointFixture,
     "an attempt that connects in the turn in which its client's end is still unread sends nothing") {
-  const std::string way = GENERATE("close", "half", "reset");
+  const std::string client_end = GENERATE("close", "half", "reset");
   Play("turns 0\na send OPEN 1 k c=watch,d=2000,at=s-1");
   while (Counts().attempts == 0) Play("turn");
-  // The connection is up in the kernel, and the loop has told of neither.
-  Play("a " + way + "\nturns 3\nwait 20\ns-1 legs 0");
+  // The kernel has established the connection, but the event loop has reported neither that nor the client's
+  // end.
+  Play("a " + client_end + "\nturns 3\nwait 20\ns-1 legs 0");
   CHECK(Counts().client_disconnects == 1);
 }
 
@@ -65,7 +69,8 @@
   Play("a half\nwait 110\na expect ERR\na expect-end");
 }
 
-// Reading is held back while the other side takes nothing: a reset was then seen when that side read again.
+// Reading is paused while the other side accepts no data. A reset was then detected only when that side read
+// again.
 TEST_CASE_METHOD(SingleEndpointFixture, "a reset is detected while reading is paused") {
   Play(kEstablishSession);
   SECTION("the client's") {
@@ -79,7 +84,8 @@
   CHECK(ProxyUnderTest().SessionCount() == 0);
 }
 
-// Clients with malformed requests are evicted: their unread bytes must not cost anybody an answer.
+// Clients with malformed requests are evicted. Closing their connections with unread bytes must not lose an
+// answer to any client.
 TEST_CASE(
     "beside a thousand that send much and disconnect, every client is answered, and so are those that stay") {
   LoopbackFixture fixture({"s-1"}, {.descriptor_limit = 96});
--- a/tests/proxy/listener_test.cpp
+++ b/tests/proxy/listener_test.cpp
@@ -1,4 +1,4 @@
-// The listening socket: inherited from the platform, and its descriptor in the environment.
+// Listening sockets inherited from the platform, and the environment variables that configure them.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <sys/socket.h>
@@ -20,7 +20,7 @@
 namespace stoatrun {
 namespace {
 
-// A blocking socket that listens on any port: the proxy must make it non-blocking itself.
+// Returns a blocking socket that listens on any port. The proxy must make it non-blocking.
 UniqueFd ListeningSocket() {
   UniqueFd listener(socket(AF_INET, SOCK_STREAM, 0));
   const sockaddr_in address = LoopbackAddress(0);
@@ -36,7 +36,7 @@
   return ntohs(address.sin_port);
 }
 
-// Keeps the platform's own descriptor of the socket that the proxy inherits.
+// The platform's descriptor of the socket that the proxy inherits.
 struct PlatformSocket {
   const UniqueFd listener = ListeningSocket();
 };
@@ -51,16 +51,17 @@
   CHECK(ProxyUnderTest().Port() == PortOf(listener));
   Play(kEstablishSession);
   Play("drain\nwait 50");
-  // A client that comes after the graceful shutdown began waits in the queue for the next process.
+  // A client that connects after the start of the graceful shutdown stays in the queue for the next process.
   const UniqueFd late = ConnectToLoopback(PortOf(listener));
   Play("wait 50");
   fcntl(listener.Get(), F_SETFL, O_NONBLOCK);
-  const UniqueFd taken(accept(listener.Get(), nullptr, nullptr));
-  CHECK(taken);
+  const UniqueFd accepted(accept(listener.Get(), nullptr, nullptr));
+  CHECK(accepted);
   Play("wait 2500\na expect MOVE\na expect-end");
 }
 
-// The next process serves already: those moved late would only crowd it later, and all at once.
+// The next process is already serving. Delaying the migrations would only make all clients reconnect to it at
+// once.
 TEST_CASE_METHOD(InheritedListenerFixture,
                  "with an inherited socket a graceful shutdown migrates sessions from its start, evenly") {
   Play(kEstablishSession);
@@ -73,13 +74,14 @@
     wait 100
   )");
   CHECK(Counts().migrated == 0);
-  Play("wait 900");  // Two over 2.1 s: one by the middle.
+  Play("wait 900");  // Two within 2.1 s: one by half of that time.
   CHECK(Counts().migrated == 1);
   Play("wait 1150");
   CHECK(Counts().migrated == 2);
 }
 
-// A client that has just had its answer is furthest from its next line: it can be back elsewhere before then.
+// A client that has just been answered is furthest from its next line, so it can reconnect elsewhere before
+// it sends that.
 TEST_CASE_METHOD(
     InheritedListenerFixture,
     "a graceful shutdown migrates the latest answered first, those with a request in flight last") {
@@ -108,24 +110,25 @@
 TEST_CASE("a descriptor that is not a listening IPv4 TCP socket is rejected with its number") {
   EventLoop loop(Clock::Mode::kManual);
   Counters counters;
-  struct Nobody : DownstreamEvents {
+  struct IgnoreEvents : DownstreamEvents {
     std::optional<OpenRequestError> Validate(const OpenRequest& /*request*/) override { return std::nullopt; }
-    SlotId OnOpen(SlotId client, const OpenRequest& /*head*/) override { return client; }
+    SlotId OnOpen(SlotId client, const OpenRequest& /*request*/) override { return client; }
     void OnClientBytes(SlotId /*owner*/) override {}
     void OnClientEnd(SlotId /*owner*/, ConnectionEnd /*end*/) override {}
     void OnClientWritable(SlotId /*owner*/) override {}
-  } nobody;
-  Downstream downstream(loop, nobody, counters, 256);
+  } events;
+  Downstream downstream(loop, events, counters, 256);
   const int file = open("/dev/null", O_RDONLY);
   const int unbound = socket(AF_INET, SOCK_STREAM, 0);
   const int datagram = socket(AF_INET, SOCK_DGRAM, 0);
-  const auto check_rejected = [&](int fd, const std::string& why) {
-    INFO(why);
+  const auto check_rejected = [&](int fd, const std::string& reason) {
+    INFO(reason);
     REQUIRE_THROWS_AS(downstream.AdoptListener(fd), ConfigError);
     try {
       downstream.AdoptListener(fd);
     } catch (const ConfigError& e) {
-      CHECK_THAT(e.what(), Catch::Contains("PROXY_ACCEPT_FD: descriptor " + std::to_string(fd) + " " + why));
+      CHECK_THAT(e.what(),
+                 Catch::Contains("PROXY_ACCEPT_FD: descriptor " + std::to_string(fd) + " " + reason));
     }
   };
   check_rejected(file, "is not a socket");
--- a/tests/proxy/loopback_commands.cpp
+++ b/tests/proxy/loopback_commands.cpp
@@ -1,4 +1,4 @@
-// The commands of the scripts that LoopbackFixture plays.
+// The script commands of LoopbackFixture.
 #include <fcntl.h>
 #include <sys/socket.h>
 
@@ -13,7 +13,7 @@
 namespace stoatrun {
 namespace {
 
-// Replaces \r and \n, each written as two characters.
+// Replaces the escape sequences \r and \n.
 std::string Unescape(std::string text) {
   for (const auto& [from, to] : {std::pair("\\r", "\r"), std::pair("\\n", "\n")}) {
     for (std::size_t at = 0; (at = text.find(from, at)) != std::string::npos;) text.replace(at, 2, to);
@@ -23,15 +23,15 @@
 
 }  // namespace
 
-// ---- the fixture itself ----
+// ---- fixture commands ----
 
 const std::map<std::string_view, LoopbackFixture::Handler>& LoopbackFixture::FixtureCommands() {
   static const std::map<std::string_view, Handler> kCommands{
       {"wait", &LoopbackFixture::Wait},
       {"turns", &LoopbackFixture::SetTurns},
       {"turn", &LoopbackFixture::PlayTurn},
-      {"crowd", &LoopbackFixture::ConnectCrowd},
-      {"quiet", &LoopbackFixture::CheckQuiet},
+      {"connect-idle", &LoopbackFixture::ConnectIdleClients},
+      {"expect-idle", &LoopbackFixture::CheckIdleClients},
       {"drain", &LoopbackFixture::BeginShutdown},
       {"drain-call", &LoopbackFixture::StartDrain},
       {"activate", &LoopbackFixture::Activate},
@@ -42,7 +42,7 @@
   return kCommands;
 }
 
-// In small steps, so that every timer runs at its own time.
+// Advances the clock in steps of 5 ms, so that timers expire at their own times.
 void LoopbackFixture::Wait(const Step& step) {
   for (int remaining = std::stoi(step.verb); remaining > 0; remaining -= 5) {
     loop_.clock.Advance(std::chrono::milliseconds(std::min(remaining, 5)));
@@ -54,15 +54,15 @@
 
 void LoopbackFixture::PlayTurn(const Step& /*step*/) { Turn(); }
 
-void LoopbackFixture::ConnectCrowd(const Step& step) {
-  for (int k = std::stoi(step.verb); k > 0; --k) FindOrConnectPeer("crowd" + std::to_string(k));
+void LoopbackFixture::ConnectIdleClients(const Step& step) {
+  for (int k = std::stoi(step.verb); k > 0; --k) FindOrConnectPeer("idle" + std::to_string(k));
   Turns(5);
 }
 
-void LoopbackFixture::CheckQuiet(const Step& step) {
+void LoopbackFixture::CheckIdleClients(const Step& step) {
   const auto connected = std::count_if(clients_.begin(), clients_.end(), [](const auto& client) {
     client.second->Read();
-    return client.first.starts_with("crowd") && !client.second->ended;
+    return client.first.starts_with("idle") && !client.second->ended;
   });
   CHECK(connected == std::stoi(step.verb));
 }
@@ -79,7 +79,7 @@
   Turns(3);
 }
 
-// No descriptor is left when the client's connection is to be accepted.
+// Uses up all file descriptors before the proxy accepts the client's connection.
 void LoopbackFixture::ExhaustDescriptors(const Step& step) {
   FindOrConnectPeer(step.verb);
   std::vector<UniqueFd> taken;
@@ -100,7 +100,7 @@
   Turns(5);
 }
 
-// ---- endpoints ----
+// ---- endpoint commands ----
 
 const std::map<std::string_view, LoopbackFixture::ServerHandler>& LoopbackFixture::EndpointCommands() {
   static const std::map<std::string_view, ServerHandler> kCommands{
@@ -128,7 +128,7 @@
   REQUIRE(endpoint.connections.size() == std::stoul(step.argument));
 }
 
-// ---- discovery ----
+// ---- discovery commands ----
 
 const std::map<std::string_view, LoopbackFixture::ServerHandler>& LoopbackFixture::DiscoveryCommands() {
   static const std::map<std::string_view, ServerHandler> kCommands{
@@ -188,7 +188,7 @@
   LastWatch(discovery).Close(CloseMode::kOrderly);
 }
 
-// ---- clients, and attempts at endpoints ----
+// ---- commands of clients and of attempts at endpoints ----
 
 const std::map<std::string_view, LoopbackFixture::PeerHandler>& LoopbackFixture::PeerCommands() {
   static const std::map<std::string_view, PeerHandler> kCommands{
@@ -199,7 +199,7 @@
       {"answered", &LoopbackFixture::ExpectAnswer},
       {"expect-end", &LoopbackFixture::ExpectEnd},
       {"expect-reset", &LoopbackFixture::ExpectEnd},
-      {"pour", &LoopbackFixture::Pour},
+      {"send-bytes", &LoopbackFixture::SendBytes},
       {"flood", &LoopbackFixture::Flood},
       {"expect-flood", &LoopbackFixture::ExpectFlood},
       {"expect-moved", &LoopbackFixture::ExpectMigrated},
@@ -213,19 +213,19 @@
 void LoopbackFixture::SendLine(LoopbackPeer& peer, const Step& step) { peer.Send(step.argument + "\r\n"); }
 
 void LoopbackFixture::SendTwoLines(LoopbackPeer& peer, const Step& step) {
-  const std::size_t mark = step.argument.find(" | ");
-  peer.Send(step.argument.substr(0, mark) + "\r\n" + step.argument.substr(mark + 3) + "\r\n");
+  const std::size_t separator = step.argument.find(" | ");
+  peer.Send(step.argument.substr(0, separator) + "\r\n" + step.argument.substr(separator + 3) + "\r\n");
 }
 
 void LoopbackFixture::SendRaw(LoopbackPeer& peer, const Step& step) { peer.Send(step.argument); }
 
 void LoopbackFixture::ExpectLineOf(LoopbackPeer& peer, const std::string& pattern) {
-  const bool came = Until([&] {
+  const bool line_received = Until([&] {
     peer.Read();
     return peer.HasLineOrEnded();
   });
-  INFO("came: " << peer.input);
-  REQUIRE(came);
+  INFO("received: " << peer.input);
+  REQUIRE(line_received);
   const std::string line = peer.input.substr(0, peer.input.find("\r\n"));
   peer.input.erase(0, line.size() + 2);
   if (!pattern.empty() && pattern.back() == '*') {
@@ -255,8 +255,8 @@
   CHECK(peer.reset == (step.verb == "expect-reset"));
 }
 
-// The peer reads only when all is sent: a reset on the way would cost the answer.
-void LoopbackFixture::Pour(LoopbackPeer& peer, const Step& step) {
+// The peer reads only after it has sent everything, so a reset in the meantime would lose the answer.
+void LoopbackFixture::SendBytes(LoopbackPeer& peer, const Step& step) {
   const std::string bytes(1 << 16, 'k');
   std::size_t remaining = std::stoul(step.argument);
   REQUIRE(Until([&] {
@@ -268,7 +268,8 @@
   peer.HalfClose();
 }
 
-// Sends complete lines, so that the reader can tell what is missing.
+// Sends numbered lines, so that missing ones are recognized. A line that the socket does not accept is
+// retried, then skipped.
 void LoopbackFixture::Flood(LoopbackPeer& peer, const Step& step) {
   constexpr int kMaxTries = 50;
   std::string text(999, '.');
--- a/tests/proxy/loopback_fixture.cpp
+++ b/tests/proxy/loopback_fixture.cpp
@@ -30,7 +30,7 @@
   proxy_->Start();
 }
 
-// The test's sockets are closed before the proxy is.
+// Closes the test's sockets before the proxy is destroyed.
 LoopbackFixture::~LoopbackFixture() {
   clients_.clear();
   endpoints_.clear();
@@ -80,10 +80,10 @@
 }
 
 LoopbackPeer& LoopbackFixture::FindOrConnectPeer(const std::string& name) {
-  const std::size_t mark = name.find('#');
-  if (const auto endpoint = endpoints_.find(name.substr(0, mark)); endpoint != endpoints_.end()) {
+  const std::size_t separator = name.find('#');
+  if (const auto endpoint = endpoints_.find(name.substr(0, separator)); endpoint != endpoints_.end()) {
     auto& attempts = endpoint->second.connections;
-    const std::size_t number = mark == std::string::npos ? 1 : std::stoul(name.substr(mark + 1));
+    const std::size_t number = separator == std::string::npos ? 1 : std::stoul(name.substr(separator + 1));
     REQUIRE(Until([&] { return attempts.size() >= number; }));
     return *attempts[number - 1];
   }
--- a/tests/proxy/loopback_fixture.h
+++ b/tests/proxy/loopback_fixture.h
@@ -1,30 +1,31 @@
-// A proxy on real loopback sockets under a clock that only `wait` advances, with clients, endpoints and
-// discovery of the test's, played from a script of one step a line:
+// Runs a proxy on real loopback sockets with a manual clock that only `wait` advances. The test plays its
+// clients, its endpoints and discovery by a script with one step per line:
 //
 // clang-format off
-//   a send TEXT           client a (connected at its first step) sends a line; `raw` sends without its end
+//   a send TEXT           client a, which connects at its first step, sends a line; `raw` omits the line end
 //   a both LINE | LINE    sends two lines in one write
-//   a expect TEXT         its next line; a * at the end matches any rest
-//   a answered            any one line of an answer comes
-//   a expect-end | expect-reset         how its connection ends
-//   a half | close | reset              ends its sending; closes; resets
-//   a pour N              sends N bytes of one line that never ends, then ends its sending
-//   a flood N             sends N numbered lines; `s-1 expect-flood` receives them all
-//   a expect-moved        as many complete ones of them as came before, then MOVE and the end
-//   crowd N | quiet N     N clients connect and send nothing; so many of them are still connected
-//   exhaust a [STEP]      client a connects while no descriptor is left, then STEP is played in that state
-//   s-1 ...               the same for the first attempt at endpoint s-1 (s-1#2: the second)
-//   s-1 legs N            so many attempts were made there
-//   s-1 break | idle-end                resets the connections without a request; closes those of probes
-//   turns N | turn                      so many turns of the loop follow each step (3); one turn
-//   s-1 down | full | load X            refuses connections; lets them wait unanswered; the load it reports
-//   discovery send JSON | close | refuse | serve    a line of the watch; ends it; answers 503; serves again
-//   discovery raw TEXT    a part of a line; \n in it is a line end
-//   discovery mute | plain TEXT         accepts calls, answers nothing; sends TEXT, with \r and \n replaced
-//   discovery watches N | asked TEXT | expect-end   of the watches open there; likewise for discovery2
-//   reload discovery2     applies a configuration that names it
-//   wait MS | drain | stopped           drain: the graceful shutdown of SIGTERM
-//   drain-call | activate               the operators' calls at the second address
+//   a expect TEXT         receives TEXT as its next line; a trailing * matches any rest
+//   a answered            receives any complete line
+//   a expect-end | expect-reset         the connection ends with a FIN, or with a reset
+//   a half | close | reset              finishes sending (FIN); closes; resets the connection
+//   a send-bytes N        sends N bytes without a line end, then finishes sending
+//   a flood N             sends N numbered lines; `s-1 expect-flood` expects all of them
+//   a expect-moved        receives the first of these lines, all complete, then MOVE and the end
+//   connect-idle N | expect-idle N      N clients connect and send nothing; N of them are still connected
+//   exhaust a [STEP]      client a connects while no file descriptor is left; then plays STEP in that state
+//   s-1 ...               the steps above, for the first attempt at endpoint s-1 (s-1#2: the second)
+//   s-1 legs N            exactly N attempts have been made at s-1
+//   s-1 break | idle-end                resets, or closes, the connections without a request
+//   turns N | turn        runs N turns of the event loop after each following step (default 3); runs one turn
+//   s-1 down | full | load X            refuses connections; leaves them unanswered; sets its reported load
+//   discovery send JSON | close         sends a line of the watch; ends the watch
+//   discovery refuse | serve            answers 503; serves again
+//   discovery raw TEXT    sends a part of a line; \n stands for a line end
+//   discovery mute | plain TEXT         accepts calls without an answer; sends TEXT with \r and \n replaced
+//   discovery watches N | asked TEXT | expect-end   checks the open watches; discovery2 has the same steps
+//   reload discovery2     applies a configuration with the address of discovery2
+//   wait MS | drain | stopped           advances the clock; starts the graceful shutdown (SIGTERM); has ended
+//   drain-call | activate               the operators' calls at the management address
 // clang-format on
 #ifndef STOATRUN_TESTS_PROXY_LOOPBACK_FIXTURE_H_
 #define STOATRUN_TESTS_PROXY_LOOPBACK_FIXTURE_H_
@@ -44,16 +45,16 @@
 
 namespace stoatrun {
 
-// What distinguishes one test's proxy from another's.
+// Configuration of the proxy under test.
 struct LoopbackOptions {
-  int descriptor_limit = 0;                  // As configured; 0: not configured.
-  int fleet_size = 1;                        // Proxies in the fleet, this one included.
+  int descriptor_limit = 0;                  // The configured limit; 0: not configured.
+  int fleet_size = 1;                        // Proxies in the fleet, including this one.
   int accept_fd = -1;                        // A listening socket that the proxy inherits; -1: it binds one.
-  std::string discovery_mode = "subscribe";  // How endpoint lists come, as settings name it.
-  FleetClient* fleet = nullptr;              // The rest of the fleet.
+  std::string discovery_mode = "subscribe";  // The value of the setting `discovery`.
+  FleetClient* fleet = nullptr;              // The rest of the fleet; may be null.
 };
 
-// A test fixture, see above.
+// Owns the event loop, the proxy and the test's peers.
 class LoopbackFixture {
  public:
   explicit LoopbackFixture(const std::vector<std::string>& endpoints, LoopbackOptions options = {});
@@ -61,24 +62,24 @@
   LoopbackFixture(const LoopbackFixture&) = delete;
   LoopbackFixture& operator=(const LoopbackFixture&) = delete;
 
-  // Plays a script. Fails the test at the first step that does not hold.
+  // Plays a script. Fails the test at the first step that does not succeed.
   void Play(std::string_view script);
   // The proxy's counters.
   const Counters& Counts() const { return proxy_->Counts(); }
-  // The proxy itself.
+  // The proxy under test.
   const Proxy& ProxyUnderTest() const { return *proxy_; }
-  // The number of calls that discovery has accepted.
+  // The number of requests that discovery has received.
   std::size_t DiscoveryCallCount() const { return discoveries_.at("discovery").connections.size(); }
 
  private:
-  // One line of a script, split into its words.
+  // One line of a script, split into words.
   struct Step {
     std::string line;
-    std::string subject;   // Who acts, or the whole command.
-    std::string verb;      // What it does, or the command's argument.
+    std::string subject;   // The peer that acts, or the command.
+    std::string verb;      // The peer's command, or the argument of `subject`.
     std::string argument;  // The rest of the line.
   };
-  // How a peer of the test's must end.
+  // Handlers of the commands of the fixture, of a peer and of a server.
   using Handler = void (LoopbackFixture::*)(const Step&);
   using PeerHandler = void (LoopbackFixture::*)(LoopbackPeer&, const Step&);
   using ServerHandler = void (LoopbackFixture::*)(LoopbackServer&, const Step&);
@@ -94,8 +95,8 @@
   void Wait(const Step& step);
   void SetTurns(const Step& step);
   void PlayTurn(const Step& step);
-  void ConnectCrowd(const Step& step);
-  void CheckQuiet(const Step& step);
+  void ConnectIdleClients(const Step& step);
+  void CheckIdleClients(const Step& step);
   void BeginShutdown(const Step& step);
   void StartDrain(const Step& step);
   void Activate(const Step& step);
@@ -123,26 +124,28 @@
   void ExpectLine(LoopbackPeer& peer, const Step& step);
   void ExpectAnswer(LoopbackPeer& peer, const Step& step);
   void ExpectEnd(LoopbackPeer& peer, const Step& step);
-  void Pour(LoopbackPeer& peer, const Step& step);
+  void SendBytes(LoopbackPeer& peer, const Step& step);
   void Flood(LoopbackPeer& peer, const Step& step);
   void ExpectFlood(LoopbackPeer& peer, const Step& step);
   void ExpectMigrated(LoopbackPeer& peer, const Step& step);
   void HalfClose(LoopbackPeer& peer, const Step& step);
   void Close(LoopbackPeer& peer, const Step& step);
 
-  // A turn of the loop, in which the test's servers serve, too.
+  // Runs one turn of the event loop and of the test's servers.
   void Turn();
+  // Runs `count` turns.
   void Turns(int count);
   void ServeDiscovery(LoopbackServer& discovery) const;
-  // The configuration that names `discovery`, which is all that a reload changes.
+  // The configuration with the address of `discovery`. A reload changes nothing else.
   Config ConfigWith(const LoopbackServer& discovery) const;
   LoopbackPeer& FindOrConnectPeer(const std::string& name);
   LoopbackPeer& LastWatch(LoopbackServer& discovery);
   void ExpectLineOf(LoopbackPeer& peer, const std::string& pattern);
-  // Turns the loop until the condition holds; false: it doesn't for seconds of real time.
+  // Runs turns of the event loop until the condition holds. Returns false if it does not within
+  // kConditionTimeout.
   template <typename Condition>
   bool Until(Condition&& holds) {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+    const auto end = std::chrono::steady_clock::now() + kConditionTimeout;
     while (!holds()) {
       if (std::chrono::steady_clock::now() > end) return false;
       Turn();
@@ -150,30 +153,30 @@
     return true;
   }
 
-  // For loopback sockets, in real time: only a failure waits so long.
-  static constexpr auto kPatience = std::chrono::seconds(5);
+  // In real time. Only failing tests wait this long.
+  static constexpr auto kConditionTimeout = std::chrono::seconds(5);
 
   const LoopbackOptions options_;
   EventLoop loop_{Clock::Mode::kManual};
   std::map<std::string, LoopbackServer> endpoints_;
-  std::map<std::string, LoopbackServer> discoveries_;  // discovery, and discovery2 for reloads.
+  std::map<std::string, LoopbackServer> discoveries_;  // discovery2 is used by reloads.
   bool discovery_refuses_ = false, discovery_mute_ = false;
-  std::string flood_;  // What the last flood sent.
+  std::string flood_;  // All bytes sent by `flood`.
   int turns_after_step_ = 3;
   std::map<std::string, std::unique_ptr<LoopbackPeer>> clients_;
   std::unique_ptr<Proxy> proxy_;
 };
 
-// Plays a script with the endpoints s-1 and s-2.
+// Plays a script with a new proxy and the endpoints s-1 and s-2.
 inline void Play(std::string_view script) { LoopbackFixture({"s-1", "s-2"}).Play(script); }
 
-// One endpoint: the balancer has no choice.
+// A proxy with the single endpoint s-1.
 class SingleEndpointFixture : public LoopbackFixture {
  public:
   SingleEndpointFixture() : LoopbackFixture({"s-1"}) {}
 };
 
-// Client a gets an established session there.
+// A script that establishes a session of client a at s-1.
 inline constexpr const char* kEstablishSession = R"(
   a send OPEN 1 k c=watch,d=2000
   s-1 expect OPEN 1 k c=watch,d=*
--- a/tests/proxy/request_test.cpp
+++ b/tests/proxy/request_test.cpp
@@ -1,4 +1,4 @@
-// Requests of clients until they are established or answered, on loopback sockets.
+// Client requests until their session is established or they are answered, on loopback sockets.
 #include <fmt/format.h>
 
 #include <catch2/catch.hpp>
@@ -9,14 +9,14 @@
 namespace stoatrun {
 namespace {
 
-TEST_CASE_METHOD(SingleEndpointFixture, "counters by class count where each event happens") {
+TEST_CASE_METHOD(SingleEndpointFixture, "events are counted by class") {
   const auto& watch = [this] { return Counts().classes.at(0); };
   Play(kEstablishSession);
   CHECK(watch().succeeded == 1);
   CHECK(watch().forwards == 1);
   CHECK(ProxyUnderTest().SessionCount() == 1);
   CHECK(ProxyUnderTest().EndpointCount() == 1);
-  Play("b send OPEN 1 k2 c=watch,d=2000\nb expect ERR\nb expect-end");  // An id that is open.
+  Play("b send OPEN 1 k2 c=watch,d=2000\nb expect ERR\nb expect-end");  // The id of an open connection.
   CHECK(watch().aborted == 1);
   Play("s-1 load 0.99\nwait 1000\nc send OPEN 3 k c=watch,d=2000\nc expect BUSY *\nc expect-end");
   CHECK(watch().rejected == 1);
@@ -55,7 +55,7 @@
   CHECK(Counts().attempts == 0);
 }
 
-// Served, the second would share the first one's place at its endpoint.
+// If the second client were served, the endpoint could not distinguish its connection from the first.
 TEST_CASE_METHOD(SingleEndpointFixture,
                  "the id of an open connection is rejected for a new client, and is free after its end") {
   Play(kEstablishSession);
@@ -77,26 +77,28 @@
   CHECK(Counts().malformed == 1);
 }
 
-// Closing on unread bytes is a reset, which overtakes the answer of a client that has not read yet.
+// Closing a socket with unread bytes sends a reset, which overtakes an answer that the client has not read
+// yet.
 TEST_CASE_METHOD(SingleEndpointFixture, "the answer reaches a client that first sends 60 MB") {
-  Play("a pour 60000000\na expect ERR\na expect-end");
+  Play("a send-bytes 60000000\na expect ERR\na expect-end");
 }
 
-class FewDescriptorsFixture
-    : public LoopbackFixture {  // At most 16 sessions, and at least 16 clients without a request.
+// The limit allows at most 16 sessions, and at least 16 clients without a request.
+class FewDescriptorsFixture : public LoopbackFixture {
  public:
   FewDescriptorsFixture() : LoopbackFixture({"s-1"}, {.descriptor_limit = 96}) {}
 };
 
-// Hundreds that say nothing once took every descriptor: clients were turned away and attempts could not
-// connect.
+// Hundreds of clients that sent nothing used up all descriptors: other clients were rejected, and attempts
+// could not connect.
 TEST_CASE_METHOD(
     FewDescriptorsFixture,
-    "the number of silent clients is bounded, the oldest are evicted first, and requests are served") {
+    "the number of idle clients is bounded, the oldest are evicted first, and requests are served") {
   Play(kEstablishSession);
-  Play("crowd 200\nquiet 46\nb send OPEN 2 k c=watch,d=2000\ns-1#2 expect OPEN 2 k*\nquiet 44");
+  Play("connect-idle 200\nexpect-idle 46");
+  Play("b send OPEN 2 k c=watch,d=2000\ns-1#2 expect OPEN 2 k*\nexpect-idle 44");
   CHECK(Counts().evicted >= 154);
-  Play("wait 2050\nquiet 0");
+  Play("wait 2050\nexpect-idle 0");
 }
 
 TEST_CASE_METHOD(FewDescriptorsFixture, "a client for which no descriptors are left is told to retry") {
@@ -122,9 +124,8 @@
   CHECK(Counts().attempts_rejected == 1);
 }
 
-TEST_CASE_METHOD(
-    SingleEndpointFixture,
-    "the balancer's final answer comes when the client's deadline expires and no endpoint was available") {
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "a request is answered BUSY when its deadline expires and no endpoint was available") {
   Play(R"(
     s-1 down
     a send OPEN 1 k c=watch,d=2000
@@ -137,9 +138,9 @@
   CHECK(Counts().attempts == Counts().attempts_not_connected);
 }
 
-// Once full, always the same answer at once; an answer held back would only hide the refusal.
+// A later answer would be the same, so holding it back would only delay the rejection.
 TEST_CASE_METHOD(SingleEndpointFixture,
-                 "with all endpoints overloaded the answer is at once BUSY with retry-after") {
+                 "while all endpoints are overloaded, requests are answered BUSY with retry-after at once") {
   Play(R"(
     s-1 load 0.99
     a send OPEN 1 k c=watch,d=2000
@@ -153,7 +154,8 @@
   CHECK(Counts().attempts == 0);
 }
 
-TEST_CASE_METHOD(SingleEndpointFixture, "an attempt at an endpoint that does not answer times out in time") {
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "an attempt at an endpoint that does not answer times out by the client's deadline") {
   Play(R"(
     a send OPEN 1 k c=watch,d=1000
     s-1 expect OPEN 1 k*
@@ -174,9 +176,9 @@
   CHECK(Counts().client_disconnects == 1);
 }
 
-#ifndef __SANITIZE_ADDRESS__  // The check of virtual calls needs a descriptor itself: it fails where none is
-                              // left.
-// Closing a connection that the machine has taken would lose its client's request without an answer.
+// The sanitizer's check of virtual calls needs a file descriptor itself and fails if none is left.
+#ifndef __SANITIZE_ADDRESS__
+// Closing a connection that the kernel has accepted would lose its client's request without an answer.
 TEST_CASE_METHOD(SingleEndpointFixture, "without a descriptor left a client is told to retry") {
   Play("exhaust a\na expect BUSY\na expect-end");
   CHECK(Counts().accept_failed == 1);
@@ -184,7 +186,7 @@
 }
 #endif
 
-// A machine that vanished lets no connection come up and refuses none.
+// A machine that has crashed neither accepts nor refuses connections.
 TEST_CASE_METHOD(SingleEndpointFixture, "an attempt that does not connect in time has not run") {
   Play(kEstablishSession);
   Play("s-1 full\nb send OPEN 2 k c=watch,d=2000\nwait 240");
@@ -194,7 +196,8 @@
   CHECK(Counts().attempts_not_connected == 1);
 }
 
-// The other endpoint is as idle, but every endpoint that serves a part of a group has the cost of it.
+// The other endpoint has as little load, but every endpoint that serves members of a group bears the cost of
+// the group.
 TEST_CASE("clients of one affinity group are placed at one endpoint by every proxy") {
   for (int proxy = 0; proxy < 2; ++proxy) {
     LoopbackFixture fixture({"s-1", "s-2"}, {.fleet_size = 2});
@@ -206,7 +209,7 @@
 }
 
 TEST_CASE_METHOD(SingleEndpointFixture,
-                 "an endpoint that answers nonsense is counted and retried within bounds") {
+                 "an attempt that receives a malformed answer is counted as failed and retried") {
   Play(R"(
     a send OPEN 1 k c=watch,d=2000
     s-1 expect OPEN 1 k*
--- a/tests/proxy/session_test.cpp
+++ b/tests/proxy/session_test.cpp
@@ -25,8 +25,9 @@
   CHECK(Counts().served == 1);
 }
 
-// A wait of 71 minutes is what connections from before the start ask for: it was once refused as malformed.
-TEST_CASE_METHOD(SingleEndpointFixture, "a connection that was open before is resumed at its endpoint") {
+// Resumed connections ask for a timeout of 71 minutes, which was once rejected as malformed.
+TEST_CASE_METHOD(SingleEndpointFixture,
+                 "a connection that was open before the start is resumed at its endpoint") {
   Play(R"(
     a send OPEN 1 k c=watch,d=4294967,at=s-1
     s-1 expect OPEN 1 k c=watch,d=*
@@ -48,8 +49,9 @@
   )");
 }
 
-TEST_CASE_METHOD(SingleEndpointFixture,
-                 "lines in parts are joined, and what a client sends before UP waits for it") {
+TEST_CASE_METHOD(
+    SingleEndpointFixture,
+    "lines received in parts are joined, and lines that a client sends before UP are forwarded after it") {
   Play(R"(
     a raw OPEN 1 k c=wa
     a send tch,d=2000
@@ -70,16 +72,16 @@
   SECTION("the client's end") {
     Play("a half\ns-1 expect-end\ns-1 send BYE\ns-1 close\na expect BYE\na expect-end");
   }
-  SECTION("the client's end, where the endpoint never ends") {
+  SECTION("the client's end, if the endpoint does not close") {
     Play("a half\ns-1 expect-end\nwait 900\na expect-end");
   }
-  SECTION("the client's break") { Play("a reset\ns-1 expect-reset"); }
+  SECTION("the client's reset") { Play("a reset\ns-1 expect-reset"); }
   SECTION("the endpoint's end") { Play("s-1 close\na expect-end"); }
-  SECTION("the endpoint's break") { Play("s-1 reset\na expect-reset"); }
+  SECTION("the endpoint's reset") { Play("s-1 reset\na expect-reset"); }
   SECTION("the endpoint's MOVE") { Play("s-1 send MOVE\ns-1 close\na expect MOVE\na expect-end"); }
 }
 
-// A machine that vanishes leaves its connections open: nothing but the missing answer shows it.
+// The connections of a machine that has crashed stay open. Only the missing answer reveals the failure.
 TEST_CASE_METHOD(SingleEndpointFixture,
                  "clients of a silent endpoint are migrated within seven seconds of its last answer") {
   Play(kEstablishSession);
@@ -105,7 +107,7 @@
   CHECK(Counts().silent_hosts == 0);
 }
 
-// The endpoint takes nothing while the client sends far more than all buffers hold, and then ends.
+// The endpoint reads nothing while the client sends far more than all buffers hold and then finishes sending.
 TEST_CASE_METHOD(
     SingleEndpointFixture,
     "lines for a slow endpoint are buffered within bounds and none is lost at the client's end") {
@@ -113,7 +115,7 @@
   Play("a flood 12000\na half\nwait 50\ns-1 expect-flood\ns-1 expect-end");
 }
 
-// MOVE in the middle of a line would be read as its rest.
+// A client would read a MOVE inside a line as part of that line.
 TEST_CASE_METHOD(SingleEndpointFixture, "MOVE does not wait for an incomplete line and never splits one") {
   Play(kEstablishSession);
   Play("s-1 raw M 1 half\ndrain\nwait 2100\na expect MOVE\na expect-end");
