--- a/src/cli/fleet_setup.cpp
+++ b/src/cli/fleet_setup.cpp
@@ -87,7 +87,7 @@
   setup.name = config.proxy_name;
   // Not the configuration's seed, which may stay the same over a restart: peers must tell the runs apart.
   setup.seed = RandomSeed();
-  setup.wall_ms = WallClockMs();
+  setup.start_unix_ms = WallClockMs();
   AddPeers(config, file, setup);
   AddRateQuotas(file, settings);
   AddConnectionQuotas(config, file, settings);
--- a/src/cli/relay_process.cpp
+++ b/src/cli/relay_process.cpp
@@ -124,7 +124,7 @@
     LogLine(Level::kWarn, "reload takes a restart").Field("changed", "fleet.peer.place");
     return;
   }
-  gossip_transport_->Follow(setup.settings.peers, setup.addresses);
+  gossip_transport_->SetPeers(setup.settings.peers, setup.addresses);
   *operator_file_.mutable_fleet()->mutable_peer() = file.peer();
 }
 
@@ -169,9 +169,9 @@
 
 AdminResponse RelayProcess::FleetResponse() {
   const fleet::GossipTransportCounts& counts = gossip_transport_->Counts();
-  const std::uint64_t undecodable = counts.not_ours + counts.other_schema + counts.damaged + counts.malformed;
-  return {200, fleet::StatusJson(gossip_transport_->LocalNode(), gossip_transport_->Name(),
-                                 proxy_->ClassNames(), loop_.Now(), {undecodable, counts.wrong_address})};
+  return {200,
+          fleet::StatusJson(gossip_transport_->LocalNode(), gossip_transport_->Name(), proxy_->ClassNames(),
+                            loop_.Now(), {counts.Undecodable(), counts.wrong_address})};
 }
 
 }  // namespace stoatrun::cli
--- a/src/fleet/io/codec.cpp
+++ b/src/fleet/io/codec.cpp
@@ -373,10 +373,10 @@
 }
 
 std::variant<Datagram, DecodeError> Decode(std::string_view bytes, const std::string& fleet) {
-  if (bytes.size() < kEnvelopeBytes || !bytes.starts_with(kMagic)) return DecodeError::kNotOurs;
-  if (static_cast<std::uint8_t>(bytes[kSchemaAt]) != kSchema) return DecodeError::kSchema;
+  if (bytes.size() < kEnvelopeBytes || !bytes.starts_with(kMagic)) return DecodeError::kUnknownProtocol;
+  if (static_cast<std::uint8_t>(bytes[kSchemaAt]) != kSchema) return DecodeError::kUnsupportedSchema;
   const std::string_view body = bytes.substr(kEnvelopeBytes);
-  if (ReadChecksum(bytes) != Checksum(body, fleet)) return DecodeError::kChecksum;
+  if (ReadChecksum(bytes) != Checksum(body, fleet)) return DecodeError::kBadChecksum;
   wire::Datagram parsed;
   if (!parsed.ParseFromArray(body.data(), static_cast<int>(body.size()))) return DecodeError::kMalformed;
   std::optional<Datagram> datagram = FromWire(parsed);
--- a/src/fleet/io/codec.h
+++ b/src/fleet/io/codec.h
@@ -19,7 +19,7 @@
 constexpr std::uint8_t kSchema = 1;
 
 // Why a datagram was not decoded.
-enum class DecodeError { kNotOurs, kSchema, kChecksum, kMalformed };
+enum class DecodeError { kUnknownProtocol, kUnsupportedSchema, kBadChecksum, kMalformed };
 
 // Encodes a datagram of the fleet named `fleet`. SizeOf(datagram) bounds the result's size.
 std::string Encode(const Datagram& datagram, const std::string& fleet);
--- a/src/fleet/io/gossip_transport.cpp
+++ b/src/fleet/io/gossip_transport.cpp
@@ -19,7 +19,7 @@
 constexpr std::array<std::string_view, 4> kStateNames{"alive", "suspected", "silent", "left"};
 
 Incarnation FirstIncarnation(const GossipTransportSetup& setup) {
-  return {static_cast<std::uint64_t>(std::max<std::int64_t>(1, setup.wall_ms)),
+  return {static_cast<std::uint64_t>(std::max<std::int64_t>(1, setup.start_unix_ms)),
           Mixed(setup.seed, 0x11fe) | 1U};
 }
 
@@ -71,7 +71,7 @@
   close(std::exchange(fd_, -1));
 }
 
-void GossipTransport::Follow(const std::vector<Peer>& peers, const std::map<MemberId, Address>& addresses) {
+void GossipTransport::SetPeers(const std::vector<Peer>& peers, const std::map<MemberId, Address>& addresses) {
   setup_.addresses = addresses;
   node_.SetPeers(peers, loop_.Now());
 }
@@ -110,7 +110,7 @@
   counts_.bytes_in += bytes.size();
   const auto decoded = Decode(bytes, setup_.settings.fleet);
   if (const auto* error = std::get_if<DecodeError>(&decoded)) {
-    CountUndecoded(*error);
+    CountDecodeError(*error);
     return;
   }
   const auto& datagram = std::get<Datagram>(decoded);
@@ -124,16 +124,16 @@
   Send(out);
 }
 
-void GossipTransport::CountUndecoded(DecodeError error) {
+void GossipTransport::CountDecodeError(DecodeError error) {
   switch (error) {
-    case DecodeError::kNotOurs:
-      ++counts_.not_ours;
+    case DecodeError::kUnknownProtocol:
+      ++counts_.unknown_protocol;
       break;
-    case DecodeError::kSchema:
-      ++counts_.other_schema;
+    case DecodeError::kUnsupportedSchema:
+      ++counts_.unsupported_schema;
       break;
-    case DecodeError::kChecksum:
-      ++counts_.damaged;
+    case DecodeError::kBadChecksum:
+      ++counts_.bad_checksum;
       break;
     case DecodeError::kMalformed:
       ++counts_.malformed;
@@ -204,7 +204,7 @@
   record.Field("fleet_received", counts_.received)
       .Field("fleet_sent", counts_.sent)
       .Field("fleet_bytes_out", counts_.bytes_out)
-      .Field("fleet_dropped", counts_.Undecoded())
+      .Field("fleet_dropped", counts_.Undecodable())
       .Field("fleet_wrong_address", counts_.wrong_address)
       .Field("fleet_strangers", node_.GetCounts().unknown_senders);
 }
--- a/src/fleet/io/gossip_transport.h
+++ b/src/fleet/io/gossip_transport.h
@@ -30,15 +30,17 @@
   std::string listen_text;
   std::map<MemberId, Address> addresses;  // Of the peers.
   std::uint64_t seed = 0;
-  std::int64_t wall_ms = 0;  // Unix time of the start: the incarnation's generation.
+  std::int64_t start_unix_ms = 0;  // Unix time of the start: the incarnation's generation.
 };
 
 // Datagrams and bytes since the start.
 struct GossipTransportCounts {
-  std::uint64_t received = 0, sent = 0, bytes_in = 0, bytes_out = 0, not_ours = 0, other_schema = 0,
-                damaged = 0, malformed = 0, wrong_address = 0, send_failed = 0;
+  std::uint64_t received = 0, sent = 0, bytes_in = 0, bytes_out = 0, unknown_protocol = 0,
+                unsupported_schema = 0, bad_checksum = 0, malformed = 0, wrong_address = 0, send_failed = 0;
   // Datagrams that were not decoded.
-  std::uint64_t Undecoded() const { return not_ours + other_schema + damaged + malformed; }
+  std::uint64_t Undecodable() const {
+    return unknown_protocol + unsupported_schema + bad_checksum + malformed;
+  }
 };
 
 // Sends and receives the node's datagrams. `loop` outlives it.
@@ -54,7 +56,7 @@
   // Graceful shutdown: notifies a few peers and closes the socket.
   void Leave();
   // Follows a changed operator file: peers and their addresses.
-  void Follow(const std::vector<Peer>& peers, const std::map<MemberId, Address>& addresses);
+  void SetPeers(const std::vector<Peer>& peers, const std::map<MemberId, Address>& addresses);
 
   // Acquires one unit of a quota. Reads the clock, so that a process that was stopped in the middle of a turn
   // finds its lease ended.
@@ -82,7 +84,7 @@
   static void OnReadable(struct ev_loop* loop, ev_io* watcher, int events);
   void ReadAvailable();
   void OnBytes(std::string_view bytes, const Address& from);
-  void CountUndecoded(DecodeError error);
+  void CountDecodeError(DecodeError error);
   void Send(const Outbox& out);
   void Tick();
   void LogChanges();
--- a/tests/fleet/codec_test.cpp
+++ b/tests/fleet/codec_test.cpp
@@ -72,12 +72,12 @@
 TEST_CASE(
     "datagrams of another fleet, schema or protocol, truncated or altered, are distinguished and dropped") {
   const std::string bytes = Encode(FullDatagram(), "test");
-  CHECK(std::get<DecodeError>(Decode(bytes, "other")) == DecodeError::kChecksum);
-  CHECK(std::get<DecodeError>(Decode("GET / HTTP/1.1\r\n", "test")) == DecodeError::kNotOurs);
-  CHECK(std::get<DecodeError>(Decode("", "test")) == DecodeError::kNotOurs);
+  CHECK(std::get<DecodeError>(Decode(bytes, "other")) == DecodeError::kBadChecksum);
+  CHECK(std::get<DecodeError>(Decode("GET / HTTP/1.1\r\n", "test")) == DecodeError::kUnknownProtocol);
+  CHECK(std::get<DecodeError>(Decode("", "test")) == DecodeError::kUnknownProtocol);
   std::string older = bytes;
   older[2] = 0;
-  CHECK(std::get<DecodeError>(Decode(older, "test")) == DecodeError::kSchema);
+  CHECK(std::get<DecodeError>(Decode(older, "test")) == DecodeError::kUnsupportedSchema);
   for (std::size_t length = 0; length < bytes.size(); ++length) {
     REQUIRE(std::holds_alternative<DecodeError>(Decode(std::string_view(bytes).substr(0, length), "test")));
     std::string flipped = bytes;
