--- a/src/fleet/io/codec.cpp
+++ b/src/fleet/io/codec.cpp
@@ -15,14 +15,16 @@
 namespace {
 
 constexpr std::string_view kMagic = "SF";
-constexpr std::size_t kSchemaAt = 2, kChecksumAt = 3, kChecksumBytes = 8;
-constexpr std::size_t kEnvelopeBytes = kChecksumAt + kChecksumBytes;
-// No list in a datagram of 1,200 bytes is longer; bounds the memory that a forged one takes.
-constexpr int kMaxItems = 1200;
-constexpr std::uint64_t kMaxTimeUs = 400ULL * 24 * 3600 * 1'000'000;  // Longer times are implausible.
+constexpr std::size_t kSchemaOffset = 2, kChecksumOffset = 3, kChecksumBytes = 8;
+constexpr std::size_t kEnvelopeBytes = kChecksumOffset + kChecksumBytes;
+// No list in a datagram of kMaxDatagramBytes (1,200) is longer; limits the memory that a forged datagram can
+// take.
+constexpr int kMaxListItems = 1200;
+// 400 days; longer times are implausible.
+constexpr std::uint64_t kMaxTimeUs = 400ULL * 24 * 3600 * 1'000'000;
 
 std::uint64_t Checksum(std::string_view body, const std::string& fleet) {
-  return XXH64(body.data(), body.size(), XXH64(fleet.data(), fleet.size(), kSchema));
+  return XXH64(body.data(), body.size(), XXH64(fleet.data(), fleet.size(), kSchemaVersion));
 }
 
 // ---- fields ----
@@ -38,17 +40,17 @@
   return static_cast<std::uint64_t>(std::max<std::int64_t>(0, time.count()));
 }
 
-// An age is an upper bound plus one; 0 says that no bound is known.
+// An age is encoded as its upper bound plus one; 0: no bound is known.
 std::uint64_t ToAgeUs(const std::optional<Micros>& age) { return age ? ToUs(*age) + 1 : 0; }
 
 Micros FromUs(std::uint64_t us) { return Micros(static_cast<std::int64_t>(std::min(us, kMaxTimeUs))); }
 
-// An implausible age bounds nothing.
+// An implausible age is treated as unknown.
 std::optional<Micros> FromAgeUs(std::uint64_t us) {
   return us == 0 || us > kMaxTimeUs ? std::nullopt : std::optional(Micros(static_cast<std::int64_t>(us - 1)));
 }
 
-// ---- parts, to the wire ----
+// ---- encoding of the parts ----
 
 void PutHeader(const Datagram& datagram, wire::Datagram* out) {
   out->set_from(datagram.from);
@@ -207,7 +209,7 @@
   return out;
 }
 
-// ---- parts, from the wire; false: malformed ----
+// ---- decoding of the parts; false: malformed ----
 
 bool Get(const wire::Ping& ping, Ping* out) {
   out->nonce = ping.nonce();
@@ -226,7 +228,7 @@
   *out = {row.group(),
           row.class_index(),
           {row.accepted(), row.served(), row.rejected(), row.failed(), row.open()}};
-  return out->counts.IsBalanced();  // No relay reports counts that don't balance.
+  return out->counts.IsBalanced();  // Relays report balanced counts only.
 }
 
 bool Get(const wire::CountsUpdate& update, CountsUpdate* out) {
@@ -244,7 +246,7 @@
 }
 
 bool Get(const wire::MemberListPage& page, MemberListPage* out) {
-  if (page.runs_size() > kMaxItems) return false;
+  if (page.runs_size() > kMaxListItems) return false;
   *out = {page.from(), page.next(), page.complete(), page.basis(), {}};
   for (const wire::MemberListPage::Run& run : page.runs()) {
     out->incarnations.push_back({run.member_id(), Get(run.incarnation())});
@@ -307,13 +309,13 @@
 
 template <typename WirePart, typename Part>
 bool GetAll(const google::protobuf::RepeatedPtrField<WirePart>& parts, std::vector<Part>* out) {
-  if (parts.size() > kMaxItems) return false;
+  if (parts.size() > kMaxListItems) return false;
   return std::all_of(parts.begin(), parts.end(),
                      [&](const WirePart& part) { return Get(part, &out->emplace_back()); });
 }
 
 template <typename WirePart, typename Part>
-bool GetIf(bool present, const WirePart& part, std::optional<Part>* out) {
+bool GetOptional(bool present, const WirePart& part, std::optional<Part>* out) {
   return !present || Get(part, &out->emplace());
 }
 
@@ -337,15 +339,15 @@
   if (datagram.member_list_from() > 0) out.member_list_from = datagram.member_list_from() - 1;
   out.wants_held_leases = datagram.wants_held_leases();
   const bool well_formed =
-      GetIf(datagram.has_ping(), datagram.ping(), &out.ping) &&
+      GetOptional(datagram.has_ping(), datagram.ping(), &out.ping) &&
       GetAll(datagram.member_updates(), &out.member_updates) &&
       GetAll(datagram.counts_updates(), &out.counts_updates) && GetAll(datagram.digests(), &out.digests) &&
-      GetIf(datagram.has_member_list(), datagram.member_list(), &out.member_list) &&
+      GetOptional(datagram.has_member_list(), datagram.member_list(), &out.member_list) &&
       GetAll(datagram.evidence(), &out.evidence) &&
       GetAll(datagram.unreported_sends(), &out.unreported_sends) &&
       GetAll(datagram.lease_requests(), &out.lease_requests) && GetAll(datagram.grants(), &out.grants) &&
       GetAll(datagram.returns(), &out.returns) && GetAll(datagram.return_acks(), &out.return_acks) &&
-      GetIf(datagram.has_held_leases(), datagram.held_leases(), &out.held_leases) &&
+      GetOptional(datagram.has_held_leases(), datagram.held_leases(), &out.held_leases) &&
       GetAll(datagram.idle_units(), &out.idle_units);
   return well_formed ? std::optional(std::move(out)) : std::nullopt;
 }
@@ -353,7 +355,7 @@
 std::uint64_t ReadChecksum(std::string_view bytes) {
   std::uint64_t checksum = 0;
   for (std::size_t k = 0; k < kChecksumBytes; ++k) {
-    checksum |= std::uint64_t{static_cast<unsigned char>(bytes[kChecksumAt + k])} << (8 * k);
+    checksum |= std::uint64_t{static_cast<unsigned char>(bytes[kChecksumOffset + k])} << (8 * k);
   }
   return checksum;
 }
@@ -365,16 +367,17 @@
   ToWire(datagram).AppendToString(&bytes);
   const std::uint64_t checksum = Checksum(std::string_view(bytes).substr(kEnvelopeBytes), fleet);
   std::copy(kMagic.begin(), kMagic.end(), bytes.begin());
-  bytes[kSchemaAt] = static_cast<char>(kSchema);
+  bytes[kSchemaOffset] = static_cast<char>(kSchemaVersion);
   for (std::size_t k = 0; k < kChecksumBytes; ++k) {
-    bytes[kChecksumAt + k] = static_cast<char>(checksum >> (8 * k));
+    bytes[kChecksumOffset + k] = static_cast<char>(checksum >> (8 * k));
   }
   return bytes;
 }
 
 std::variant<Datagram, DecodeError> Decode(std::string_view bytes, const std::string& fleet) {
   if (bytes.size() < kEnvelopeBytes || !bytes.starts_with(kMagic)) return DecodeError::kUnknownProtocol;
-  if (static_cast<std::uint8_t>(bytes[kSchemaAt]) != kSchema) return DecodeError::kUnsupportedSchema;
+  const auto schema_version = static_cast<std::uint8_t>(bytes[kSchemaOffset]);
+  if (schema_version != kSchemaVersion) return DecodeError::kUnsupportedSchema;
   const std::string_view body = bytes.substr(kEnvelopeBytes);
   if (ReadChecksum(bytes) != Checksum(body, fleet)) return DecodeError::kBadChecksum;
   wire::Datagram parsed;
--- a/src/fleet/io/fleet_member.cpp
+++ b/src/fleet/io/fleet_member.cpp
@@ -6,7 +6,7 @@
 namespace stoatrun::fleet {
 namespace {
 
-LocalConnectionCounts::Outcome ToCountedEnd(FleetClient::ConnectionOutcome outcome) {
+LocalConnectionCounts::Outcome ToCountedOutcome(FleetClient::ConnectionOutcome outcome) {
   switch (outcome) {
     case FleetClient::ConnectionOutcome::kServed:
       return LocalConnectionCounts::Outcome::kServed;
@@ -50,7 +50,7 @@
 
 void FleetMember::EndConnection(ConnectionHandle& handle, ConnectionOutcome outcome) {
   LocalConnectionCounts::Handle counted{handle.row, handle.open};
-  transport_.LocalNode().LocalConnections().End(counted, ToCountedEnd(outcome));
+  transport_.LocalNode().LocalConnections().End(counted, ToCountedOutcome(outcome));
   handle.open = false;
   if (handle.quota != 0) {
     transport_.LocalNode().Release(HintBuilder::ConnectionQuota(quota_groups_[handle.quota - 1]));
--- a/src/fleet/io/fleet_member.h
+++ b/src/fleet/io/fleet_member.h
@@ -1,4 +1,4 @@
-// The fleet as the proxy uses it: a FleetClient on top of this relay's node and gossip transport.
+// Implements FleetClient, the proxy's interface to its fleet, on this relay's node and gossip transport.
 #ifndef STOATRUN_FLEET_IO_FLEET_MEMBER_H_
 #define STOATRUN_FLEET_IO_FLEET_MEMBER_H_
 
@@ -15,7 +15,7 @@
 // Used on the event loop's thread; `loop` and `transport` outlive it.
 class FleetMember : public FleetClient {
  public:
-  // `quota_groups`: groups whose connections count against a quota of the whole fleet.
+  // `quota_groups`: the groups whose connections count against a fleet-wide quota.
   FleetMember(EventLoop& loop, GossipTransport& transport, std::vector<std::string> quota_groups);
 
   ConnectionHandle BeginConnection(std::size_t class_index, std::string_view group) override;
@@ -31,7 +31,7 @@
   std::vector<EndpointHint> TakeHints(const std::vector<std::string>& warming_up) override;
 
  private:
-  // Acquires a unit of the quota `name`; true if the operator file has no such quota.
+  // Acquires one unit of the quota `name`; true if the operator file defines no such quota.
   bool TryAcquire(const std::string& name);
 
   EventLoop& loop_;
--- a/src/fleet/io/gossip_transport.cpp
+++ b/src/fleet/io/gossip_transport.cpp
@@ -14,8 +14,9 @@
 namespace stoatrun::fleet {
 namespace {
 
-constexpr int kMaxDatagramsPerTurn = 64;  // So that a flood cannot starve the loop.
-// As logged, by enumerator.
+// Bounds the work of one turn, so that a flood of datagrams can't starve the event loop.
+constexpr int kMaxDatagramsPerTurn = 64;
+// Values of the log field `standing`, indexed by MemberState.
 constexpr std::array<std::string_view, 4> kStateNames{"alive", "suspected", "silent", "left"};
 
 Incarnation FirstIncarnation(const GossipTransportSetup& setup) {
@@ -30,28 +31,28 @@
       setup_(setup),
       node_(setup.settings, setup.name, FirstIncarnation(setup), Mixed(setup.seed, 0xf1ee7), loop.Now()),
       tick_(loop.timers, [this] { Tick(); }) {
-  ev_init(&io_, OnReadable);
-  io_.data = this;
+  ev_init(&read_watcher_, OnReadable);
+  read_watcher_.data = this;
 }
 
 GossipTransport::~GossipTransport() {
   if (fd_ < 0) return;
-  ev_io_stop(loop_.native_handle(), &io_);
+  ev_io_stop(loop_.native_handle(), &read_watcher_);
   close(fd_);
 }
 
 void GossipTransport::Start() {
   const int fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) throw std::system_error(errno, std::generic_category(), "fleet: socket");
-  // No address is shared: a second process of this name on this machine must fail here.
+  // Without SO_REUSEADDR and SO_REUSEPORT: a second process of this name on this machine must fail to bind.
   if (bind(fd, reinterpret_cast<const sockaddr*>(&setup_.listen.raw), sizeof setup_.listen.raw) != 0) {
     const int error = errno;
     close(fd);
     throw std::system_error(error, std::generic_category(), "fleet: bind " + setup_.listen_text);
   }
   fd_ = fd;
-  ev_io_set(&io_, fd_, EV_READ);
-  ev_io_start(loop_.native_handle(), &io_);
+  ev_io_set(&read_watcher_, fd_, EV_READ);
+  ev_io_start(loop_.native_handle(), &read_watcher_);
   Tick();
 }
 
@@ -67,7 +68,7 @@
   node_.Leave(loop_.Now(), out);
   Send(out);
   tick_.Cancel();
-  ev_io_stop(loop_.native_handle(), &io_);
+  ev_io_stop(loop_.native_handle(), &read_watcher_);
   close(std::exchange(fd_, -1));
 }
 
@@ -89,7 +90,7 @@
 }
 
 void GossipTransport::ReadAvailable() {
-  // Over the largest datagram: a longer one is cut, and its checksum fails.
+  // Larger than kMaxDatagramBytes. A datagram longer than the buffer is truncated and fails its checksum.
   std::array<char, 2048> buffer;
   for (int k = 0; k < kMaxDatagramsPerTurn; ++k) {
     Address from;
@@ -97,15 +98,15 @@
     const ssize_t size =
         recvfrom(fd_, buffer.data(), buffer.size(), 0, reinterpret_cast<sockaddr*>(&from.raw), &from_size);
     if (size >= 0) {
-      OnBytes({buffer.data(), static_cast<std::size_t>(size)}, from);
-    } else if (errno != EINTR &&
-               errno != ECONNREFUSED) {  // The latter is of a datagram that was sent before.
-      return;
+      HandleDatagram({buffer.data(), static_cast<std::size_t>(size)}, from);
+      continue;
     }
+    // ECONNREFUSED reports the rejection of a datagram that was sent earlier; reading goes on.
+    if (errno != EINTR && errno != ECONNREFUSED) return;
   }
 }
 
-void GossipTransport::OnBytes(std::string_view bytes, const Address& from) {
+void GossipTransport::HandleDatagram(std::string_view bytes, const Address& from) {
   ++counts_.received;
   counts_.bytes_in += bytes.size();
   const auto decoded = Decode(bytes, setup_.settings.fleet);
@@ -167,7 +168,7 @@
   tick_.Set(loop_.Now() + setup_.settings.tick);
 }
 
-// Logs what on-call staff should see, once each time it changes.
+// Logs the changes that on-call staff need to see, each of them once.
 void GossipTransport::LogChanges() {
   for (const Membership::Member& member : node_.Members().Members()) {
     LoggedMember& logged = logged_members_[member.member_id];
@@ -185,7 +186,7 @@
   }
 }
 
-// A suspicion is not logged, nor that it was refuted.
+// Suspicions and their refutations are not logged.
 void GossipTransport::LogMemberState(const Membership::Member& member, LoggedMember& logged) {
   const MemberState before = std::exchange(logged.state, member.state);
   if (before == member.state) return;
--- a/src/fleet/io/gossip_transport.h
+++ b/src/fleet/io/gossip_transport.h
@@ -1,8 +1,9 @@
-// The fleet's socket: one UDP socket on the event loop, the node behind it, and its log lines and counters.
+// The fleet's UDP transport: a socket on the event loop, the node that it serves, and its log lines and
+// counters.
 //
-// A datagram counts as a peer's only if it came from the address that the operator file gives for that peer.
-// What can't be sent now is dropped: everything that relays send each other is repeated. Not thread-safe: the
-// event loop's thread owns it.
+// A datagram is accepted only from the address that the operator file gives for its sender. A datagram that
+// can't be sent at once is dropped: the protocol repeats everything that it sends. Not thread-safe; used on
+// the event loop's thread.
 #ifndef STOATRUN_FLEET_IO_GOSSIP_TRANSPORT_H_
 #define STOATRUN_FLEET_IO_GOSSIP_TRANSPORT_H_
 
@@ -22,28 +23,31 @@
 
 namespace stoatrun::fleet {
 
-// What the transport is made of.
+// Parameters of a GossipTransport.
 struct GossipTransportSetup {
   Settings settings;
-  std::string name;  // This relay's.
+  std::string name;  // This relay's, in the operator file.
   Address listen;
-  std::string listen_text;
+  std::string listen_text;                // The listen address as configured, for error messages.
   std::map<MemberId, Address> addresses;  // Of the peers.
-  std::uint64_t seed = 0;
-  std::int64_t start_unix_ms = 0;  // Unix time of the start: the incarnation's generation.
+  std::uint64_t seed = 0;                 // Of the node's random numbers and of the incarnation's id.
+  std::int64_t start_unix_ms = 0;         // Time of the process start; the generation of its incarnation.
 };
 
-// Datagrams and bytes since the start.
+// Datagram and byte counters since the start.
 struct GossipTransportCounts {
-  std::uint64_t received = 0, sent = 0, bytes_in = 0, bytes_out = 0, unknown_protocol = 0,
-                unsupported_schema = 0, bad_checksum = 0, malformed = 0, wrong_address = 0, send_failed = 0;
-  // Datagrams that were not decoded.
+  std::uint64_t received = 0, sent = 0, bytes_in = 0, bytes_out = 0;
+  // Received datagrams that could not be decoded, by DecodeError.
+  std::uint64_t unknown_protocol = 0, unsupported_schema = 0, bad_checksum = 0, malformed = 0;
+  std::uint64_t wrong_address = 0;  // Received from another address than the sender's.
+  std::uint64_t send_failed = 0;
+  // All received datagrams that could not be decoded.
   std::uint64_t Undecodable() const {
     return unknown_protocol + unsupported_schema + bad_checksum + malformed;
   }
 };
 
-// Sends and receives the node's datagrams. `loop` outlives it.
+// Sends and receives the node's datagrams. `loop` must outlive it.
 class GossipTransport {
  public:
   GossipTransport(EventLoop& loop, const GossipTransportSetup& setup);
@@ -51,19 +55,19 @@
   GossipTransport(const GossipTransport&) = delete;
   GossipTransport& operator=(const GossipTransport&) = delete;
 
-  // Binds the socket and starts the ticks. Throws std::system_error if the address is not available.
+  // Binds the socket and starts the periodic ticks. Throws std::system_error if the address is not available.
   void Start();
   // Graceful shutdown: notifies a few peers and closes the socket.
   void Leave();
-  // Follows a changed operator file: peers and their addresses.
+  // Replaces the peers and their addresses after a change of the operator file.
   void SetPeers(const std::vector<Peer>& peers, const std::map<MemberId, Address>& addresses);
 
-  // Acquires one unit of a quota. Reads the clock, so that a process that was stopped in the middle of a turn
-  // finds its lease ended.
+  // Acquires one unit of a quota. Reads the clock anew, so that a process that was suspended in the middle of
+  // a turn does not use a lease that has ended meanwhile.
   bool TryAcquire(const std::string& quota);
-  // The node behind the socket.
+  // This relay's node.
   Node& LocalNode() { return node_; }
-  // The same, for reading.
+  // This relay's node, read-only.
   const Node& LocalNode() const { return node_; }
   // This relay's name.
   const std::string& Name() const { return setup_.name; }
@@ -71,11 +75,11 @@
   const GossipTransportCounts& Counts() const { return counts_; }
   // Adds the counters to a log line.
   void AddFields(LogLine& record) const;
-  // The port that the socket is bound to; 0 if there is none.
+  // The bound port; 0 if the socket is not bound.
   int Port() const;
 
  private:
-  // What was logged last of a member, so that each change is logged once.
+  // What was last logged about a member, so that each change is logged once.
   struct LoggedMember {
     MemberState state = MemberState::kDead;
     bool duplicate = false;
@@ -83,7 +87,7 @@
 
   static void OnReadable(struct ev_loop* loop, ev_io* watcher, int events);
   void ReadAvailable();
-  void OnBytes(std::string_view bytes, const Address& from);
+  void HandleDatagram(std::string_view bytes, const Address& from);
   void CountDecodeError(DecodeError error);
   void Send(const Outbox& out);
   void Tick();
@@ -93,7 +97,7 @@
   EventLoop& loop_;
   GossipTransportSetup setup_;
   Node node_;
-  ev_io io_{};
+  ev_io read_watcher_{};
   int fd_ = -1;
   Timer tick_;
   GossipTransportCounts counts_;
--- a/src/fleet/io/status.h
+++ b/src/fleet/io/status.h
@@ -1,4 +1,4 @@
-// What a relay knows of its fleet, as one JSON object for the status call (docs/operators/fleet.md).
+// A relay's view of its fleet as a JSON object, the response to GET /v1/fleet (docs/operators/fleet.md).
 #ifndef STOATRUN_FLEET_IO_STATUS_H_
 #define STOATRUN_FLEET_IO_STATUS_H_
 
@@ -10,14 +10,15 @@
 
 namespace stoatrun::fleet {
 
-// Datagrams that the socket dropped.
-struct StatusExtra {
-  std::uint64_t dropped = 0, wrong_address = 0;
+// Received datagrams that the transport dropped, by reason.
+struct DroppedDatagrams {
+  std::uint64_t undecodable = 0, wrong_address = 0;
 };
 
-// `name`: this relay's; `class_names`: by class index. Called on the node's thread.
+// Formats the status of `node`. `name`: this relay's name; `class_names`: indexed by class. Called on the
+// node's thread.
 std::string StatusJson(Node& node, const std::string& name, const std::vector<std::string>& class_names,
-                       Micros now, const StatusExtra& extra = {});
+                       Micros now, const DroppedDatagrams& dropped = {});
 
 }  // namespace stoatrun::fleet
 
--- a/tests/fleet/codec_test.cpp
+++ b/tests/fleet/codec_test.cpp
@@ -1,4 +1,4 @@
-// The datagram codec: round trip, malformed and foreign datagrams.
+// The datagram codec: round trips, and the rejection of malformed and foreign datagrams.
 #include "fleet/io/codec.h"
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A datagram with every part, most fields at other values than their defaults.
+// A datagram with every part; most fields have other values than their defaults.
 Datagram FullDatagram() {
   Datagram datagram;
   datagram.from = 3;
@@ -35,7 +35,7 @@
   datagram.ping = Ping{99, MemberId{0}};
   datagram.ack = 7;
   datagram.member_updates = {{1, {4, 5}, 6, MemberState::kLeft}};
-  datagram.counts_updates = {{2, {8, 9}, 10, 0, 1, Micros(0), true, {{"wetland", 1, {6, 1, 2, 1, 2}}}},
+  datagram.counts_updates = {{2, {8, 9}, 10, 0, 1, Micros(0), true, {{"group-a", 1, {6, 1, 2, 1, 2}}}},
                              {2, {8, 9}, 10, 0, 1, std::nullopt, false, {}}};
   datagram.digests = {{4, 0, 0, std::nullopt, false}, {5, ~0U, 3, Micros(1), true}};
   datagram.periodic = true;
@@ -53,13 +53,13 @@
   return datagram;
 }
 
-TEST_CASE("a datagram is decoded as it was sent, and takes no more bytes than SizeOf estimates") {
+TEST_CASE("a datagram survives encoding and decoding, and its size is within the bound of SizeOf") {
   const Datagram sent = FullDatagram();
   const std::string bytes = Encode(sent, "test");
   CHECK(bytes.size() <= SizeOf(sent));
   const auto decoded = Decode(bytes, "test");
   REQUIRE(std::holds_alternative<Datagram>(decoded));
-  // No field is lost: encoding the decoded datagram gives the same bytes.
+  // Encoding the decoded datagram gives the same bytes: no field is lost.
   CHECK(Encode(std::get<Datagram>(decoded), "test") == bytes);
   const auto& received = std::get<Datagram>(decoded);
   CHECK(received.ping->target == MemberId{0});
@@ -70,14 +70,15 @@
 }
 
 TEST_CASE(
-    "datagrams of another fleet, schema or protocol, truncated or altered, are distinguished and dropped") {
+    "datagrams of another fleet, schema or protocol, truncated or corrupted, are rejected with their "
+    "reason") {
   const std::string bytes = Encode(FullDatagram(), "test");
   CHECK(std::get<DecodeError>(Decode(bytes, "other")) == DecodeError::kBadChecksum);
   CHECK(std::get<DecodeError>(Decode("GET / HTTP/1.1\r\n", "test")) == DecodeError::kUnknownProtocol);
   CHECK(std::get<DecodeError>(Decode("", "test")) == DecodeError::kUnknownProtocol);
-  std::string older = bytes;
-  older[2] = 0;
-  CHECK(std::get<DecodeError>(Decode(older, "test")) == DecodeError::kUnsupportedSchema);
+  std::string other_schema = bytes;
+  other_schema[2] = 0;
+  CHECK(std::get<DecodeError>(Decode(other_schema, "test")) == DecodeError::kUnsupportedSchema);
   for (std::size_t length = 0; length < bytes.size(); ++length) {
     REQUIRE(std::holds_alternative<DecodeError>(Decode(std::string_view(bytes).substr(0, length), "test")));
     std::string flipped = bytes;
@@ -96,7 +97,7 @@
   for (int round = 0; round < 1'000'000; ++round) {
     std::string bytes(random.Below(200), '\0');
     for (char& byte : bytes) byte = static_cast<char>(random.Next());
-    // Half of them begin with the protocol's magic bytes and schema.
+    // Half of them begin with the protocol's magic bytes and schema version.
     if (round % 2 == 0 && bytes.size() > 11) std::copy(good.begin(), good.begin() + 3, bytes.begin());
     decoded += std::holds_alternative<Datagram>(Decode(bytes, "test")) ? 1 : 0;
   }
--- a/tests/fleet/datagram_golden_test.cpp
+++ b/tests/fleet/datagram_golden_test.cpp
@@ -1,4 +1,5 @@
-// Datagrams of the fleet against golden files, byte for byte: the wire format must not change.
+// Compares the fleet's encoded datagrams with golden files byte for byte: the wire format must not change,
+// because relays of different versions exchange datagrams.
 #include <fmt/format.h>
 
 #include <catch2/catch.hpp>
@@ -26,14 +27,14 @@
 
 constexpr Incarnation kLender{11, 0x1122334455667788}, kBorrower{12, 0x8877665544332211};
 
-// A part of a datagram, each field at another value than its default. `file`: the name of its golden file.
+// A part of a datagram, with no field at its default value. `file`: the name of its golden file.
 struct Part {
   const char* file;
   std::function<void(Datagram&)> add;
 };
 
 // Transit time and failure detection.
-std::vector<Part> LinkParts() {
+std::vector<Part> FailureDetectionParts() {
   return {
       {"echo",
        [](Datagram& datagram) {
@@ -41,29 +42,29 @@
          datagram.echo_seq = 41;
          datagram.echo_held = Micros(2500);
        }},
-      {"look",
+      {"ping",
        [](Datagram& datagram) {
          datagram.ping = Ping{0x0123456789abcdef, 0};
        }},
-      {"look-without-target",
+      {"ping-without-target",
        [](Datagram& datagram) {
          datagram.ping = Ping{77, std::nullopt};
        }},
-      {"answer", [](Datagram& datagram) { datagram.ack = 0xfedcba9876543210; }},
+      {"ack", [](Datagram& datagram) { datagram.ack = 0xfedcba9876543210; }},
   };
 }
 
-// What relays know of each other and of their connections.
+// Membership and connection counts.
 std::vector<Part> StateParts() {
   return {
-      {"members",
+      {"member-updates",
        [](Datagram& datagram) {
          datagram.member_updates = {{1, kLender, 3, MemberState::kAlive},
                                     {2, kBorrower, 4, MemberState::kSuspect},
                                     {3, {13, 1}, 5, MemberState::kDead},
                                     {4095, {14, 2}, 6, MemberState::kLeft}};
        }},
-      {"counts",
+      {"counts-updates",
        [](Datagram& datagram) {
          datagram.counts_updates = {
              {2,
@@ -76,21 +77,21 @@
               {{"coast", 1, {100, 40, 30, 20, 10}}, {"", 2, {5, 1, 1, 1, 2}}}},
              {3, kBorrower, 901, 0, 1, std::nullopt, true, {{"*", 0, {7, 7, 0, 0, 0}}}}};
        }},
-      {"have",
+      {"digests",
        [](Datagram& datagram) {
          datagram.digests = {{1, 0xabcdef01, 55, Micros(0), true}, {2, 0, 0, std::nullopt, false}};
        }},
-      {"roster-from", [](Datagram& datagram) { datagram.member_list_from = 0; }},
-      {"roster",
+      {"member-list-from", [](Datagram& datagram) { datagram.member_list_from = 0; }},
+      {"member-list",
        [](Datagram& datagram) {
          datagram.member_list =
              MemberListPage{64, 128, true, std::string("\x05\x00\xff", 3), {{65, kLender}, {127, kBorrower}}};
        }},
-      {"digest", [](Datagram& datagram) { datagram.periodic = true; }},
+      {"periodic", [](Datagram& datagram) { datagram.periodic = true; }},
   };
 }
 
-// Verdicts on endpoints, and sends to them.
+// Health verdicts on endpoints, and requests sent to them.
 std::vector<Part> EndpointParts() {
   return {
       {"evidence",
@@ -102,7 +103,7 @@
              {3, kLender, "s-3", 3, HealthVerdict::kOverloaded, 7, 33, Micros(0), seconds(4)},
              {4, kBorrower, "s-4", 4, HealthVerdict::kHealthy, 6, 34, Micros(1), seconds(3)}};
        }},
-      {"sent",
+      {"unreported-sends",
        [](Datagram& datagram) {
          datagram.unreported_sends = {{"s-1", 17}, {"s-2", 1}};
        }},
@@ -112,7 +113,7 @@
 // Quota leases.
 std::vector<Part> LeaseParts() {
   return {
-      {"asks",
+      {"lease-requests",
        [](Datagram& datagram) {
          datagram.lease_requests = {{21, "attempts", 5, 22}, {23, "cold:s-1", 6, 0}};
        }},
@@ -124,26 +125,26 @@
        [](Datagram& datagram) {
          datagram.returns = {{24, kLender, "quota:coast", 3}};
        }},
-      {"settled",
+      {"return-acks",
        [](Datagram& datagram) {
          datagram.return_acks = {{24, "quota:coast", 3, kBorrower}};
        }},
-      {"held",
+      {"held-leases",
        [](Datagram& datagram) {
          datagram.held_leases = HeldLeases{kLender, 25, {{"quota:coast", 24, 2}, {"quota:reef", 26, 1}}};
        }},
-      {"who-holds", [](Datagram& datagram) { datagram.wants_held_leases = true; }},
-      {"idle",
+      {"wants-held-leases", [](Datagram& datagram) { datagram.wants_held_leases = true; }},
+      {"idle-units",
        [](Datagram& datagram) {
          datagram.idle_units = {{"attempts", 12}, {"probes", 200}};
        }},
   };
 }
 
-// All parts, in the order in which the datagram with all of them takes them.
+// All parts, in the order in which they are added to the datagram that has them all.
 std::vector<Part> Parts() {
   std::vector<Part> all;
-  for (const auto& group : {LinkParts(), StateParts(), EndpointParts(), LeaseParts()}) {
+  for (const auto& group : {FailureDetectionParts(), StateParts(), EndpointParts(), LeaseParts()}) {
     all.insert(all.end(), group.begin(), group.end());
   }
   return all;
@@ -151,7 +152,7 @@
 
 // One datagram for each part, one with the header alone and one with all parts.
 std::vector<std::pair<std::string, Datagram>> Datagrams() {
-  std::vector<std::pair<std::string, Datagram>> all{{"head", HeaderOnly()}};
+  std::vector<std::pair<std::string, Datagram>> all{{"header", HeaderOnly()}};
   Datagram full = HeaderOnly();
   for (const Part& part : Parts()) {
     Datagram datagram = HeaderOnly();
@@ -163,7 +164,7 @@
   return all;
 }
 
-std::string HexOf(const std::string& bytes) {
+std::string ToHex(const std::string& bytes) {
   std::string text;
   for (std::size_t index = 0; index < bytes.size(); ++index) {
     text += fmt::format("{:02x}", static_cast<unsigned char>(bytes[index]));
@@ -172,7 +173,7 @@
   return text;
 }
 
-std::string BytesOf(const std::string& hex) {
+std::string FromHex(const std::string& hex) {
   std::string digits, bytes;
   for (const char digit : hex) {
     if (std::isxdigit(static_cast<unsigned char>(digit)) != 0) digits += digit;
@@ -183,21 +184,21 @@
   return bytes;
 }
 
-TEST_CASE("golden datagrams are decoded, and encoded again byte for byte") {
+TEST_CASE("encoded datagrams match their golden files, also after they are decoded and encoded again") {
   const auto datagrams = Datagrams();
   REQUIRE(datagrams.size() == 21);
   for (const auto& [name, datagram] : datagrams) {
     INFO(name);
     const std::string encoded = Encode(datagram, kGoldenFleet);
-    const std::string golden = GoldenText("datagrams/" + name + ".hex", HexOf(encoded));
-    CHECK(HexOf(encoded) == golden);
-    const auto decoded = Decode(BytesOf(golden), kGoldenFleet);
+    const std::string golden = GoldenText("datagrams/" + name + ".hex", ToHex(encoded));
+    CHECK(ToHex(encoded) == golden);
+    const auto decoded = Decode(FromHex(golden), kGoldenFleet);
     REQUIRE(std::holds_alternative<Datagram>(decoded));
-    CHECK(HexOf(Encode(std::get<Datagram>(decoded), kGoldenFleet)) == golden);
+    CHECK(ToHex(Encode(std::get<Datagram>(decoded), kGoldenFleet)) == golden);
   }
 }
 
-// The header: the sender, and the echo.
+// The header: the sender and the echo.
 void CheckHeader(const Datagram& datagram) {
   CHECK(datagram.from == 3);
   CHECK(datagram.name == "n3");
@@ -233,7 +234,7 @@
          datagram.digests[0].ended));
 }
 
-// The member list, and the flags.
+// The member list and the flags.
 void CheckMemberList(const Datagram& datagram) {
   CHECK(datagram.member_list_from == MemberId{0});
   REQUIRE(datagram.member_list);
@@ -245,7 +246,7 @@
   CHECK((datagram.periodic && datagram.wants_held_leases));
 }
 
-// Verdicts on endpoints, and sends to them.
+// Health verdicts on endpoints, and requests sent to them.
 void CheckEndpoints(const Datagram& datagram) {
   REQUIRE(datagram.evidence.size() == 4);
   CHECK((datagram.evidence[1].verdict == HealthVerdict::kSlow && datagram.evidence[1].endpoint_start == -1 &&
@@ -273,9 +274,9 @@
          datagram.idle_units[1].units == 200));
 }
 
-TEST_CASE("the values of a golden datagram are those that were sent") {
+TEST_CASE("the golden datagram with all parts decodes to the values that were encoded") {
   const std::string bytes =
-      BytesOf(GoldenText("datagrams/all.hex", HexOf(Encode(Datagrams().back().second, kGoldenFleet))));
+      FromHex(GoldenText("datagrams/all.hex", ToHex(Encode(Datagrams().back().second, kGoldenFleet))));
   const auto decoded = Decode(bytes, kGoldenFleet);
   REQUIRE(std::holds_alternative<Datagram>(decoded));
   const auto& datagram = std::get<Datagram>(decoded);
--- a/tests/fleet/golden_fixture.h
+++ b/tests/fleet/golden_fixture.h
@@ -1,4 +1,4 @@
-// What the golden tests of the fleet share: the fleet's name, and a datagram's header.
+// Shared by the golden tests of the fleet: the fleet's name and the header of a datagram.
 #ifndef STOATRUN_TESTS_FLEET_GOLDEN_FIXTURE_H_
 #define STOATRUN_TESTS_FLEET_GOLDEN_FIXTURE_H_
 
@@ -8,7 +8,7 @@
 
 constexpr const char* kGoldenFleet = "golden";
 
-// A datagram of member 3 with no part: its header alone.
+// A datagram from member 3 with a header and no parts.
 inline Datagram HeaderOnly() {
   Datagram datagram;
   datagram.from = 3;
--- a/tests/fleet/status_golden_test.cpp
+++ b/tests/fleet/status_golden_test.cpp
@@ -1,4 +1,4 @@
-// The operators' status of a fleet against golden files: its JSON must not change.
+// Compares the status JSON of a fleet with golden files: operators' tools parse it, so it must not change.
 #include <fmt/format.h>
 
 #include <catch2/catch.hpp>
@@ -26,11 +26,11 @@
 using std::chrono::seconds;
 using tests::GoldenText;
 
-// A fleet of `fleet_size` members, the first `started` of which run. Their datagrams arrive at once and
+// A fleet of `fleet_size` members, of which the first `started` run. Datagrams are delivered immediately and
 // without loss.
-class SmallFleet {
+class TestFleet {
  public:
-  SmallFleet(MemberId fleet_size, MemberId started) : fleet_size_(fleet_size) {
+  TestFleet(MemberId fleet_size, MemberId started) : fleet_size_(fleet_size) {
     for (MemberId member = 0; member < started; ++member) Start(member, {100 + member, 1000 + member});
   }
   static std::string NameOf(MemberId member) { return member == 3 ? "n\"3\"" : fmt::format("n{}", member); }
@@ -69,9 +69,9 @@
       DeliverAll();
     }
   }
-  // Runs the fleet for `span`. Each 250 ms: a tick of every relay, then `each`.
-  void Run(Micros span, const std::function<void()>& each) {
-    const Micros end = now_ + span;
+  // Runs the fleet for `duration`: every 250 ms a tick of each relay, then `after_tick`.
+  void Run(Micros duration, const std::function<void()>& after_tick) {
+    const Micros end = now_ + duration;
     while (now_ < end) {
       now_ += milliseconds(250);
       for (MemberId member = 0; member < fleet_size_; ++member) {
@@ -79,12 +79,12 @@
         At(member).Tick(now_, out_);
         DeliverAll();
       }
-      each();
+      after_tick();
     }
   }
 
  private:
-  // Delivers what was sent, and the answers to it, until nothing is under way.
+  // Delivers the datagrams that were sent and the answers to them, until none is left.
   void DeliverAll() {
     std::deque<Outgoing> queue;
     const auto take_sent = [&] {
@@ -108,28 +108,28 @@
   Outbox out_;
 };
 
-std::string StatusOf(SmallFleet& fleet, MemberId member, const StatusExtra& extra = {}) {
-  return StatusJson(fleet.At(member), SmallFleet::NameOf(member), {"chat", "fe\\ed"}, fleet.Now(), extra) +
+std::string StatusOf(TestFleet& fleet, MemberId member, const DroppedDatagrams& dropped = {}) {
+  return StatusJson(fleet.At(member), TestFleet::NameOf(member), {"chat", "fe\\ed"}, fleet.Now(), dropped) +
          '\n';
 }
 
-// Compares `actual` with a golden file, and returns it.
+// Compares `actual` with the golden file `name` and returns `actual`.
 std::string CheckStatus(const std::string& name, const std::string& actual) {
   INFO(name);
   CHECK(actual == GoldenText("status/" + name + ".json", actual));
   return actual;
 }
 
-// Checks that each of the texts occurs in `all`.
-void CheckHolds(const std::string& all, const std::vector<const char*>& texts) {
+// Checks that `all` contains each of the texts.
+void CheckContains(const std::string& all, const std::vector<const char*>& texts) {
   for (const char* text : texts) {
     INFO(text);
     CHECK(all.find(text) != std::string::npos);
   }
 }
 
-// One connection with each outcome, and one that stays open.
-void Connect(SmallFleet& fleet, MemberId member) {
+// Counts one connection with each outcome, and one that stays open.
+void AddConnections(TestFleet& fleet, MemberId member) {
   LocalConnectionCounts& connections = fleet.At(member).LocalConnections();
   const char* group = member % 2 == 0 ? "coast" : "";
   for (const auto outcome :
@@ -141,8 +141,8 @@
   connections.Begin(member % 3, group);
 }
 
-// Relays that use their quotas up, and observe endpoints: leases, evidence, ejections.
-void RunBusy(SmallFleet& fleet) {
+// Relays exhaust their quotas and observe endpoints, which leads to leases, evidence and ejections.
+void RunUnderLoad(TestFleet& fleet) {
   for (int round = 0; round < 8; ++round) {
     fleet.Acquire(0, "attempts", 9);
     fleet.Acquire(1, "quota:coast", 6);
@@ -158,8 +158,8 @@
   }
 }
 
-// One witness finds most endpoints bad which the others find healthy.
-void RunBadWitness(SmallFleet& fleet) {
+// One witness reports most endpoints as failing that the others find healthy.
+void RunFalseWitness(TestFleet& fleet) {
   fleet.Run(seconds(9), [&] {
     for (const char* endpoint : {"s-3", "s-4", "s-5"}) {
       fleet.At(3).Outliers().Observe(fleet.Now(), endpoint, HealthVerdict::kFailing);
@@ -168,8 +168,8 @@
   });
 }
 
-// One relay restarts, and one dies. Returns the status of member 0 when it first suspects the latter.
-std::string RunRestartAndDeath(SmallFleet& fleet) {
+// Member 1 restarts, and member 2 fails. Returns the status of member 0 when it first suspects member 2.
+std::string RunRestartAndFailure(TestFleet& fleet) {
   fleet.Start(1, {200, 2000});
   fleet.Stop(2);
   std::string suspicion;
@@ -180,59 +180,59 @@
   return suspicion;
 }
 
-// One relay leaves; a stranger and a former incarnation send datagrams.
-void RunLeaveAndStrangers(SmallFleet& fleet) {
+// Member 3 leaves; a non-member and a superseded incarnation send datagrams.
+void RunLeaveAndUnknownSenders(TestFleet& fleet) {
   fleet.Leave(3);
-  Datagram stranger = HeaderOnly();
-  stranger.from = 99;
-  fleet.Receive(0, stranger);
-  stranger.from = 1;
-  stranger.name = "n1";
-  stranger.incarnation = {101, 1001};
-  fleet.Receive(0, stranger);
+  Datagram datagram = HeaderOnly();
+  datagram.from = 99;
+  fleet.Receive(0, datagram);
+  datagram.from = 1;
+  datagram.name = "n1";
+  datagram.incarnation = {101, 1001};
+  fleet.Receive(0, datagram);
   fleet.Run(milliseconds(2500), [] {});
 }
 
-TEST_CASE("the operators' status of a relay is the golden text") {
-  SmallFleet fleet(5, 4);  // The last member never starts.
+TEST_CASE("the status JSON of a relay matches its golden file in every state of the fleet") {
+  TestFleet fleet(5, 4);  // The last member never starts.
   std::string all = CheckStatus("start", StatusOf(fleet, 0));
-  for (MemberId member = 0; member < 4; ++member) Connect(fleet, member);
+  for (MemberId member = 0; member < 4; ++member) AddConnections(fleet, member);
   fleet.Run(seconds(12), [] {});
-  RunBusy(fleet);
+  RunUnderLoad(fleet);
   all += CheckStatus("busy-0", StatusOf(fleet, 0, {31, 32}));
   all += CheckStatus("busy-1", StatusOf(fleet, 1));
   all += CheckStatus("busy-2", StatusOf(fleet, 2));
-  RunBadWitness(fleet);
+  RunFalseWitness(fleet);
   all += CheckStatus("distrust", StatusOf(fleet, 0));
-  all += CheckStatus("suspicion", RunRestartAndDeath(fleet));
-  RunLeaveAndStrangers(fleet);
+  all += CheckStatus("suspicion", RunRestartAndFailure(fleet));
+  RunLeaveAndUnknownSenders(fleet);
   all += CheckStatus("left", StatusOf(fleet, 0));
   fleet.Run(seconds(20), [] {});
   all += CheckStatus("changed-0", StatusOf(fleet, 0));
   all += CheckStatus("changed-1", StatusOf(fleet, 1));
 
-  CheckHolds(all, {R"("standing":"alive")", R"("standing":"suspected")", R"("standing":"silent")",
-                   R"("standing":"left")", R"("standing":"unheard")", R"("way":"out")", R"("way":"in")",
-                   R"("own":"slow")", R"("verdict":"failing")", R"("verdict":"slow")", R"("verdict":"full")",
-                   R"("avoided":true)", R"("class":"fe\\ed")", R"("class":"class 2")", R"("name":"n\"3\"")",
-                   R"("whole":false)", R"("over":true)", R"("distrusted":[{"name":)",
-                   R"("unreadable":31,"wrong_address":32)"});
+  CheckContains(all, {R"("standing":"alive")", R"("standing":"suspected")", R"("standing":"silent")",
+                      R"("standing":"left")", R"("standing":"unheard")", R"("way":"out")", R"("way":"in")",
+                      R"("own":"slow")", R"("verdict":"failing")", R"("verdict":"slow")",
+                      R"("verdict":"full")", R"("avoided":true)", R"("class":"fe\\ed")",
+                      R"("class":"class 2")", R"("name":"n\"3\"")", R"("whole":false)", R"("over":true)",
+                      R"("distrusted":[{"name":)", R"("unreadable":31,"wrong_address":32)"});
 }
 
-TEST_CASE("the operators' status of a complete fleet is the golden text") {
-  SmallFleet fleet(3, 3);
-  for (MemberId member = 0; member < 3; ++member) Connect(fleet, member);
+TEST_CASE("the status JSON of a complete fleet matches its golden file") {
+  TestFleet fleet(3, 3);
+  for (MemberId member = 0; member < 3; ++member) AddConnections(fleet, member);
   fleet.Run(seconds(6), [] {});
   for (int round = 0; round < 8; ++round) {
     fleet.Acquire(1, "quota:coast", 9);
     fleet.Run(milliseconds(250), [] {});
   }
-  std::string all = CheckStatus("whole-0", StatusOf(fleet, 0));
-  all += CheckStatus("whole-1", StatusOf(fleet, 1));
+  std::string all = CheckStatus("complete-0", StatusOf(fleet, 0));
+  all += CheckStatus("complete-1", StatusOf(fleet, 1));
   fleet.Stop(1);
   fleet.Run(seconds(8), [] {});
-  all += CheckStatus("whole-silent", StatusOf(fleet, 0));
-  CheckHolds(all, {R"("taken":[12,12])", R"("ended":true)", R"("widened":1)", R"("whole":true)"});
+  all += CheckStatus("complete-silent", StatusOf(fleet, 0));
+  CheckContains(all, {R"("taken":[12,12])", R"("ended":true)", R"("widened":1)", R"("whole":true)"});
 }
 
 }  // namespace
