--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -13,9 +13,9 @@
 namespace stoatrun {
 namespace {
 
-// After the response, the time for the client to read it and close; then the server closes.
+// How long a client may take, after the response, to read it and close; then the server closes.
 constexpr Micros kLingerTimeout = std::chrono::milliseconds(1000);
-// A bound on the work of one event-loop turn.
+// Bounds the work of one event-loop turn.
 constexpr int kMaxAcceptsPerTurn = 16;
 constexpr int kListenBacklog = 64;
 
@@ -115,8 +115,8 @@
 
 void AdminServer::AddConnection(int fd) {
   while (connections_.Size() >= kMaxConnections && !pending_.empty()) EvictOldestPending();
-  if (connections_.Size() >=
-      kMaxConnections) {  // All others have a response on its way; they are not cut off.
+  if (connections_.Size() >= kMaxConnections) {
+    // All open connections are being sent a response and must not be cut off.
     ++counters_.evicted;
     close(fd);
     return;
@@ -136,7 +136,7 @@
   Connection* connection = connections_.Find(id);
   if (connection == nullptr) return;
   const std::string_view input = connection->stream.input();
-  if (connection->responded) {  // One request a connection: what follows it is ignored.
+  if (connection->responded) {  // One request per connection: further input is discarded.
     connection->stream.Consume(input.size());
     return;
   }
@@ -208,7 +208,7 @@
   if (finished && !connection->responded && !connection->parser.IsHeadComplete()) {
     return RejectMalformed(*connection, 400, "request ended before its head");
   }
-  // A client that has only ended its sending still reads the response.
+  // A client that has only shut down its sending side still reads the response.
   if (finished && connection->responded && connection->stream.QueuedBytes() > 0) return;
   Close(*connection);
 }
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,13 +1,13 @@
-// The admin server: HTTP/1.1 on the second address, for operators and the front load balancer. One request a
-// connection.
+// The admin server: HTTP/1.1 on an address of its own, for operators and the front load balancer. Each
+// connection serves one request.
 //
-// A request is answered in the event-loop turn in which it becomes complete, so however busy the relay is,
-// the response waits for that turn alone. Clients that never complete a request are bounded in number and in
-// time: the connection that has waited longest is evicted in favour of a new one, and none outlives
-// kRequestTimeout.
+// A request is answered in the event-loop turn in which it becomes complete: however busy the relay is, the
+// response waits for that turn only. Connections without a complete request are limited in number and in
+// time: if a new connection exceeds kMaxConnections, the oldest of them is evicted, and none stays open
+// longer than kRequestTimeout.
 //
-// Malformed, oversized and unknown requests are answered with a 4xx status and counted; they never throw.
-// Everything runs on the thread of the event loop.
+// Malformed, oversized and unknown requests are answered with a 4xx status and counted; they don't cause
+// exceptions. Not thread-safe; used on the event loop's thread.
 #ifndef STOATRUN_ADMIN_ADMIN_SERVER_H_
 #define STOATRUN_ADMIN_ADMIN_SERVER_H_
 
@@ -34,35 +34,35 @@
   std::string body;  // Plain text; a newline is appended if it does not end with one.
 };
 
-// Carries out admin calls; implemented by the owner of the relay's parts.
+// Executes admin calls; implemented by the owner of the relay's components.
 class AdminHandler {
  public:
   virtual ~AdminHandler() = default;
-  // Carries out `call` and returns the response at once. Must not throw.
+  // Executes `call` and returns the response, without blocking. Must not throw.
   virtual AdminResponse OnCall(AdminCall call) = 0;
-  // Whether the relay is a fleet member, and so has the route /v1/fleet.
+  // Whether the relay is a fleet member; only then does the route /v1/fleet exist.
   virtual bool HasFleet() const { return false; }
 };
 
-// What the server has done since its start.
+// Counters since the start of the server.
 struct AdminCounters {
   std::uint64_t requests = 0;   // Complete requests.
   std::uint64_t succeeded = 0;  // Responses with a status below 300.
   std::uint64_t rejected = 0;   // Requests with an unknown path or a wrong method.
-  std::uint64_t malformed = 0;  // Requests that are malformed or too large.
-  std::uint64_t timed_out = 0;  // Connections closed without a complete request in time.
-  std::uint64_t evicted = 0;    // Connections closed, or not taken, for want of capacity.
+  std::uint64_t malformed = 0;  // Malformed or oversized requests.
+  std::uint64_t timed_out = 0;  // Connections closed without a complete request within kRequestTimeout.
+  std::uint64_t evicted = 0;    // Connections closed or refused because kMaxConnections was reached.
 };
 
-// Listens, reads requests and writes responses.
+// Accepts connections, reads requests and writes responses.
 class AdminServer : public TcpConnectionHandler {
  public:
-  // A connection without a complete request is closed after this time.
+  // Maximum time from accepting a connection to its complete request.
   static constexpr Micros kRequestTimeout = std::chrono::milliseconds(1500);
-  // The most connections at once.
+  // Maximum number of open connections.
   static constexpr std::size_t kMaxConnections = 16;
 
-  // `loop` and `handler` outlive the server.
+  // `loop` and `handler` must outlive the server.
   AdminServer(EventLoop& loop, AdminHandler& handler);
   ~AdminServer() override;
   AdminServer(const AdminServer&) = delete;
@@ -70,11 +70,11 @@
 
   // Starts to listen. Throws std::system_error if the address is not available.
   void Listen(const Address& address);
-  // Stops listening; open connections go on.
+  // Stops listening; open connections are still served.
   void Stop();
   // The bound port; 0 if the server does not listen.
   int Port() const;
-  // What the server has done so far.
+  // Counters since the start.
   const AdminCounters& Counts() const { return counters_; }
 
   void OnData(SlotId id) override;
@@ -86,10 +86,10 @@
     Connection(SlotId slot, AdminServer& server);
     SlotId id;
     TcpConnection stream;
-    Timer timeout;  // Of the request, then of the client's close after the response.
+    Timer timeout;  // For the request; after the response, for the client to close.
     AdminRequestParser parser;
     bool responded = false;
-    std::list<SlotId>::iterator pending_position{};  // In pending_; valid until the response.
+    std::list<SlotId>::iterator pending_position{};  // Position in pending_; valid until the response.
   };
 
   static void OnAccept(struct ev_loop* loop, ev_io* watcher, int events);
--- a/src/admin/request_parser.cpp
+++ b/src/admin/request_parser.cpp
@@ -72,7 +72,7 @@
 
 int AdminRequestParser::OnMessageComplete(http_parser* parser) {
   Self(parser).message_complete_ = true;
-  http_parser_pause(parser, 1);  // A connection carries one request; what follows is not parsed.
+  http_parser_pause(parser, 1);  // One request per connection: further input is not parsed.
   return 0;
 }
 
--- a/src/admin/request_parser.h
+++ b/src/admin/request_parser.h
@@ -1,7 +1,8 @@
-// An incremental parser of one HTTP/1.1 request with bounds on its size.
+// An incremental parser for one HTTP/1.1 request of limited size.
 //
-// Keeps the method and the request target only: header fields and the body are counted against the bounds and
-// dropped. Input behind the first request is not parsed. Not thread-safe; one parser serves one connection.
+// Stores the method and the request target only; header fields and the body count towards the size limits and
+// are discarded. Input after the first request is not parsed. Not thread-safe; one parser serves one
+// connection.
 #ifndef STOATRUN_ADMIN_REQUEST_PARSER_H_
 #define STOATRUN_ADMIN_REQUEST_PARSER_H_
 
@@ -27,7 +28,7 @@
   AdminRequestParser(const AdminRequestParser&) = delete;
   AdminRequestParser& operator=(const AdminRequestParser&) = delete;
 
-  // Parses further input. To be called until it returns anything but kIncomplete, and not after that.
+  // Parses further input. Must not be called again after it has returned anything but kIncomplete.
   Status Parse(std::string_view input);
 
   // Whether the request line and all header fields have been parsed.
@@ -36,7 +37,7 @@
   const std::string& Method() const { return method_; }
   // The request target with its query; valid once the request is complete.
   const std::string& Target() const { return target_; }
-  // What is wrong with the request, in English; valid after kMalformed.
+  // Describes the error, for the response body; valid after kMalformed.
   std::string_view ErrorDescription() const;
 
  private:
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -1,4 +1,4 @@
-// The admin server on loopback sockets, under a clock that only the test advances.
+// The admin server on loopback sockets, with a clock that only the test advances.
 #include "admin/admin_server.h"
 
 #include <arpa/inet.h>
@@ -21,12 +21,12 @@
 
 using std::chrono::milliseconds;
 
-// Records the calls and answers with their number.
+// Records the calls; the response body holds the number of the call.
 class RecordingHandler : public AdminHandler {
  public:
   AdminResponse OnCall(AdminCall call) override {
     calls.push_back(call);
-    return {call == AdminCall::kReady && !ready ? 503 : 200, "told " + std::to_string(calls.size())};
+    return {call == AdminCall::kReady && !ready ? 503 : 200, "call " + std::to_string(calls.size())};
   }
   std::vector<AdminCall> calls;
   bool ready = true;
@@ -50,7 +50,7 @@
     REQUIRE(send(fd_, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
   }
   void ShutdownWrite() const { shutdown(fd_, SHUT_WR); }
-  // Reads what has arrived.
+  // Reads all input that has arrived.
   void Read() {
     std::array<char, 4096> buffer{};
     for (;;) {
@@ -73,7 +73,8 @@
 class AdminServerTest {
  public:
   AdminServerTest() : server_(loop_, handler_) { server_.Listen(*Address::Parse("127.0.0.1:0")); }
-  // Turns the loop until the server has closed the connection, for at most 2 s of real time.
+  // Polls the event loop until the server has closed the connection, for at most 2 s of real time. Returns
+  // the input received.
   std::string AwaitResponse(Client& client) {
     const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(2);
     while (!client.closed && std::chrono::steady_clock::now() < deadline) {
@@ -88,8 +89,8 @@
     client.Send(request);
     return AwaitResponse(client);
   }
-  void TurnLoop(int turns) {
-    for (int k = 0; k < turns; ++k) loop_.Poll();
+  void PollLoop(int times) {
+    for (int k = 0; k < times; ++k) loop_.Poll();
   }
 
  protected:
@@ -98,11 +99,12 @@
   AdminServer server_;
 };
 
-TEST_CASE_METHOD(AdminServerTest, "each request gets one response with a length, and the connection ends") {
+TEST_CASE_METHOD(AdminServerTest,
+                 "each request gets one response with its length, then the connection is closed") {
   const std::string ready = Call("GET /v1/readyz HTTP/1.1\r\nHost: relay\r\n\r\n");
   CHECK_THAT(ready, Catch::StartsWith("HTTP/1.1 200 OK\r\n"));
   CHECK_THAT(ready, Catch::Contains("Content-Length: 7\r\n") && Catch::Contains("Connection: close\r\n"));
-  CHECK_THAT(ready, Catch::EndsWith("\r\n\r\ntold 1\n"));
+  CHECK_THAT(ready, Catch::EndsWith("\r\n\r\ncall 1\n"));
   handler_.ready = false;
   CHECK_THAT(Call("GET /v1/readyz HTTP/1.1\r\n\r\n"), Catch::StartsWith("HTTP/1.1 503 "));
   CHECK_THAT(Call("POST /v1/relay/drain HTTP/1.1\r\nContent-Length: 0\r\n\r\n"),
@@ -116,8 +118,8 @@
 TEST_CASE_METHOD(AdminServerTest,
                  "unknown paths, wrong methods, malformed and oversized requests are rejected") {
   CHECK_THAT(Call("GET /v1/nothing HTTP/1.1\r\n\r\n"), Catch::StartsWith("HTTP/1.1 404 "));
-  const std::string wrong_method = Call("DELETE /v1/metrics HTTP/1.1\r\n\r\n");
-  CHECK_THAT(wrong_method, Catch::StartsWith("HTTP/1.1 405 ") && Catch::Contains("Allow: GET\r\n"));
+  const std::string method_not_allowed = Call("DELETE /v1/metrics HTTP/1.1\r\n\r\n");
+  CHECK_THAT(method_not_allowed, Catch::StartsWith("HTTP/1.1 405 ") && Catch::Contains("Allow: GET\r\n"));
   CHECK_THAT(Call("garbage\r\n\r\n"), Catch::StartsWith("HTTP/1.1 400 "));
   CHECK_THAT(Call("GET /v1/readyz HTTP/1.1\r\nX-Big: " + std::string(9000, 'x') + "\r\n\r\n"),
              Catch::StartsWith("HTTP/1.1 400 "));
@@ -133,12 +135,12 @@
 }
 
 TEST_CASE_METHOD(AdminServerTest,
-                 "a request in pieces is answered once complete, a pipelined second one never") {
+                 "a request in several segments is answered once complete, a pipelined second one never") {
   Client client(server_.Port());
   const std::string requests = "GET /v1/metrics HTTP/1.1\r\nHost: r\r\n\r\nGET /v1/readyz HTTP/1.1\r\n\r\n";
   for (const char byte : requests.substr(0, 20)) {
     client.Send(std::string(1, byte));
-    TurnLoop(2);
+    PollLoop(2);
   }
   CHECK(handler_.calls.empty());
   client.Send(requests.substr(20));
@@ -154,7 +156,7 @@
     incomplete.push_back(std::make_unique<Client>(server_.Port()));
     incomplete.back()->Send("GET /v1/rea");
   }
-  TurnLoop(20);
+  PollLoop(20);
   CHECK_THAT(Call("GET /v1/readyz HTTP/1.1\r\n\r\n"), Catch::StartsWith("HTTP/1.1 200 "));
   CHECK(server_.Counts().evicted >= 1);
   CHECK(incomplete.front()->received.empty());
@@ -163,7 +165,9 @@
   CHECK(server_.Counts().timed_out + server_.Counts().evicted == AdminServer::kMaxConnections);
 }
 
-TEST_CASE_METHOD(AdminServerTest, "a client that ends its sending gets its response, or 400 before a head") {
+TEST_CASE_METHOD(
+    AdminServerTest,
+    "a client that shuts down its sending side gets its response, or 400 if its head is incomplete") {
   Client complete(server_.Port());
   complete.Send("GET /v1/readyz HTTP/1.1\r\n\r\n");
   complete.ShutdownWrite();
--- a/tests/admin/golden_test.cpp
+++ b/tests/admin/golden_test.cpp
@@ -1,4 +1,4 @@
-// The metrics of `GET /v1/metrics` against a golden text.
+// Compares the metrics of `GET /v1/metrics` with golden files: operators' tools read them.
 #include "golden.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 namespace stoatrun {
 namespace {
 
-TEST_CASE("the figures of /v1/metrics are the golden text") {
+TEST_CASE("the text of /v1/metrics matches the golden file, with and without classes") {
   Metrics metrics;
   metrics.class_names = {"sighting-feed", "tally.watch", "x"};
   metrics.classes = {{11, 12, 13, 14}, {0, 0, 0, 0}, {18446744073709551615U, 1, 2, 3}};
--- a/tests/admin/metrics_test.cpp
+++ b/tests/admin/metrics_test.cpp
@@ -1,4 +1,4 @@
-// The text form of the metrics.
+// The text format of the metrics.
 #include "admin/metrics.h"
 
 #include <catch2/catch.hpp>
--- a/tests/admin/routes_test.cpp
+++ b/tests/admin/routes_test.cpp
@@ -11,10 +11,10 @@
   CHECK(MatchRoute("GET", "/v1/metrics?format=text").call == AdminCall::kMetrics);
   CHECK(MatchRoute("POST", "/v1/relay/drain").call == AdminCall::kDrain);
   CHECK(MatchRoute("POST", "/v1/relay/activate").call == AdminCall::kActivate);
-  const RouteMatch wrong_method = MatchRoute("GET", "/v1/relay/drain");
-  CHECK_FALSE(wrong_method.call);
-  CHECK(wrong_method.status == 405);
-  CHECK(wrong_method.allow == "POST");
+  const RouteMatch method_not_allowed = MatchRoute("GET", "/v1/relay/drain");
+  CHECK_FALSE(method_not_allowed.call);
+  CHECK(method_not_allowed.status == 405);
+  CHECK(method_not_allowed.allow == "POST");
   CHECK(MatchRoute("POST", "/v1/readyz").status == 405);
   CHECK(MatchRoute("GET", "/v1/readyz/").status == 404);
   CHECK(MatchRoute("GET", "/").status == 404);
