--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -1,5 +1,5 @@
-// `stoatrun check`: prints the configuration and the operator file as they would be in force, and starts
-// nothing.
+// `stoatrun check`: validates the configuration and the operator file and prints their effective values,
+// without starting the relay.
 #include <iostream>
 
 #include "cli/cli.h"
--- a/src/cli/fleet_setup.cpp
+++ b/src/cli/fleet_setup.cpp
@@ -10,7 +10,7 @@
 namespace stoatrun::cli {
 namespace {
 
-// A connection quota is a level: a unit is returned when its connection ends, not after a time.
+// A connection quota limits concurrency: a unit is returned when its connection ends, not after a window.
 constexpr Micros kNoWindow{0};
 
 std::uint64_t RandomSeed() {
@@ -23,10 +23,11 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-void AddPeers(const Config& config, const config::Fleet& file, fleet::GossipTransportSetup& setup) {
+// Sets this relay's id and listening address and adds all other peers.
+void AddPeers(const Config& config, const config::Fleet& section, fleet::GossipTransportSetup& setup) {
   bool found_self = false;
-  for (const config::FleetPeer& peer : file.peer()) {
-    const Address address = *Address::Parse(peer.address());  // Validated when the file was read.
+  for (const config::FleetPeer& peer : section.peer()) {
+    const Address address = *Address::Parse(peer.address());  // Validated when the file was loaded.
     if (peer.name() == config.proxy_name) {
       found_self = true;
       setup.settings.self = peer.place();
@@ -42,9 +43,9 @@
   }
 }
 
-// Rate quotas of the operator file.
-void AddRateQuotas(const config::Fleet& file, fleet::Settings& settings) {
-  for (const config::FleetBudget& budget : file.budget()) {
+// Adds the rate quotas of the operator file.
+void AddRateQuotas(const config::Fleet& section, fleet::Settings& settings) {
+  for (const config::FleetBudget& budget : section.budget()) {
     const Micros window = std::chrono::milliseconds(budget.window_ms());
     switch (budget.kind()) {
       case config::FleetBudget::COLD_SENDS:
@@ -60,10 +61,10 @@
   }
 }
 
-// The groups' connection quotas of the configuration, rounded down.
-void AddConnectionQuotas(const Config& config, const config::Fleet& file, fleet::Settings& settings) {
+// Adds the configured groups' connection quotas, rounded down to whole connections.
+void AddConnectionQuotas(const Config& config, const config::Fleet& section, fleet::Settings& settings) {
   for (const auto& group : config.settings.groups) {
-    if (!file.quotas() || group.quota < 0) continue;
+    if (!section.quotas() || group.quota < 0) continue;
     const auto units = static_cast<std::uint32_t>(std::floor(group.quota));
     settings.quotas.push_back({fleet::HintBuilder::ConnectionQuota(group.name), units, kNoWindow});
   }
@@ -71,30 +72,30 @@
 
 }  // namespace
 
-std::vector<std::string> FleetQuotaGroups(const Config& config, const config::Fleet& file) {
+std::vector<std::string> FleetQuotaGroups(const Config& config, const config::Fleet& section) {
   std::vector<std::string> names;
   for (const auto& group : config.settings.groups) {
-    if (file.quotas() && group.quota >= 0) names.push_back(group.name);
+    if (section.quotas() && group.quota >= 0) names.push_back(group.name);
   }
   return names;
 }
 
-fleet::GossipTransportSetup MakeGossipTransportSetup(const Config& config, const config::Fleet& file) {
+fleet::GossipTransportSetup MakeGossipTransportSetup(const Config& config, const config::Fleet& section) {
   fleet::GossipTransportSetup setup;
   fleet::Settings& settings = setup.settings;
-  settings.fleet = file.name();
-  settings.fleet_size = file.places();
+  settings.fleet = section.name();
+  settings.fleet_size = section.places();
   setup.name = config.proxy_name;
-  // Not the configuration's seed, which may stay the same over a restart: peers must tell the runs apart.
+  // The configuration's seed may be the same after a restart, but peers must be able to tell two runs apart.
   setup.seed = RandomSeed();
   setup.wall_ms = WallClockMs();
-  AddPeers(config, file, setup);
-  AddRateQuotas(file, settings);
-  AddConnectionQuotas(config, file, settings);
-  settings.stale_after = std::chrono::milliseconds(file.stale_ms());
-  settings.max_accepted_per_s = file.most_taken_per_s();
-  settings.max_open = file.most_open();
-  settings.max_ejected_fraction = file.most_avoided_percent() / 100.0;
+  AddPeers(config, section, setup);
+  AddRateQuotas(section, settings);
+  AddConnectionQuotas(config, section, settings);
+  settings.stale_after = std::chrono::milliseconds(section.stale_ms());
+  settings.max_accepted_per_s = section.most_taken_per_s();
+  settings.max_open = section.most_open();
+  settings.max_ejected_fraction = section.most_avoided_percent() / 100.0;
   return setup;
 }
 
--- a/src/cli/fleet_setup.h
+++ b/src/cli/fleet_setup.h
@@ -1,5 +1,5 @@
-// Translates the configuration and the operator file into the settings of the fleet's gossip. Pure, except
-// for the seed and the start time, which are read here.
+// Derives the settings of the fleet's gossip from the configuration and the operator file. The functions have
+// no side effects; besides their arguments they use a random seed and the wall-clock time.
 #ifndef STOATRUN_CLI_FLEET_SETUP_H_
 #define STOATRUN_CLI_FLEET_SETUP_H_
 
@@ -12,12 +12,12 @@
 
 namespace stoatrun::cli {
 
-// The settings of this relay's gossip transport. Throws OperatorFileError if the relay is not named among the
-// peers. `file` has been validated.
-fleet::GossipTransportSetup MakeGossipTransportSetup(const Config& config, const config::Fleet& file);
+// Returns the settings of this relay's gossip transport. `section` must have been validated. Throws
+// OperatorFileError if the relay is not among the peers.
+fleet::GossipTransportSetup MakeGossipTransportSetup(const Config& config, const config::Fleet& section);
 
-// The groups whose connections count against a quota of the whole fleet.
-std::vector<std::string> FleetQuotaGroups(const Config& config, const config::Fleet& file);
+// Returns the groups that have a fleet-wide connection quota.
+std::vector<std::string> FleetQuotaGroups(const Config& config, const config::Fleet& section);
 
 }  // namespace stoatrun::cli
 
--- a/src/cli/ledger_setup.h
+++ b/src/cli/ledger_setup.h
@@ -1,5 +1,5 @@
-// Translates the configuration and the operator file into the settings of the usage ledger. Pure, except for
-// the random name of a new ledger.
+// Derives the settings of the usage ledger from the configuration and the operator file. The functions have
+// no side effects; their only input besides the arguments is the random id of a new ledger.
 #ifndef STOATRUN_CLI_LEDGER_SETUP_H_
 #define STOATRUN_CLI_LEDGER_SETUP_H_
 
@@ -12,12 +12,13 @@
 
 namespace stoatrun::cli {
 
-// The settings of the usage recorder. A group's share in the operator file takes precedence over its quota in
-// the configuration, which covers all relays together and is divided among them.
-ledger::UsageRecorderSetup MakeUsageRecorderSetup(const Config& config, const config::Ledger& file);
+// Returns the settings of the usage recorder. A group's quota in the configuration covers all relays together
+// and is divided among them; a share for the group in the operator file takes precedence.
+ledger::UsageRecorderSetup MakeUsageRecorderSetup(const Config& config, const config::Ledger& section);
 
-// The settings of the export client; `seed` feeds the jitter of its retries. `file` has been validated.
-ledger::ExportClientSetup MakeExportClientSetup(const config::Receiver& file, std::uint64_t seed);
+// Returns the settings of the export client. `section` must have been validated; `seed` is the seed for the
+// jitter of retries.
+ledger::ExportClientSetup MakeExportClientSetup(const config::Receiver& section, std::uint64_t seed);
 
 }  // namespace stoatrun::cli
 
--- a/src/cli/relay_process.cpp
+++ b/src/cli/relay_process.cpp
@@ -16,7 +16,7 @@
 namespace stoatrun::cli {
 namespace {
 
-// For the last checkpoint: after the drain, 0.2 s remain of an orderly shutdown before SIGKILL.
+// Limit for the last checkpoint: after the drain, 0.2 s of the graceful shutdown remain before SIGKILL.
 constexpr std::chrono::milliseconds kLedgerFinishTimeout(150);
 
 Micros WallClock() {
@@ -24,8 +24,8 @@
 }
 
 template <typename T>
-T* PointerOrNull(std::optional<T>& part) {
-  return part ? &*part : nullptr;
+T* PointerOrNull(std::optional<T>& component) {
+  return component ? &*component : nullptr;
 }
 
 }  // namespace
@@ -52,23 +52,23 @@
       proxy_->OnReloadFailed(e.what());
     }
   });
-  // A peer that has closed is an error of the write, not the end of the process.
+  // A write to a closed connection must return EPIPE instead of terminating the process.
   std::signal(SIGPIPE, SIG_IGN);
 }
 
 void RelayProcess::CreateLedger() {
-  const config::Ledger& file = operator_file_.ledger();
-  usage_recorder_.emplace(loop_, MakeUsageRecorderSetup(config_, file), WallClock);
-  if (file.has_receiver()) {
+  const config::Ledger& section = operator_file_.ledger();
+  usage_recorder_.emplace(loop_, MakeUsageRecorderSetup(config_, section), WallClock);
+  if (section.has_receiver()) {
     export_client_.emplace(loop_, *usage_recorder_,
-                           MakeExportClientSetup(file.receiver(), config_.settings.balancer.seed));
+                           MakeExportClientSetup(section.receiver(), config_.settings.balancer.seed));
   }
 }
 
 void RelayProcess::CreateFleet() {
-  const config::Fleet& file = operator_file_.fleet();
-  gossip_transport_.emplace(loop_, MakeGossipTransportSetup(config_, file));
-  fleet_member_.emplace(loop_, *gossip_transport_, FleetQuotaGroups(config_, file));
+  const config::Fleet& section = operator_file_.fleet();
+  gossip_transport_.emplace(loop_, MakeGossipTransportSetup(config_, section));
+  fleet_member_.emplace(loop_, *gossip_transport_, FleetQuotaGroups(config_, section));
 }
 
 void RelayProcess::Serve() {
@@ -96,36 +96,39 @@
   if (gossip_transport_) gossip_transport_->Leave();
   const bool recorder_finished = !usage_recorder_ || usage_recorder_->Finish(kLedgerFinishTimeout);
   LogCounters();
-  // A thread that hangs in a system call on the disk can't be joined, and what it uses must not be destroyed.
+  // A thread blocked in a system call on the disk can't be joined, and the objects that it uses must not be
+  // destroyed. The process therefore exits without running destructors.
   if (!recorder_finished) std::_Exit(kSuccess);
 }
 
 void RelayProcess::Reload() {
-  // Whatever may throw comes before the first change.
+  // Everything that may throw precedes the first change, so that a failed reload changes nothing.
   const Config config = LoadConfig(LoadAt::kReload);
-  const config::OperatorFile file = LoadOperatorFile(operator_path_);
-  const OperatorFileChange change = CompareOperatorFiles(operator_file_, file);
+  const config::OperatorFile new_file = LoadOperatorFile(operator_path_);
+  const OperatorFileChange change = CompareOperatorFiles(operator_file_, new_file);
   std::optional<fleet::GossipTransportSetup> fleet_setup;
-  if (gossip_transport_ && file.has_fleet()) fleet_setup = MakeGossipTransportSetup(config, file.fleet());
+  if (gossip_transport_ && new_file.has_fleet()) {
+    fleet_setup = MakeGossipTransportSetup(config, new_file.fleet());
+  }
 
   for (const auto& field : change.restart_required) {
     LogLine(Level::kWarn, "reload takes a restart").Field("changed", field);
   }
   for (const auto& field : change.reloadable) LogLine(Level::kInfo, "reload").Field("operator", field);
-  ConfigureLog(file.log(), config.log_level);
+  ConfigureLog(new_file.log(), config.log_level);
   proxy_->Reload(config);
-  // What needs a restart stays as it is in force, so that the next reload reports it again.
-  *operator_file_.mutable_log() = file.log();
-  if (fleet_setup) ReloadFleet(file.fleet(), *fleet_setup);
+  // Fields that need a restart keep their effective values, so that the next reload reports them again.
+  *operator_file_.mutable_log() = new_file.log();
+  if (fleet_setup) ReloadFleet(new_file.fleet(), *fleet_setup);
 }
 
-void RelayProcess::ReloadFleet(const config::Fleet& file, const fleet::GossipTransportSetup& setup) {
+void RelayProcess::ReloadFleet(const config::Fleet& section, const fleet::GossipTransportSetup& setup) {
   if (setup.settings.self != gossip_transport_->LocalNode().GetSettings().self) {
     LogLine(Level::kWarn, "reload takes a restart").Field("changed", "fleet.peer.place");
     return;
   }
   gossip_transport_->Follow(setup.settings.peers, setup.addresses);
-  *operator_file_.mutable_fleet()->mutable_peer() = file.peer();
+  *operator_file_.mutable_fleet()->mutable_peer() = section.peer();
 }
 
 void RelayProcess::LogCounters() {
--- a/src/cli/relay_process.h
+++ b/src/cli/relay_process.h
@@ -1,8 +1,8 @@
-// The parts of a serving relay, wired together.
+// Creates and connects the components of a serving relay.
 //
-// The only place that knows all modules: the usage ledger, the fleet, the proxy and the admin server. Signals
-// and admin calls act on the parts here. Everything runs on the thread of the event loop; the usage recorder
-// has a thread of its own for the disk.
+// This is the only place that depends on all modules: the usage ledger, the fleet, the proxy and the admin
+// server. It dispatches signals and admin calls to them. Everything runs on the event loop's thread, except
+// for disk access, for which the usage recorder has its own thread.
 #ifndef STOATRUN_CLI_RELAY_PROCESS_H_
 #define STOATRUN_CLI_RELAY_PROCESS_H_
 
@@ -23,19 +23,21 @@
 
 namespace stoatrun::cli {
 
-// Puts the log settings in force. `level_override`: from STOATRUN_LOG; it takes precedence over the operator
-// file.
+// Applies the log settings. `level_override` comes from STOATRUN_LOG and takes precedence over the operator
+// file's level.
 void ConfigureLog(const config::Log& log, std::optional<Level> level_override);
 
-// Owns the parts in the order of their lifetimes; each is destroyed before those it refers to.
+// Owns the components. They are declared in dependency order, so that each is destroyed before those that it
+// refers to.
 class RelayProcess : private AdminHandler {
  public:
-  // Creates the parts and installs the signal handlers. `operator_path` is read again on a reload; `config`
-  // outlives the process object. Throws OperatorFileError if the operator file does not name this relay.
+  // Creates the components and installs the signal handlers. `operator_path` is read again on each reload;
+  // `config` must outlive this object. Throws OperatorFileError if the operator file's fleet section does not
+  // name this relay.
   RelayProcess(std::string operator_path, const Config& config, config::OperatorFile operator_file);
 
-  // Starts the parts, serves until a signal ends the relay, and shuts down. Throws std::system_error if an
-  // address is not available.
+  // Starts the components, serves until SIGTERM or SIGINT, and shuts down. Throws std::system_error if an
+  // address cannot be bound.
   void Serve();
 
  private:
@@ -44,10 +46,11 @@
   void Start();
   void Shutdown();
 
-  // On SIGHUP: reads both files again and takes up what can change without a restart. If either file is in
-  // error, both stay as they are in force.
+  // On SIGHUP: reads the configuration and the operator file again and applies the settings that can change
+  // without a restart. If either file is invalid, the settings of both stay unchanged. Throws the loading
+  // error.
   void Reload();
-  void ReloadFleet(const config::Fleet& file, const fleet::GossipTransportSetup& setup);
+  void ReloadFleet(const config::Fleet& section, const fleet::GossipTransportSetup& setup);
   void LogCounters();
 
   // AdminHandler
@@ -58,13 +61,13 @@
 
   const std::string operator_path_;
   const Config& config_;
-  config::OperatorFile operator_file_;  // As it is in force.
+  config::OperatorFile operator_file_;  // The effective settings.
   EventLoop loop_;
-  std::optional<ledger::UsageRecorder> usage_recorder_;     // Without a ledger section: none.
-  std::optional<ledger::ExportClient> export_client_;       // Without a receiver: none.
-  std::optional<fleet::GossipTransport> gossip_transport_;  // Without a fleet section: none.
-  std::optional<fleet::FleetMember> fleet_member_;          // Likewise.
-  std::optional<Proxy> proxy_;  // Notifies the usage recorder and the fleet member until it ends.
+  std::optional<ledger::UsageRecorder> usage_recorder_;     // Set if there is a ledger section.
+  std::optional<ledger::ExportClient> export_client_;       // Set if the ledger has a receiver.
+  std::optional<fleet::GossipTransport> gossip_transport_;  // Set if there is a fleet section.
+  std::optional<fleet::FleetMember> fleet_member_;          // Set if there is a fleet section.
+  std::optional<Proxy> proxy_;  // Calls the usage recorder and the fleet member until it is destroyed.
   std::optional<AdminServer> admin_server_;
   std::optional<SignalHandler> on_terminate_, on_interrupt_, on_print_counters_, on_reload_;
 };
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -1,4 +1,4 @@
-// `stoatrun run`: prepares the process, reads both files and serves.
+// `stoatrun run`: sets up the process, loads the configuration and the operator file, and serves.
 #include <sys/resource.h>
 
 #include <csignal>
@@ -11,19 +11,21 @@
 namespace stoatrun::cli {
 namespace {
 
-// Each client takes two descriptors; the shell's soft limit is often far below the hard limit.
+// Raises the soft limit on file descriptors to the hard limit: each client uses two descriptors, and the soft
+// limit that a shell sets is often far below the hard limit.
 void RaiseDescriptorLimit() {
-  rlimit descriptors{};
-  if (getrlimit(RLIMIT_NOFILE, &descriptors) == 0 && descriptors.rlim_cur < descriptors.rlim_max) {
-    descriptors.rlim_cur = descriptors.rlim_max;
-    setrlimit(RLIMIT_NOFILE, &descriptors);
+  rlimit limit{};
+  if (getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur < limit.rlim_max) {
+    limit.rlim_cur = limit.rlim_max;
+    setrlimit(RLIMIT_NOFILE, &limit);
   }
 }
 
 }  // namespace
 
 int Run(const GlobalOptions& options) {
-  // A reload signal before its handler is installed must not end the relay, as the default action would.
+  // The default action of SIGHUP terminates the process; a reload signal that arrives before its handler is
+  // installed is ignored instead.
   std::signal(SIGHUP, SIG_IGN);
   RaiseDescriptorLimit();
   const config::OperatorFile operator_file = LoadOperatorFile(options.operator_path);
--- a/src/cli/signal_handler.h
+++ b/src/cli/signal_handler.h
@@ -1,4 +1,4 @@
-// Process signals as callbacks on the event loop.
+// Delivers POSIX signals as callbacks on the event loop.
 #ifndef STOATRUN_CLI_SIGNAL_HANDLER_H_
 #define STOATRUN_CLI_SIGNAL_HANDLER_H_
 
@@ -11,12 +11,13 @@
 
 namespace stoatrun::cli {
 
-// Runs a callback in a turn of the event loop for each arrival of a signal. Installed for the rest of the
-// process: it is not removed on destruction, for that would restore the signal's default action, and a second
-// SIGTERM would kill the process while it shuts down in order.
+// Calls back from the event loop when a signal is delivered. The handler stays installed for the lifetime of
+// the process: removing it on destruction would restore the signal's default action, and a second SIGTERM
+// would then kill the process during its graceful shutdown.
 class SignalHandler {
  public:
-  // `callback` must not throw: it is called through C code. The loop runs no turn after the handler has gone.
+  // `callback` must not throw, because it is called through C code. The loop must not run after this object
+  // is destroyed.
   SignalHandler(EventLoop& loop, int signal_number, std::function<void()> callback)
       : callback_(std::move(callback)) {
     ev_signal_init(&watcher_, OnSignal, signal_number);
