--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -24,11 +24,11 @@
   app.add_subcommand("check", "read both files and print what would be in force")->callback([&] {
     selected = [&options] { return Check(options); };
   });
-  AddLedger(app, options, selected);
-  AddFleet(app, selected);
+  AddLedgerCommands(app, options, selected);
+  AddFleetCommands(app, selected);
 }
 
-// Runs `command`; prints an error and returns the exit code for it.
+// Runs `command` and returns its exit code. Prints an exception and returns the exit code for its type.
 int RunCommand(const Command& command) {
   try {
     return command();
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -1,4 +1,4 @@
-// `stoatrun fleet ...`: what relays know of their fleet, requested from their admin servers.
+// `stoatrun fleet ...`: prints and checks the fleet status that relays report through their admin servers.
 #include <fmt/format.h>
 #include <simdjson.h>
 
@@ -28,16 +28,16 @@
   std::uint32_t timeout_ms = 2000;
 };
 
-// Returns the status document of the relay at `target`. Throws CLI::ValidationError for a malformed address,
-// std::runtime_error with the reason if the relay does not answer.
+// Returns the status document of the relay at `target`. Throws CLI::ValidationError if the address is
+// malformed and std::runtime_error with the reason if the request fails.
 std::string FetchStatus(const std::string& target, const Options& options) {
   const auto address = Address::Parse(target);
   if (!address) throw CLI::ValidationError("--address", "expected IP:PORT, got '" + target + "'");
   try {
     const HttpResponse response =
         HttpGet(*address, "/v1/fleet", std::chrono::milliseconds(options.timeout_ms));
-    if (response.status == 404) throw std::runtime_error("no fleet section is in force there");
-    if (response.status != 200) throw std::runtime_error(fmt::format("status {}", response.status));
+    if (response.status == 404) throw std::runtime_error("the relay runs without a fleet section");
+    if (response.status != 200) throw std::runtime_error(fmt::format("HTTP status {}", response.status));
     return response.body;
   } catch (const std::exception& e) {
     throw std::runtime_error(target + ": " + e.what());
@@ -59,8 +59,8 @@
 }
 
 void PrintFindings(const std::vector<FleetFinding>& findings, OutputFormat format) {
-  Table table({"relay", "wrong"}, 9);
-  for (const auto& [relay, what] : findings) table.Add({relay, what});
+  Table table({"relay", "wrong"}, Table::kNoRightAligned);
+  for (const auto& [relay, problem] : findings) table.AddRow({relay, problem});
   if (format == OutputFormat::kJson || !table.Empty()) table.Print(std::cout, format);
 }
 
@@ -84,19 +84,19 @@
   check.CompareRelays();
   const std::vector<FleetFinding>& findings = check.Findings();
   PrintFindings(findings, ParseOutputFormat(options.format));
-  std::cerr << fmt::format("{} of {} relays answered, {} things wrong\n", answered, options.addresses.size(),
-                           findings.size());
+  std::cerr << fmt::format("{} of {} relays answered, {} problems found\n", answered,
+                           options.addresses.size(), findings.size());
   return findings.empty() ? kSuccess : kCheckFailed;
 }
 
 }  // namespace
 
-void AddFleet(CLI::App& app, Command& selected) {
+void AddFleetCommands(CLI::App& app, Command& selected) {
   auto options = std::make_shared<Options>();
   CLI::App* fleet =
       app.add_subcommand("fleet", "what relays share with each other, asked at their second addresses");
   fleet->require_subcommand(1);
-  const auto add = [&](const char* name, const char* description, int (*run)(const Options&)) {
+  const auto add = [&](const char* name, const char* description, int (*handler)(const Options&)) {
     CLI::App* command = fleet->add_subcommand(name, description);
     command
         ->add_option("--address", options->addresses,
@@ -105,7 +105,8 @@
     command->add_option("--format", options->format, "table or json")
         ->check(CLI::IsMember({"table", "json"}));
     command->add_option("--wait-ms", options->timeout_ms, "for an answer")->check(CLI::Range(10, 600000));
-    command->callback([&selected, options, run] { selected = [options, run] { return run(*options); }; });
+    command->callback(
+        [&selected, options, handler] { selected = [options, handler] { return handler(*options); }; });
   };
   add("status", "members, budgets, leases, totals, judgements, and what is ignored and why", PrintStatus);
   add("check", "whether the relays agree, and what is wrong with any; exit 3 if anything is", CheckFleet);
--- a/src/cli/fleet_status.cpp
+++ b/src/cli/fleet_status.cpp
@@ -15,10 +15,7 @@
 using simdjson::dom::array;
 using simdjson::dom::element;
 
-// For tables without a column of numbers.
-constexpr std::size_t kNoneRightAligned = 9;
-
-// A [low, high] pair: one number if both are the same.
+// Formats a [low, high] pair as "low to high", or as one number if both are equal.
 std::string RangeText(const element& range) {
   const array bounds(range);
   const std::string low = JsonText(bounds.at(0));
@@ -33,8 +30,8 @@
   out << '\n';
 }
 
-// Prints the array `key` of `status` under its key, with `columns` as both column names and the keys of
-// cells.
+// Prints the array `key` of `status` as a table with the title `key`. `columns` are both the column names and
+// the keys of the values.
 void PrintArray(std::ostream& out, const element& status, const char* key,
                 const std::vector<std::string>& columns, std::size_t first_right_aligned) {
   Table table(columns, first_right_aligned);
@@ -44,7 +41,7 @@
       const element value = entry[column];
       row.push_back(value.is_array() ? RangeText(value) : JsonText(value));
     }
-    table.Add(std::move(row));
+    table.AddRow(std::move(row));
   }
   PrintTable(out, key, table);
 }
@@ -57,15 +54,15 @@
                      bool(status["balanced"]) ? "" : ", ACCOUNTS DO NOT BALANCE");
 }
 
-// Connection counts of the whole fleet: the sum, then each class and group.
+// Prints the fleet-wide connection counts: the sum first, then one row for each class and group.
 void PrintTotals(std::ostream& out, const element& status) {
   Table table(
       {"class", "group", "taken", "served", "refused", "failed", "open", "oldest_ms", "widened", "unheard"},
       2);
   const auto add = [&](const std::string& class_name, const std::string& group, const element& total) {
-    table.Add({class_name, group, RangeText(total["taken"]), RangeText(total["served"]),
-               RangeText(total["refused"]), RangeText(total["failed"]), RangeText(total["open"]),
-               JsonText(total["oldest_ms"]), JsonText(total["widened"]), JsonText(total["unheard"])});
+    table.AddRow({class_name, group, RangeText(total["taken"]), RangeText(total["served"]),
+                  RangeText(total["refused"]), RangeText(total["failed"]), RangeText(total["open"]),
+                  JsonText(total["oldest_ms"]), JsonText(total["widened"]), JsonText(total["unheard"])});
   };
   add("all", "all", status["total"]);
   for (const element total : array(status["totals"])) {
@@ -74,9 +71,9 @@
   PrintTable(out, "totals", table);
 }
 
-// Health verdicts on the servers: the relay's own, and the evidence of its peers.
+// Prints the health verdicts on the upstream servers: the relay's own and the evidence of its peers.
 void PrintServers(std::ostream& out, const element& status) {
-  Table table({"server", "own", "avoided", "ignored", "witnesses"}, kNoneRightAligned);
+  Table table({"server", "own", "avoided", "ignored", "witnesses"}, Table::kNoRightAligned);
   for (const element server : array(status["servers"])) {
     std::string witnesses;
     for (const element witness : array(server["witnesses"])) {
@@ -84,8 +81,8 @@
                                JsonText(witness["by"]), JsonText(witness["verdict"]),
                                JsonText(witness["observations"]), JsonText(witness["age_ms"]));
     }
-    table.Add({JsonText(server["server"]), JsonText(server["own"]), JsonText(server["avoided"]),
-               JsonText(server["ignored"]), witnesses});
+    table.AddRow({JsonText(server["server"]), JsonText(server["own"]), JsonText(server["avoided"]),
+                  JsonText(server["ignored"]), witnesses});
   }
   PrintTable(out, "servers", table);
 }
@@ -110,7 +107,7 @@
   PrintTotals(out, status);
   PrintArray(out, status, "parts", {"name", "generation", "version", "age_ms", "over", "taken", "open"}, 1);
   PrintServers(out, status);
-  PrintArray(out, status, "distrusted", {"name", "why"}, kNoneRightAligned);
+  PrintArray(out, status, "distrusted", {"name", "why"}, Table::kNoRightAligned);
   out << "ignored datagrams: " << simdjson::minify(element(status["ignored"])) << '\n';
 }
 
--- a/src/cli/fleet_status.h
+++ b/src/cli/fleet_status.h
@@ -1,7 +1,8 @@
 // Prints the fleet status document of one relay (`GET /v1/fleet`) as tables.
 //
-// The document's keys are those of the admin server's JSON; a missing key or a value of another type throws
-// simdjson::simdjson_error, after what precedes it has been printed. Not thread-safe.
+// Keys are those of the JSON document that the admin server returns. A missing key or a value of an
+// unexpected type throws simdjson::simdjson_error; the preceding parts have been printed by then. Not
+// thread-safe.
 #ifndef STOATRUN_CLI_FLEET_STATUS_H_
 #define STOATRUN_CLI_FLEET_STATUS_H_
 
@@ -12,10 +13,10 @@
 
 namespace stoatrun::cli {
 
-// A scalar of the document as text: strings without quotes, null as "unknown".
+// Formats a JSON value: a string without quotes, null as "unknown", any other value as JSON.
 std::string JsonText(const simdjson::dom::element& value);
 
-// Prints the relay's identity, then a table for each part of the document that has rows.
+// Prints the relay's identity, then one table for each non-empty section of the document.
 void PrintFleetStatus(std::ostream& out, const simdjson::dom::element& status);
 
 }  // namespace stoatrun::cli
--- a/src/cli/http_get.cpp
+++ b/src/cli/http_get.cpp
@@ -19,13 +19,14 @@
 using PollEvents = decltype(pollfd::events);
 
 constexpr std::size_t kMaxBodySize = std::size_t{16} * 1024 * 1024;
-constexpr std::size_t kReadSize = std::size_t{64} * 1024;
+constexpr std::size_t kReadBufferSize = std::size_t{64} * 1024;
 
 [[noreturn]] void ThrowSocketError(int error, const char* operation) {
   throw std::system_error(error, std::generic_category(), operation);
 }
 
-// A non-blocking TCP socket whose calls wait for readiness until a deadline.
+// A TCP client socket whose operations share one deadline. The socket itself is non-blocking; operations poll
+// it until it is ready.
 class ClientSocket {
  public:
   explicit ClientSocket(Deadline deadline)
@@ -41,7 +42,7 @@
         errno != EINPROGRESS) {
       ThrowSocketError(errno, "connect");
     }
-    WaitFor(POLLOUT);
+    WaitUntilReady(POLLOUT);
     int error = 0;
     socklen_t size = sizeof error;
     getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size);
@@ -50,15 +51,15 @@
 
   void Send(std::string_view text) const {
     if (send(fd_, text.data(), text.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(text.size())) {
-      throw std::runtime_error("the request was not taken");
+      throw std::runtime_error("could not send the whole request");
     }
   }
 
-  // Waits for input and reads it into `buffer`. Returns its size; 0: the peer has ended its sending.
+  // Waits for input and reads it into `buffer`. Returns the number of bytes read, 0 at the end of the stream.
   template <std::size_t kSize>
   std::size_t Receive(std::array<char, kSize>& buffer) const {
     for (;;) {
-      WaitFor(POLLIN);
+      WaitUntilReady(POLLIN);
       const ssize_t size = recv(fd_, buffer.data(), buffer.size(), 0);
       if (size >= 0) return static_cast<std::size_t>(size);
       if (errno != EAGAIN && errno != EINTR) ThrowSocketError(errno, "read");
@@ -66,12 +67,12 @@
   }
 
  private:
-  void WaitFor(PollEvents events) const {
+  void WaitUntilReady(PollEvents events) const {
     const auto remaining =
         std::chrono::duration_cast<std::chrono::milliseconds>(deadline_ - std::chrono::steady_clock::now());
-    pollfd watched{fd_, events, 0};
-    if (remaining.count() <= 0 || poll(&watched, 1, static_cast<int>(remaining.count())) <= 0) {
-      throw std::runtime_error("no answer in time");
+    pollfd descriptor{fd_, events, 0};
+    if (remaining.count() <= 0 || poll(&descriptor, 1, static_cast<int>(remaining.count())) <= 0) {
+      throw std::runtime_error("request timed out");
     }
   }
 
@@ -79,7 +80,7 @@
   int fd_;
 };
 
-// Parses a response incrementally.
+// An incremental parser for one response.
 class ResponseParser {
  public:
   ResponseParser() {
@@ -92,31 +93,34 @@
   ResponseParser(const ResponseParser&) = delete;
   ResponseParser& operator=(const ResponseParser&) = delete;
 
-  // Parses `input`; empty: the end of the connection. Throws if the response is malformed or ends early.
+  // Parses the next input; an empty `input` means the end of the stream. Throws std::runtime_error if the
+  // response is malformed or truncated, or if its body exceeds kMaxBodySize.
   void Parse(std::string_view input) {
     const std::size_t parsed = http_parser_execute(&parser_, &callbacks_, input.data(), input.size());
     if (complete_) return;
     if (parsed != input.size() || HTTP_PARSER_ERRNO(&parser_) != HPE_OK) {
-      throw std::runtime_error("the answer is not HTTP");
+      throw std::runtime_error("malformed or too large HTTP response");
     }
-    if (input.empty()) throw std::runtime_error("the answer ended early");
+    if (input.empty()) throw std::runtime_error("connection closed before the end of the response");
   }
 
   bool IsComplete() const { return complete_; }
   HttpResponse Response() const { return {static_cast<int>(parser_.status_code), body_}; }
 
  private:
-  static ResponseParser& Self(http_parser* parser) { return *static_cast<ResponseParser*>(parser->data); }
+  static ResponseParser& FromParser(http_parser* parser) {
+    return *static_cast<ResponseParser*>(parser->data);
+  }
 
-  static int OnBody(http_parser* parser, const char* at, std::size_t size) {
-    std::string& body = Self(parser).body_;
+  static int OnBody(http_parser* parser, const char* data, std::size_t size) {
+    std::string& body = FromParser(parser).body_;
     if (body.size() + size > kMaxBodySize) return 1;
-    body.append(at, size);
+    body.append(data, size);
     return 0;
   }
 
   static int OnMessageComplete(http_parser* parser) {
-    Self(parser).complete_ = true;
+    FromParser(parser).complete_ = true;
     return 0;
   }
 
@@ -133,7 +137,7 @@
   connection.Connect(address);
   connection.Send("GET " + path + " HTTP/1.1\r\nHost: relay\r\nConnection: close\r\n\r\n");
   ResponseParser parser;
-  std::array<char, kReadSize> buffer;
+  std::array<char, kReadBufferSize> buffer;
   while (!parser.IsComplete()) {
     const std::size_t size = connection.Receive(buffer);
     parser.Parse({buffer.data(), size});
--- a/src/cli/http_get.h
+++ b/src/cli/http_get.h
@@ -1,6 +1,6 @@
-// A blocking HTTP/1.1 GET, as the operators' commands send it to a relay's admin server.
+// A blocking HTTP/1.1 GET request to a relay's admin server.
 //
-// No redirects, no TLS, no names to resolve; one connection a request. Safe to call from any thread.
+// Does not support redirects, TLS or host names; uses one connection per request. Thread-safe.
 #ifndef STOATRUN_CLI_HTTP_GET_H_
 #define STOATRUN_CLI_HTTP_GET_H_
 
@@ -11,14 +11,14 @@
 
 namespace stoatrun::cli {
 
-// A complete response.
+// A complete HTTP response.
 struct HttpResponse {
   int status = 0;
   std::string body;
 };
 
-// Sends `GET path` to `address` and returns the response. Throws std::runtime_error with the reason (as
-// std::system_error for an error of the socket) if no complete response has come within `timeout`.
+// Sends `GET path` to `address` and returns the response. Throws std::runtime_error with the reason
+// (std::system_error for a socket error) if no complete response is received within `timeout`.
 HttpResponse HttpGet(const Address& address, const std::string& path, std::chrono::milliseconds timeout);
 
 }  // namespace stoatrun::cli
--- a/src/cli/ledger.cpp
+++ b/src/cli/ledger.cpp
@@ -1,4 +1,4 @@
-// `stoatrun ledger ...`: reads a relay's ledger, enters corrections, exports, and reconciles exports.
+// `stoatrun ledger ...`: prints, verifies, corrects and exports a relay's ledger, and reconciles exports.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -27,7 +27,7 @@
 
 using ledger::Store;
 
-// The options of all `ledger` sub-commands.
+// The options of all `ledger` sub-commands; each uses a subset.
 struct Options {
   const GlobalOptions* global = nullptr;
   std::string folder, format = "table", period, group, reason, author, reference, output_path;
@@ -39,6 +39,8 @@
 
 using Handler = int (*)(const Options&);
 
+// Opens the ledger in the folder that --folder or the operator file names. Throws OperatorFileError if
+// neither names one.
 Store OpenStore(const Options& options) {
   std::string folder = options.folder;
   if (folder.empty()) {
@@ -50,7 +52,7 @@
   }
   ledger::StoreSetup setup;
   setup.folder = folder;
-  setup.lock_folder = false;  // The relay may be running.
+  setup.lock_folder = false;  // The relay, which holds the lock, may be running.
   return Store(setup);
 }
 
@@ -81,8 +83,8 @@
     if (e.code != ledger::StoreErrorCode::kCorrupt) throw;
     faults.emplace_back(e.what());
   }
-  Table table({"fault"}, 1);
-  for (const std::string& fault : faults) table.Add({fault});
+  Table table({"fault"}, Table::kNoRightAligned);
+  for (const std::string& fault : faults) table.AddRow({fault});
   const OutputFormat format = ParseOutputFormat(options.format);
   if (!faults.empty() || format != OutputFormat::kTable) table.Print(std::cout, format);
   if (faults.empty()) std::cerr << "every page, every record and every sum holds\n";
@@ -128,7 +130,7 @@
   return result.faults.empty() ? kSuccess : kCheckFailed;
 }
 
-// Adds the sub-commands and their options to `ledger`.
+// Adds sub-commands and their options to the `ledger` command.
 class CommandBuilder {
  public:
   CommandBuilder(CLI::App& ledger, std::shared_ptr<Options> options, Command& selected)
@@ -149,10 +151,12 @@
   }
 
   void AddExport() {
-    CLI::App* exports = Add("export", "write records to a file, whole or not at all", Export);
-    AddFolder(exports);
-    exports->add_option("--out", options_->output_path, "the file; reconcile takes *.jsonl")->required();
-    exports->add_option("--since", options_->first_record, "from this record on")->check(CLI::PositiveNumber);
+    CLI::App* export_command = Add("export", "write records to a file, whole or not at all", Export);
+    AddFolder(export_command);
+    export_command->add_option("--out", options_->output_path, "the file; reconcile takes *.jsonl")
+        ->required();
+    export_command->add_option("--since", options_->first_record, "from this record on")
+        ->check(CLI::PositiveNumber);
   }
 
   void AddCorrect() {
@@ -202,7 +206,7 @@
 
 }  // namespace
 
-void AddLedger(CLI::App& app, const GlobalOptions& options, Command& selected) {
+void AddLedgerCommands(CLI::App& app, const GlobalOptions& options, Command& selected) {
   auto ledger_options = std::make_shared<Options>();
   ledger_options->global = &options;
   CLI::App* ledger = app.add_subcommand("ledger", "the ledger of use per count group");
--- a/src/cli/reconcile_report.h
+++ b/src/cli/reconcile_report.h
@@ -1,5 +1,5 @@
-// The report of `stoatrun ledger reconcile`: totals, corrections, unattested intervals and faults of many
-// relays' exports. Pure.
+// The report of `stoatrun ledger reconcile`: totals, corrections, unattested intervals and faults in the
+// exports of many relays.
 #ifndef STOATRUN_CLI_RECONCILE_REPORT_H_
 #define STOATRUN_CLI_RECONCILE_REPORT_H_
 
@@ -10,7 +10,7 @@
 
 namespace stoatrun::cli {
 
-// Prints a table for each part of `result`.
+// Prints `result` as four tables: totals, corrections, unattested intervals and faults.
 void PrintReconcileReport(std::ostream& out, const ledger::ReconcileReport& result, OutputFormat format);
 
 }  // namespace stoatrun::cli
--- a/src/cli/table.cpp
+++ b/src/cli/table.cpp
@@ -17,7 +17,7 @@
   return fmt::to_string(out);
 }
 
-// A field as RFC 4180 has it: quoted only where it must be.
+// Returns `text` as an RFC 4180 field, quoted only if necessary.
 std::string CsvField(const std::string& text) {
   if (text.find_first_of(",\"\r\n") == std::string::npos) return text;
   std::string quoted = "\"";
@@ -88,7 +88,7 @@
   for (const auto& row : rows_) print_line(row);
 }
 
-void PrintAll(std::ostream& out, OutputFormat format, const std::vector<NamedTable>& tables) {
+void PrintTables(std::ostream& out, OutputFormat format, const std::vector<NamedTable>& tables) {
   const bool json = format == OutputFormat::kJson;
   if (json) out << "{\n";
   for (std::size_t k = 0; k < tables.size(); ++k) {
--- a/src/cli/table.h
+++ b/src/cli/table.h
@@ -1,10 +1,11 @@
-// Rows of text printed as an aligned table for people, or as JSON or CSV for programs.
+// Tables of text cells, printed as aligned columns, JSON or CSV.
 //
-// Errors of the output stream are left to the stream. Not thread-safe.
+// Output errors are only recorded in the state of the stream. Not thread-safe.
 #ifndef STOATRUN_CLI_TABLE_H_
 #define STOATRUN_CLI_TABLE_H_
 
 #include <cstddef>
+#include <limits>
 #include <ostream>
 #include <string>
 #include <utility>
@@ -12,28 +13,30 @@
 
 namespace stoatrun::cli {
 
-// How a table is printed.
+// The output format of a table.
 enum class OutputFormat {
   kTable,  // Aligned columns.
   kJson,   // An array of objects whose values are strings.
   kCsv,    // RFC 4180.
 };
 
-// The format that a --format option names: "json", "csv", anything else kTable. The option's own check has
-// rejected other names before.
+// Parses the value of a --format option: "json" and "csv" by name, any other text as kTable. The option's
+// validator has already rejected unknown names.
 OutputFormat ParseOutputFormat(const std::string& name);
 
-// Named columns and rows of text.
+// A table with named columns and text cells.
 class Table {
  public:
-  // In OutputFormat::kTable the columns from index `first_right_aligned` on are aligned to the right.
+  // A value of `first_right_aligned` that leaves all columns left-aligned.
+  static constexpr std::size_t kNoRightAligned = std::numeric_limits<std::size_t>::max();
+
+  // In OutputFormat::kTable the columns from index `first_right_aligned` on are right-aligned.
   Table(std::vector<std::string> columns, std::size_t first_right_aligned)
       : columns_(std::move(columns)), first_right_aligned_(first_right_aligned) {}
-  // Appends a row with as many cells as there are columns.
-  void Add(std::vector<std::string> row) { rows_.push_back(std::move(row)); }
-  // Whether there are no rows.
+  // Appends a row, which must have as many cells as there are columns.
+  void AddRow(std::vector<std::string> row) { rows_.push_back(std::move(row)); }
   bool Empty() const { return rows_.empty(); }
-  // Prints the column names and all rows.
+  // Prints the header and all rows.
   void Print(std::ostream& out, OutputFormat format) const;
 
  private:
@@ -52,9 +55,9 @@
   const Table* table = nullptr;
 };
 
-// Prints several tables: in JSON as one object with a member each, else one after the other below their
-// names.
-void PrintAll(std::ostream& out, OutputFormat format, const std::vector<NamedTable>& tables);
+// Prints several tables: in JSON as one object with a member for each table; in the other formats one after
+// another, each below its name. OutputFormat::kTable omits empty tables.
+void PrintTables(std::ostream& out, OutputFormat format, const std::vector<NamedTable>& tables);
 
 }  // namespace stoatrun::cli
 
--- a/src/cli/usage_report.cpp
+++ b/src/cli/usage_report.cpp
@@ -43,33 +43,33 @@
 void UsageReport::AddClosedUse(Table& table, const ClosedUse& closed) {
   const auto& use = closed.use;
   const bool first = use.supplement() == 0;
-  // Corrections are shown once, at the period's first record of the group.
+  // The sum of corrections appears only in the row of the group's first record of the period.
   std::int64_t corrected_s = 0;
   const auto it = corrected_s_.find({use.period_start_s(), use.group()});
   if (first && it != corrected_s_.end()) {
     corrected_s = it->second;
     corrected_s_.erase(it);
   }
-  table.Add({FormatUtc(use.period_start_s()),
-             first ? "closed" : fmt::format("supplement {}", use.supplement()), use.group(),
-             FormatSeconds(use.use_us()), FormatSeconds(use.within_us()), FormatSeconds(use.beyond_us()),
-             std::to_string(corrected_s), std::to_string(closed.seq)});
+  table.AddRow({FormatUtc(use.period_start_s()),
+                first ? "closed" : fmt::format("supplement {}", use.supplement()), use.group(),
+                FormatSeconds(use.use_us()), FormatSeconds(use.within_us()), FormatSeconds(use.beyond_us()),
+                std::to_string(corrected_s), std::to_string(closed.seq)});
 }
 
 void UsageReport::AddOtherCorrections(Table& table) const {
   for (const auto& [key, corrected_s] : corrected_s_) {
     if (!filter_.Matches(key.period_start_s, key.group)) continue;
     const std::string none = FormatSeconds(0);
-    table.Add({FormatUtc(key.period_start_s), "correction", key.group, none, none, none,
-               std::to_string(corrected_s), ""});
+    table.AddRow({FormatUtc(key.period_start_s), "correction", key.group, none, none, none,
+                  std::to_string(corrected_s), ""});
   }
 }
 
 void UsageReport::AddOpenUse(Table& table, const std::vector<ledger::OpenUse>& open_periods) const {
   for (const ledger::OpenUse& open : open_periods) {
     if (!filter_.Matches(open.period_start_s, open.use.name)) continue;
-    table.Add({FormatUtc(open.period_start_s), "open", open.use.name, FormatSeconds(open.use.use_us),
-               FormatSeconds(open.use.within_us), FormatSeconds(open.use.BeyondUs()), "0", ""});
+    table.AddRow({FormatUtc(open.period_start_s), "open", open.use.name, FormatSeconds(open.use.use_us),
+                  FormatSeconds(open.use.within_us), FormatSeconds(open.use.BeyondUs()), "0", ""});
   }
 }
 
--- a/src/cli/usage_report.h
+++ b/src/cli/usage_report.h
@@ -1,6 +1,4 @@
-// The report of `stoatrun ledger show`: use by period and group from one relay's ledger.
-//
-// Fed record by record, in the ledger's order; then it gives the table. Not thread-safe.
+// The report of `stoatrun ledger show`: usage by period and group from one relay's ledger. Not thread-safe.
 #ifndef STOATRUN_CLI_USAGE_REPORT_H_
 #define STOATRUN_CLI_USAGE_REPORT_H_
 
@@ -16,32 +14,32 @@
 
 namespace stoatrun::cli {
 
-// What the report is limited to.
+// Selects the rows of the report.
 struct UsageFilter {
-  std::optional<std::int64_t> period_start_s;  // Unix time; none: all periods.
-  std::string group;                           // Empty: all groups.
+  std::optional<std::int64_t> period_start_s;  // Unix time; if not set, all periods.
+  std::string group;                           // If empty, all groups.
 
-  // Whether rows of this period and group are part of the report.
+  // Returns whether the report includes the period that starts at `start_s` and the group `name`.
   bool Matches(std::int64_t start_s, const std::string& name) const;
 };
 
-// Collects the records of a ledger.
+// Builds the report. Call AddRecord for each record in the ledger's order, then MakeTable.
 class UsageReport {
  public:
-  // An empty report, limited to what `filter` matches.
+  // Creates an empty report of the rows that `filter` matches.
   explicit UsageReport(UsageFilter filter);
 
   // Adds the next record. Throws std::runtime_error if it is damaged.
   void AddRecord(const ledger::StoredRecord& stored);
-  // The rows: closed periods in the ledger's order, corrections of groups without a record, open periods. To
-  // be called once, after all records.
+  // Returns the rows: closed periods in the ledger's order, then corrections of groups without a record, then
+  // open periods. Must be called once, after the last record.
   Table MakeTable(const std::vector<ledger::OpenUse>& open_periods);
-  // Records of intervals that the relay could not attest.
+  // The number of records of intervals for which the relay could not attest the usage.
   std::uint64_t UnattestedIntervals() const { return unattested_intervals_; }
 
  private:
   struct ClosedUse {
-    std::uint64_t seq = 0;  // The record's number.
+    std::uint64_t seq = 0;  // The record's sequence number.
     ledger::wire::Use use;
   };
 
@@ -51,7 +49,7 @@
 
   const UsageFilter filter_;
   std::vector<ClosedUse> closed_;
-  std::map<ledger::PeriodGroup, std::int64_t> corrected_s_;  // The sums of corrections that have no row yet.
+  std::map<ledger::PeriodGroup, std::int64_t> corrected_s_;  // Sums of the corrections that have no row yet.
   std::uint64_t unattested_intervals_ = 0;
 };
 
