--- a/tests/cli/golden_command_line.sh
+++ b/tests/cli/golden_command_line.sh
@@ -1,29 +1,29 @@
 #!/bin/sh
-# Help texts, `stoatrun check` and the messages for bad files against golden outputs: every byte, and exit
-# codes.
+# Compares the help texts, the output of `stoatrun check` and the messages for invalid files with golden files,
+# byte for byte, together with the exit codes.
 set -u
 relay=$1
 example=$2
-shipped=$3
+operator_file=$3
 golden=$4
 outputs=$golden/command-line/outputs
 . "$(dirname "$0")/../golden.sh"
 
 cp "$example" "$work/config.json"
-cp "$shipped" "$work/shipped.txtpb"
+cp "$operator_file" "$work/shipped.txtpb"
 cp -r "$golden/command-line/inputs" "$work/inputs"
-cd "$work" || exit 1  # Messages name the files as they are given: relative paths.
-check() { # check NAME CONFIG [ARGUMENT...]
+cd "$work" || exit 1  # Relative paths, because messages repeat the path as given.
+check() { # check NAME CONFIG [ARGUMENT...]: runs `stoatrun check` as the case NAME
   name=$1; config=$2; shift 2
   run "$name" env PROXY_CONFIG="$config" "$relay" check "$@"
 }
 
 for command in "" run check ledger "ledger show" "ledger verify" "ledger export" "ledger correct" \
                "ledger reconcile" fleet "fleet status" "fleet check"; do
-  # shellcheck disable=SC2086  # A command is several words.
+  # shellcheck disable=SC2086  # A sub-command may consist of several words.
   run "help$(printf '%s' "${command:+ $command}" | tr ' ' '-')" "$relay" $command --help
 done
-run usage-unknown-command "$relay" fly
+run usage-unknown-command "$relay" no-such-command
 run usage-unknown-option "$relay" check --fast
 run usage-operator-without-file "$relay" run --operator
 run usage-ledger-without-command "$relay" ledger
