--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -21,9 +21,8 @@
   app.add_subcommand("run", "serve, configured by PROXY_CONFIG and the operator file")->callback([&] {
     selected = [&options] { return Run(options); };
   });
-  app.add_subcommand("check", "read both files and print what would be in force")->callback([&] {
-    selected = [&options] { return Check(options); };
-  });
+  app.add_subcommand("check", "validate PROXY_CONFIG and the operator file, print the effective settings")
+      ->callback([&] { selected = [&options] { return Check(options); }; });
   AddLedgerCommands(app, options, selected);
   AddFleetCommands(app, selected);
 }
@@ -53,8 +52,7 @@
 }  // namespace
 
 int Main(int argc, char** argv) {
-  CLI::App app("A relay for long-lived count sessions. Without a sub-command it does what `run` does.",
-               "stoatrun");
+  CLI::App app("A relay for long-lived count sessions. Without a sub-command it executes `run`.", "stoatrun");
   GlobalOptions options;
   Command selected = [&options] { return Run(options); };
   AddCommands(app, options, selected);
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -94,22 +94,23 @@
 void AddFleetCommands(CLI::App& app, Command& selected) {
   auto options = std::make_shared<Options>();
   CLI::App* fleet =
-      app.add_subcommand("fleet", "what relays share with each other, asked at their second addresses");
+      app.add_subcommand("fleet", "fleet status of relays, requested from their admin addresses");
   fleet->require_subcommand(1);
   const auto add = [&](const char* name, const char* description, int (*handler)(const Options&)) {
     CLI::App* command = fleet->add_subcommand(name, description);
     command
         ->add_option("--address", options->addresses,
-                     "second address of a relay, IP:PORT; more than once for several")
+                     "admin address (management) of a relay, IP:PORT; repeat for several")
         ->required();
     command->add_option("--format", options->format, "table or json")
         ->check(CLI::IsMember({"table", "json"}));
-    command->add_option("--wait-ms", options->timeout_ms, "for an answer")->check(CLI::Range(10, 600000));
+    command->add_option("--wait-ms", options->timeout_ms, "time-out of a request, in milliseconds")
+        ->check(CLI::Range(10, 600000));
     command->callback(
         [&selected, options, handler] { selected = [options, handler] { return handler(*options); }; });
   };
-  add("status", "members, budgets, leases, totals, judgements, and what is ignored and why", PrintStatus);
-  add("check", "whether the relays agree, and what is wrong with any; exit 3 if anything is", CheckFleet);
+  add("status", "print members, budgets, leases, totals, health verdicts and ignored datagrams", PrintStatus);
+  add("check", "check relays for problems and for different settings; exit 3 if any are found", CheckFleet);
 }
 
 }  // namespace stoatrun::cli
--- a/src/cli/fleet_setup.cpp
+++ b/src/cli/fleet_setup.cpp
@@ -39,7 +39,7 @@
     }
   }
   if (!found_self) {
-    throw OperatorFileError("fleet.peer: none is named '" + config.proxy_name + "', as this relay is");
+    throw OperatorFileError("fleet.peer: no peer has this relay's name, '" + config.proxy_name + "'");
   }
 }
 
--- a/src/cli/ledger.cpp
+++ b/src/cli/ledger.cpp
@@ -46,7 +46,7 @@
   if (folder.empty()) {
     const config::OperatorFile file = LoadOperatorFile(options.global->operator_path);
     if (!file.has_ledger()) {
-      throw OperatorFileError("no ledger: give --folder, or an operator file that sets one");
+      throw OperatorFileError("no ledger folder: use --folder, or an operator file with a ledger section");
     }
     folder = file.ledger().folder();
   }
@@ -137,25 +137,26 @@
       : ledger_(ledger), options_(std::move(options)), selected_(selected) {}
 
   void AddShow() {
-    CLI::App* show = Add("show", "use per period and group, closed and open", Show);
+    CLI::App* show = Add("show", "print usage per group in closed and open periods", Show);
     AddFormat(show);
     AddFolder(show);
-    show->add_option("--period", options_->period, "start of one period, 2026-12-01T05:00:00Z or Unix time");
-    show->add_option("--group", options_->group, "one group");
+    show->add_option("--period", options_->period,
+                     "only the period with this start, 2026-12-01T05:00:00Z or Unix time");
+    show->add_option("--group", options_->group, "only this group");
   }
 
   void AddVerify() {
-    CLI::App* verify = Add("verify", "check every page, record and sum", Verify);
+    CLI::App* verify = Add("verify", "verify every page, record and sum", Verify);
     AddFormat(verify);
     AddFolder(verify);
   }
 
   void AddExport() {
-    CLI::App* export_command = Add("export", "write records to a file, whole or not at all", Export);
+    CLI::App* export_command = Add("export", "write records to a file, atomically", Export);
     AddFolder(export_command);
-    export_command->add_option("--out", options_->output_path, "the file; reconcile takes *.jsonl")
+    export_command->add_option("--out", options_->output_path, "output file; reconcile reads *.jsonl")
         ->required();
-    export_command->add_option("--since", options_->first_record, "from this record on")
+    export_command->add_option("--since", options_->first_record, "number of the first record to write")
         ->check(CLI::PositiveNumber);
   }
 
@@ -164,20 +165,21 @@
     AddFolder(correct);
     correct->add_option("--group", options_->group, "the count group")->required();
     correct->add_option("--period", options_->period, "start of the period")->required();
-    correct->add_option("--seconds", options_->seconds, "connection-seconds to add, or to take off")
+    correct->add_option("--seconds", options_->seconds, "connection-seconds to add; negative to subtract")
         ->required();
-    correct->add_option("--reason", options_->reason, "why, for the export")->required();
-    correct->add_option("--by", options_->author, "who enters it")->required();
-    correct->add_option("--ref", options_->reference, "entered under a reference it can't be entered twice");
+    correct->add_option("--reason", options_->reason, "reason, part of the export")->required();
+    correct->add_option("--by", options_->author, "author of the correction")->required();
+    correct->add_option("--ref", options_->reference,
+                        "unique reference; a second correction under it is rejected");
   }
 
   void AddReconcile() {
-    CLI::App* reconcile = Add("reconcile", "check and add up the exports of many relays", Reconcile);
+    CLI::App* reconcile = Add("reconcile", "verify the exports of many relays and add them up", Reconcile);
     AddFormat(reconcile);
-    reconcile->add_option("paths", options_->paths, "export files, and folders of *.jsonl")
+    reconcile->add_option("paths", options_->paths, "export files, or folders with *.jsonl files")
         ->required()
         ->check(CLI::ExistingPath);
-    reconcile->add_option("--threads", options_->threads, "default: one a processor");
+    reconcile->add_option("--threads", options_->threads, "default: one per processor");
   }
 
  private:
@@ -195,7 +197,7 @@
   }
 
   void AddFolder(CLI::App* command) {
-    command->add_option("--folder", options_->folder, "the ledger's folder; else the operator file's")
+    command->add_option("--folder", options_->folder, "ledger folder; default: from the operator file")
         ->type_name("DIR");
   }
 
@@ -209,7 +211,7 @@
 void AddLedgerCommands(CLI::App& app, const GlobalOptions& options, Command& selected) {
   auto ledger_options = std::make_shared<Options>();
   ledger_options->global = &options;
-  CLI::App* ledger = app.add_subcommand("ledger", "the ledger of use per count group");
+  CLI::App* ledger = app.add_subcommand("ledger", "ledger of usage per count group");
   ledger->require_subcommand(1);
   CommandBuilder builder(*ledger, ledger_options, selected);
   builder.AddShow();
--- a/tests/cli/cli_program.sh
+++ b/tests/cli/cli_program.sh
@@ -34,7 +34,7 @@
 # failed.
 printf 'fleet { name: "f" places: 2\n peer { place: 0 name: "other" address: "127.0.0.1:1" } }\n' >cli_operator.txtpb
 expect 2 env PROXY_CONFIG="$config" PROXY_LISTEN=127.0.0.1:0 "$relay" run --operator cli_operator.txtpb
-output_has "fleet.peer: none is named 'n0', as this relay is"
+output_has "fleet.peer: no peer has this relay's name, 'n0'"
 expect 1 "$relay" fleet status --address 127.0.0.1:1; output_has '127.0.0.1:1: connect: Connection refused'
 expect 2 "$relay" fleet status --address here; output_has "expected IP:PORT, got 'here'"
 expect 3 "$relay" fleet check --address 127.0.0.1:1; output_has '0 of 1 relays answered'
