--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -21,14 +21,13 @@
   app.add_subcommand("run", "serve, configured by PROXY_CONFIG and the operator file")->callback([&] {
     selected = [&options] { return Run(options); };
   });
-  app.add_subcommand("check", "read both files and print what would be in force")->callback([&] {
-    selected = [&options] { return Check(options); };
-  });
-  AddLedger(app, options, selected);
-  AddFleet(app, selected);
+  app.add_subcommand("check", "validate PROXY_CONFIG and the operator file, print the effective settings")
+      ->callback([&] { selected = [&options] { return Check(options); }; });
+  AddLedgerCommands(app, options, selected);
+  AddFleetCommands(app, selected);
 }
 
-// Runs `command`; prints an error and returns the exit code for it.
+// Runs `command` and returns its exit code. Prints an exception and returns the exit code for its type.
 int RunCommand(const Command& command) {
   try {
     return command();
@@ -53,8 +52,7 @@
 }  // namespace
 
 int Main(int argc, char** argv) {
-  CLI::App app("A relay for long-lived count sessions. Without a sub-command it does what `run` does.",
-               "stoatrun");
+  CLI::App app("A relay for long-lived count sessions. Without a sub-command it executes `run`.", "stoatrun");
   GlobalOptions options;
   Command selected = [&options] { return Run(options); };
   AddCommands(app, options, selected);
--- a/src/cli/ledger.cpp
+++ b/src/cli/ledger.cpp
@@ -1,4 +1,4 @@
-// `stoatrun ledger ...`: reads a relay's ledger, enters corrections, exports, and reconciles exports.
+// `stoatrun ledger ...`: prints, verifies, corrects and exports a relay's ledger, and reconciles exports.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -27,7 +27,7 @@
 
 using ledger::Store;
 
-// The options of all `ledger` sub-commands.
+// The options of all `ledger` sub-commands; each uses a subset.
 struct Options {
   const GlobalOptions* global = nullptr;
   std::string folder, format = "table", period, group, reason, author, reference, output_path;
@@ -39,18 +39,20 @@
 
 using Handler = int (*)(const Options&);
 
+// Opens the ledger in the folder that --folder or the operator file names. Throws OperatorFileError if
+// neither names one.
 Store OpenStore(const Options& options) {
   std::string folder = options.folder;
   if (folder.empty()) {
     const config::OperatorFile file = LoadOperatorFile(options.global->operator_path);
     if (!file.has_ledger()) {
-      throw OperatorFileError("no ledger: give --folder, or an operator file that sets one");
+      throw OperatorFileError("no ledger folder: use --folder, or an operator file with a ledger section");
     }
     folder = file.ledger().folder();
   }
   ledger::StoreSetup setup;
   setup.folder = folder;
-  setup.lock_folder = false;  // The relay may be running.
+  setup.lock_folder = false;  // The relay, which holds the lock, may be running.
   return Store(setup);
 }
 
@@ -81,8 +83,8 @@
     if (e.code != ledger::StoreErrorCode::kCorrupt) throw;
     faults.emplace_back(e.what());
   }
-  Table table({"fault"}, 1);
-  for (const std::string& fault : faults) table.Add({fault});
+  Table table({"fault"}, Table::kNoRightAligned);
+  for (const std::string& fault : faults) table.AddRow({fault});
   const OutputFormat format = ParseOutputFormat(options.format);
   if (!faults.empty() || format != OutputFormat::kTable) table.Print(std::cout, format);
   if (faults.empty()) std::cerr << "every page, every record and every sum holds\n";
@@ -128,31 +130,34 @@
   return result.faults.empty() ? kSuccess : kCheckFailed;
 }
 
-// Adds the sub-commands and their options to `ledger`.
+// Adds sub-commands and their options to the `ledger` command.
 class CommandBuilder {
  public:
   CommandBuilder(CLI::App& ledger, std::shared_ptr<Options> options, Command& selected)
       : ledger_(ledger), options_(std::move(options)), selected_(selected) {}
 
   void AddShow() {
-    CLI::App* show = Add("show", "use per period and group, closed and open", Show);
+    CLI::App* show = Add("show", "print usage per group in closed and open periods", Show);
     AddFormat(show);
     AddFolder(show);
-    show->add_option("--period", options_->period, "start of one period, 2026-12-01T05:00:00Z or Unix time");
-    show->add_option("--group", options_->group, "one group");
+    show->add_option("--period", options_->period,
+                     "only the period with this start, 2026-12-01T05:00:00Z or Unix time");
+    show->add_option("--group", options_->group, "only this group");
   }
 
   void AddVerify() {
-    CLI::App* verify = Add("verify", "check every page, record and sum", Verify);
+    CLI::App* verify = Add("verify", "verify every page, record and sum", Verify);
     AddFormat(verify);
     AddFolder(verify);
   }
 
   void AddExport() {
-    CLI::App* exports = Add("export", "write records to a file, whole or not at all", Export);
-    AddFolder(exports);
-    exports->add_option("--out", options_->output_path, "the file; reconcile takes *.jsonl")->required();
-    exports->add_option("--since", options_->first_record, "from this record on")->check(CLI::PositiveNumber);
+    CLI::App* export_command = Add("export", "write records to a file, atomically", Export);
+    AddFolder(export_command);
+    export_command->add_option("--out", options_->output_path, "output file; reconcile reads *.jsonl")
+        ->required();
+    export_command->add_option("--since", options_->first_record, "number of the first record to write")
+        ->check(CLI::PositiveNumber);
   }
 
   void AddCorrect() {
@@ -160,20 +165,21 @@
     AddFolder(correct);
     correct->add_option("--group", options_->group, "the count group")->required();
     correct->add_option("--period", options_->period, "start of the period")->required();
-    correct->add_option("--seconds", options_->seconds, "connection-seconds to add, or to take off")
+    correct->add_option("--seconds", options_->seconds, "connection-seconds to add; negative to subtract")
         ->required();
-    correct->add_option("--reason", options_->reason, "why, for the export")->required();
-    correct->add_option("--by", options_->author, "who enters it")->required();
-    correct->add_option("--ref", options_->reference, "entered under a reference it can't be entered twice");
+    correct->add_option("--reason", options_->reason, "reason, part of the export")->required();
+    correct->add_option("--by", options_->author, "author of the correction")->required();
+    correct->add_option("--ref", options_->reference,
+                        "unique reference; a second correction under it is rejected");
   }
 
   void AddReconcile() {
-    CLI::App* reconcile = Add("reconcile", "check and add up the exports of many relays", Reconcile);
+    CLI::App* reconcile = Add("reconcile", "verify the exports of many relays and add them up", Reconcile);
     AddFormat(reconcile);
-    reconcile->add_option("paths", options_->paths, "export files, and folders of *.jsonl")
+    reconcile->add_option("paths", options_->paths, "export files, or folders with *.jsonl files")
         ->required()
         ->check(CLI::ExistingPath);
-    reconcile->add_option("--threads", options_->threads, "default: one a processor");
+    reconcile->add_option("--threads", options_->threads, "default: one per processor");
   }
 
  private:
@@ -191,7 +197,7 @@
   }
 
   void AddFolder(CLI::App* command) {
-    command->add_option("--folder", options_->folder, "the ledger's folder; else the operator file's")
+    command->add_option("--folder", options_->folder, "ledger folder; default: from the operator file")
         ->type_name("DIR");
   }
 
@@ -202,10 +208,10 @@
 
 }  // namespace
 
-void AddLedger(CLI::App& app, const GlobalOptions& options, Command& selected) {
+void AddLedgerCommands(CLI::App& app, const GlobalOptions& options, Command& selected) {
   auto ledger_options = std::make_shared<Options>();
   ledger_options->global = &options;
-  CLI::App* ledger = app.add_subcommand("ledger", "the ledger of use per count group");
+  CLI::App* ledger = app.add_subcommand("ledger", "ledger of usage per count group");
   ledger->require_subcommand(1);
   CommandBuilder builder(*ledger, ledger_options, selected);
   builder.AddShow();
