--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -3,7 +3,7 @@
 
 #include "balancer/placement.h"
 #include "balancer/rebalancing.h"
-#include "base/timed_queue.h"
+#include "base/delayed_task_queue.h"
 
 namespace balancer {
 
@@ -336,7 +336,7 @@
   EndpointTable endpoints_{context_};
   Admission admission_{context_, endpoints_};
   Placement placement_{context_, endpoints_};
-  stoatrun::TimedQueue tasks_;
+  stoatrun::DelayedTaskQueue tasks_;
   std::vector<Action>* actions_ = nullptr;  // Of the event in hand.
   Micros watch_due_{0};  // When a watch is to be renewed unless its answer comes first; 0: one is in force.
   double sample_budget_ = -1;  // In probes; negative: before the first tick.
--- a/src/base/counters.h
+++ b/src/base/counters.h
@@ -50,8 +50,8 @@
 
   // Ends of established connections.
   std::uint64_t served = 0;
-  std::uint64_t migrated_by_host = 0;
-  std::uint64_t silent_hosts = 0;  // The host stopped answering.
+  std::uint64_t migrated_by_endpoint = 0;
+  std::uint64_t silent_endpoints = 0;  // The host stopped answering.
 
   // Health checks and discovery.
   std::uint64_t probes = 0;
--- a/src/base/timed_queue.h
+++ b/src/base/delayed_task_queue.h
@@ -1,7 +1,7 @@
 // Tasks ordered by the time at which they fall due; those of one moment in the order of their insertion.
 // Reads no clock and starts no timer itself: it says which timer its owner is to start. Not thread-safe.
-#ifndef STOATRUN_BASE_TIMED_QUEUE_H_
-#define STOATRUN_BASE_TIMED_QUEUE_H_
+#ifndef STOATRUN_BASE_DELAYED_TASK_QUEUE_H_
+#define STOATRUN_BASE_DELAYED_TASK_QUEUE_H_
 
 #include <algorithm>
 #include <chrono>
@@ -13,7 +13,7 @@
 namespace stoatrun {
 
 // The pending tasks of one owner.
-class TimedQueue {
+class DelayedTaskQueue {
  public:
   using Time = std::chrono::microseconds;
 
@@ -43,4 +43,4 @@
 
 }  // namespace stoatrun
 
-#endif  // STOATRUN_BASE_TIMED_QUEUE_H_
+#endif  // STOATRUN_BASE_DELAYED_TASK_QUEUE_H_
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -38,7 +38,7 @@
 };
 
 // One of many orders that a name gives, the same at every relay (SplitMix64's finish).
-inline std::uint64_t Mixed(std::uint64_t a, std::uint64_t b) {
+inline std::uint64_t HashCombine(std::uint64_t a, std::uint64_t b) {
   return SplitMix64Finalize(a * kSplitMix64Increment + b);
 }
 
--- a/src/fleet/io/gossip_transport.cpp
+++ b/src/fleet/io/gossip_transport.cpp
@@ -20,7 +20,7 @@
 
 Incarnation FirstIncarnation(const GossipTransportSetup& setup) {
   return {static_cast<std::uint64_t>(std::max<std::int64_t>(1, setup.wall_ms)),
-          Mixed(setup.seed, 0x11fe) | 1U};
+          HashCombine(setup.seed, 0x11fe) | 1U};
 }
 
 }  // namespace
@@ -28,7 +28,8 @@
 GossipTransport::GossipTransport(EventLoop& loop, const GossipTransportSetup& setup)
     : loop_(loop),
       setup_(setup),
-      node_(setup.settings, setup.name, FirstIncarnation(setup), Mixed(setup.seed, 0xf1ee7), loop.Now()),
+      node_(setup.settings, setup.name, FirstIncarnation(setup), HashCombine(setup.seed, 0xf1ee7),
+            loop.Now()),
       tick_(loop.timers, [this] { Tick(); }) {
   ev_init(&io_, OnReadable);
   io_.data = this;
--- a/src/fleet/quota_account.cpp
+++ b/src/fleet/quota_account.cpp
@@ -31,7 +31,7 @@
   if (remaining == 0) return integral;
   // The remaining units go to the members that rank first in an order that the quota's name draws.
   const std::uint64_t seed = Hash(quota);
-  const auto rank = [&](MemberId other) { return std::pair(Mixed(seed, other + 1), other); };
+  const auto rank = [&](MemberId other) { return std::pair(HashCombine(seed, other + 1), other); };
   const auto own = rank(member_id);
   std::uint32_t before = 0;
   for (MemberId other = 0; other < fleet_size && before < remaining; ++other) {
--- a/src/proxy/session_controller.cpp
+++ b/src/proxy/session_controller.cpp
@@ -317,7 +317,7 @@
   if (session == nullptr) return;
   AttemptEnd attempt_end = session->announced_end;
   if (attempt_end == AttemptEnd::kServed) ++parts_.counters.served;
-  if (attempt_end == AttemptEnd::kMigrated) ++parts_.counters.migrated_by_host;
+  if (attempt_end == AttemptEnd::kMigrated) ++parts_.counters.migrated_by_endpoint;
   const bool client_left = session->CurrentState() == Session::State::kHalfClosed;
   if (attempt_end == AttemptEnd::kBroken && client_left) attempt_end = AttemptEnd::kAbandoned;
   if (attempt_end == AttemptEnd::kBroken) {
@@ -362,7 +362,7 @@
       return;
     case Session::State::kEstablished:
       // A machine that vanished sends nothing, and its connections would stay open for ever.
-      ++parts_.counters.silent_hosts;
+      ++parts_.counters.silent_endpoints;
       LogLine(Level::kInfo, "endpoint silent, client migrated")
           .Field("endpoint", parts_.upstream.Endpoints().IdOf(session->endpoint));
       EndEstablished(*session, AttemptEnd::kBroken, kMoveLine);
--- a/src/simulation/schedule_generator.cpp
+++ b/src/simulation/schedule_generator.cpp
@@ -20,7 +20,7 @@
 class ScheduleGenerator {
  public:
   ScheduleGenerator(std::uint64_t seed, std::size_t relays, Micros length)
-      : random_(fleet::Mixed(seed, kGeneratorSalt)) {
+      : random_(fleet::HashCombine(seed, kGeneratorSalt)) {
     schedule_.seed = seed;
     schedule_.relays = relays;
     schedule_.length = length;
--- a/src/simulation/simulation_state.cpp
+++ b/src/simulation/simulation_state.cpp
@@ -15,7 +15,7 @@
 SimulationState::SimulationState(const Schedule& played_schedule, const SimulatedFleetSetup& fleet_setup)
     : schedule(played_schedule),
       setup(fleet_setup),
-      random(fleet::Mixed(played_schedule.seed, kRandomSalt)),
+      random(fleet::HashCombine(played_schedule.seed, kRandomSalt)),
       history([this] { return Now(); }, fleet_setup.record_history) {}
 
 Micros SimulationState::LocalTime(const SimulatedRelay& relay) const {
--- a/tests/proxy/session_test.cpp
+++ b/tests/proxy/session_test.cpp
@@ -96,13 +96,13 @@
     s-1 expect M 2 x
     s-1 expect-end
   )");
-  CHECK(Counts().silent_hosts == 1);
+  CHECK(Counts().silent_endpoints == 1);
 }
 
 TEST_CASE_METHOD(SingleEndpointFixture, "a session without client lines does not count as silent") {
   Play(kEstablishSession);
   Play("wait 9000\na send M 1 x\ns-1 expect M 1 x");
-  CHECK(Counts().silent_hosts == 0);
+  CHECK(Counts().silent_endpoints == 0);
 }
 
 // The endpoint takes nothing while the client sends far more than all buffers hold, and then ends.
