--- a/src/base/arg_min.h
+++ b/src/base/arg_min.h
@@ -1,4 +1,4 @@
-// The item with the lowest of the costs offered so far; of equal costs the one offered first. Not
+// Tracks the item with the lowest cost among those offered; ties go to the item offered first. Not
 // thread-safe.
 #ifndef STOATRUN_BASE_ARG_MIN_H_
 #define STOATRUN_BASE_ARG_MIN_H_
@@ -10,16 +10,16 @@
 template <typename Item>
 class ArgMin {
  public:
-  // Considers `item`, which is not null, at `cost`.
+  // Offers `item`, which must not be null, at `cost`.
   void Offer(Item* item, double cost) {
     if (cost < lowest_cost_) {
       best_ = item;
       lowest_cost_ = cost;
     }
   }
-  // The item of the lowest cost; null while none has been offered.
+  // The item with the lowest cost; null if none has been offered.
   Item* Best() const { return best_; }
-  // The lowest cost; infinite while none has been offered.
+  // The lowest cost; infinity if no item has been offered.
   double LowestCost() const { return lowest_cost_; }
 
  private:
--- a/src/base/background_worker.cpp
+++ b/src/base/background_worker.cpp
@@ -9,21 +9,22 @@
 
 namespace stoatrun {
 
-// Everything but `thread` is guarded by `mutex`; `thread` belongs to the loop's thread.
+// `mutex` guards all members except `thread`, which only the loop's thread accesses.
 struct BackgroundWorker::State {
   std::mutex mutex;
   std::condition_variable job_posted, job_ended;
   std::deque<Job> jobs;
   std::vector<Reply> replies;
   bool running = false, stop = false, abandoned = false;
-  // Where to signal replies; null once the worker is being destroyed, as its loop may then be gone.
+  // The watcher that signals replies to the loop; null once destruction has begun, as the loop may no longer
+  // exist then.
   struct ev_loop* loop = nullptr;
   ev_async* async = nullptr;
   std::thread thread;
 
   bool HasNoJobs() const { return jobs.empty() && !running; }
 
-  // The thread's function.
+  // The main function of the worker thread.
   void Run() {
     std::unique_lock lock(mutex);
     for (;;) {
@@ -105,7 +106,7 @@
         return false;
       }
     }
-    RunReplies();  // Which may post more jobs.
+    RunReplies();  // A reply may post more jobs.
   }
   return true;
 }
--- a/src/base/background_worker.h
+++ b/src/base/background_worker.h
@@ -1,7 +1,7 @@
 // A thread for work that may block (disk access, long computations), with a bounded queue.
 //
-// The event loop posts jobs; a job's reply is run on the loop's thread afterwards. All members are to be
-// called on the loop's thread; only the jobs run on the worker's.
+// The event loop posts jobs; when a job has finished, its reply runs on the loop's thread. All member
+// functions must be called on the loop's thread; only the jobs run on the worker thread.
 #ifndef STOATRUN_BASE_BACKGROUND_WORKER_H_
 #define STOATRUN_BASE_BACKGROUND_WORKER_H_
 
@@ -14,29 +14,28 @@
 
 namespace stoatrun {
 
-// One thread that runs jobs in the order in which they were posted.
+// Runs jobs on one thread, in the order in which they were posted.
 class BackgroundWorker {
  public:
   using Reply = std::function<void()>;  // Runs on the loop's thread. May be empty.
-  using Job = std::function<Reply()>;   // Runs on the worker's thread. Must not throw.
+  using Job = std::function<Reply()>;   // Runs on the worker thread. Must not throw.
 
-  // `capacity`: the number of jobs that may wait. The thread is started by the first job.
+  // `capacity`: the maximum number of queued jobs. The first job starts the thread.
   BackgroundWorker(struct ev_loop* loop, std::size_t capacity);
-  // Drops the jobs that wait. Waits for the job that runs, unless Finish has abandoned it.
+  // Discards queued jobs. Waits for the running job, unless Finish has abandoned it.
   ~BackgroundWorker();
   BackgroundWorker(const BackgroundWorker&) = delete;
   BackgroundWorker& operator=(const BackgroundWorker&) = delete;
 
-  // Queues a job. False: the queue is full and the job was not taken; the caller keeps its data and tries
-  // again.
+  // Queues a job. Returns false if the queue is full; the caller must then keep the job's data and retry.
   bool Post(Job job);
-  // No job waits or runs, and all replies have been run.
+  // Returns true if no job is queued or running and all replies have run.
   bool IsIdle() const;
-  // No job waits or runs; replies may still be to run.
+  // Returns true if no job is queued or running; replies may still be pending.
   bool HasNoJobs() const;
-  // Blocks until all jobs have ended and runs their replies. False: it took longer than `timeout`, and the
-  // worker is abandoned. Its thread may still be in a blocking call, so the process should end without
-  // destroying what the jobs use.
+  // Blocks until all jobs have finished, and runs their replies. Returns false if this takes longer than
+  // `timeout`; the worker is then abandoned. Its thread may still be in a blocking call, so the process
+  // should exit without destroying objects that the jobs use.
   bool Finish(std::chrono::milliseconds timeout);
 
  private:
@@ -47,7 +46,7 @@
   struct ev_loop* loop_;
   const std::size_t capacity_;
   ev_async async_{};
-  std::shared_ptr<State> state_;  // Shared with the thread, which may outlive this object.
+  std::shared_ptr<State> state_;  // Shared with the worker thread, which may outlive this object.
 };
 
 }  // namespace stoatrun
--- a/src/base/backoff.h
+++ b/src/base/backoff.h
@@ -1,10 +1,10 @@
-// Retry delays for calls to a service that many proxies share and that serves its callers one after another.
+// Retry delays for calls to a service that many proxies share and that handles calls sequentially.
 //
-// Exponential backoff with jitter, scaled by the number of callers: together they call about as often as two
-// callers would. A hundred proxies that fail at once must not retry at once, because such a service goes on
-// with calls whose callers have given up and then serves none of them in time.
+// Exponential backoff with jitter, scaled by the number of callers so that their combined call rate is about
+// that of two callers. If a hundred proxies fail at the same time, they must not retry at the same time: such
+// a service keeps processing calls whose callers have timed out, and would then answer no call in time.
 //
-// Not thread-safe. The delays depend on the seed alone.
+// Not thread-safe. The delays are determined by the seed.
 #ifndef STOATRUN_BASE_BACKOFF_H_
 #define STOATRUN_BASE_BACKOFF_H_
 
@@ -17,11 +17,11 @@
 
 namespace stoatrun {
 
-// The delays of one caller.
+// Computes the delays of one caller.
 class Backoff {
  public:
-  // `callers`: the number of callers of the service, this one included. `max_delay` bounds every delay,
-  // however many callers there are.
+  // `callers`: the number of callers of the service, including this one. `max_delay` bounds every delay,
+  // regardless of the number of callers.
   Backoff(unsigned callers, Micros max_delay, std::uint64_t seed)
       : first_step_(std::min(max_delay, kFirstStep * std::max(2U, callers) / 2)),
         last_step_(std::min(max_delay, kLastStep * std::max(2U, callers) / 2)),
@@ -29,22 +29,23 @@
         step_(first_step_),
         random_(seed) {}
 
-  // The delay before a first call, where all callers start at one moment: uniform from 0 to 40 ms for each
-  // other caller.
+  // The delay before the first call, for callers that all start at the same time: uniform in [0, 40 ms times
+  // the number of other callers].
   Micros InitialDelay() { return Draw(Micros(0), initial_spread_); }
-  // The delay after a failure: uniform from half of the current step to the whole. The step then doubles.
+  // The delay after a failure: uniform between half of the current step and the full step. Then doubles the
+  // step.
   Micros NextDelay() {
     const Micros delay = Draw(step_ / 2, step_);
     step_ = std::min(step_ * 2, last_step_);
     return delay;
   }
-  // A delay uniform from 0 to `max_delay`, for a call that must not come later. It leaves the step as it is.
+  // A delay uniform in [0, `max_delay`], for a call with a deadline. Doesn't change the step.
   Micros DelayWithin(Micros max_delay) { return Draw(Micros(0), max_delay); }
-  // Starts over, after a success or when another service is called from now on.
+  // Returns to the first step, after a success or a change of the service's address.
   void Reset() { step_ = first_step_; }
 
  private:
-  // The steps of two callers.
+  // The step sizes for two callers.
   static constexpr Micros kFirstStep = std::chrono::milliseconds(50);
   static constexpr Micros kLastStep = std::chrono::milliseconds(800);
   static constexpr Micros kSpreadPerCaller = std::chrono::milliseconds(40);
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,5 +1,5 @@
-// The proxy's time: whole microseconds on the monotonic clock, read once a turn of the event loop, so that
-// all decisions of a turn see the same time. Not thread-safe.
+// The proxy's clock: monotonic time in microseconds, read once per event loop iteration, so that all
+// decisions of an iteration use the same time. Not thread-safe.
 #ifndef STOATRUN_BASE_CLOCK_H_
 #define STOATRUN_BASE_CLOCK_H_
 
@@ -9,33 +9,33 @@
 
 namespace stoatrun {
 
-using Micros = std::chrono::microseconds;  // A duration, or a time since the clock's own origin.
+using Micros = std::chrono::microseconds;  // A duration, or a time since the clock's origin.
 
 // The clock of one event loop.
 class Clock {
  public:
-  // The source of time. kManual: only Advance moves the time (for tests).
+  // The time source. kManual: time changes only through Advance (for tests).
   enum class Mode { kMonotonic, kManual };
 
-  // Starts at the present time, or at a fixed time in manual mode.
+  // Starts at the current time, or at a fixed time in manual mode.
   explicit Clock(Mode mode = Mode::kMonotonic) : mode_(mode) {
     const bool manual = mode == Mode::kManual;
     now_ = manual ? kManualStart : ReadMonotonic();
     unix_origin_ = (manual ? kManualUnixStart : ReadUnix()) - now_;
   }
 
-  // Reads the monotonic clock. Time never goes back.
+  // Updates the time from the monotonic clock. The time never decreases.
   void Read() {
     if (mode_ == Mode::kMonotonic) now_ = std::max(now_, ReadMonotonic());
   }
-  // Moves the time, in manual mode.
+  // Advances the time in manual mode.
   void Advance(Micros duration) { now_ += duration; }
-  // The time of the last reading.
+  // The time as of the last Read or Advance.
   Micros Now() const { return now_; }
 
-  // Converts Unix time in milliseconds to this clock's time; 0 or less ("long ago") gives 0. The offset of
-  // both clocks is taken once, so the same Unix time always gives the same result. A time before this clock's
-  // origin gives 1, as 0 would mean "long ago".
+  // Converts Unix time in milliseconds to this clock's time; 0 or less ("long ago") yields 0. The offset
+  // between the clocks is determined once, so a given Unix time always yields the same result. A time before
+  // this clock's origin yields 1, because 0 means "long ago".
   Micros FromUnixMs(std::int64_t unix_ms) const {
     if (unix_ms <= 0) return Micros(0);
     const auto unix_time = std::chrono::duration_cast<Micros>(std::chrono::milliseconds(unix_ms));
--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -2,7 +2,7 @@
 
 namespace stoatrun {
 
-// The one place that maps counters to their names in the log, which are documented in docs/ON-CALL.md.
+// This is the only place that maps counters to their names in the log, which docs/ON-CALL.md documents.
 void AddFields(LogLine& record, const Counters& counters) {
   record.Field("accepted", counters.accepted)
       .Field("accept_failed", counters.accept_failed)
--- a/src/base/counters.h
+++ b/src/base/counters.h
@@ -1,7 +1,7 @@
-// Event counters of the proxy. They are written to the log on SIGUSR1 and at exit; the class counters are
-// also served by the management endpoint `/v1/metrics`.
+// Event counters of the proxy, logged on SIGUSR1 and at exit. The class counters are also served by the
+// management server at `/v1/metrics`.
 //
-// Plain integers: they belong to the event loop's thread.
+// Not thread-safe: only the event loop's thread accesses them.
 #ifndef STOATRUN_BASE_COUNTERS_H_
 #define STOATRUN_BASE_COUNTERS_H_
 
@@ -12,46 +12,46 @@
 
 namespace stoatrun {
 
-// Results of the connect requests of one request class, as the management endpoint reports them.
+// Results of the connect requests of one request class, as reported by the management server.
 struct ClassCounters {
   std::uint64_t succeeded = 0;  // UP was sent to the client.
-  std::uint64_t rejected = 0;   // BUSY was sent: the client may safely retry.
-  std::uint64_t aborted = 0;    // Any other final answer was sent.
-  std::uint64_t forwards = 0;   // Attempts whose first line was written completely to a host.
+  std::uint64_t rejected = 0;   // BUSY was sent; the client may safely retry.
+  std::uint64_t aborted = 0;    // Any other final response was sent.
+  std::uint64_t forwards = 0;   // Attempts whose first line was written completely to an endpoint.
 };
 
-// Counters of the whole proxy since its start. Their names in the log differ, see counters.cpp.
+// Counters of the whole proxy since it started. Some have other names in the log, see counters.cpp.
 struct Counters {
   // Client connections.
   std::uint64_t accepted = 0;
   std::uint64_t accept_failed = 0;
   std::uint64_t pings = 0;
-  std::uint64_t malformed = 0;              // First lines that are no valid request.
-  std::uint64_t evicted = 0;                // Closed before a request to make room for newer connections.
-  std::uint64_t rejected_for_capacity = 0;  // Requests rejected for want of descriptors.
+  std::uint64_t malformed = 0;  // First lines that are not a valid request.
+  std::uint64_t evicted = 0;    // Closed before a request, to free capacity for newer connections.
+  std::uint64_t rejected_for_capacity = 0;  // Requests rejected because no file descriptor was available.
 
-  // Requests and connections that clients hold.
-  std::uint64_t connect_requests = 0;    // New requests handed to the balancer.
-  std::uint64_t resumed = 0;             // Requests that resume a connection after a restart of the proxy.
-  std::uint64_t client_disconnects = 0;  // Clients that left before their answer or closed their connection.
+  // Requests and established client connections.
+  std::uint64_t connect_requests = 0;    // New requests passed to the balancer.
+  std::uint64_t resumed = 0;             // Requests that resume a connection after a proxy restart.
+  std::uint64_t client_disconnects = 0;  // Clients that disconnected, before or after the response.
   std::uint64_t established = 0;
   std::uint64_t rejected = 0;
   std::uint64_t failed = 0;
-  std::uint64_t migrated = 0;  // Moved to another host by the proxy.
+  std::uint64_t migrated = 0;  // Migrated to another endpoint by the proxy.
 
-  // Attempts to forward a request to a host.
+  // Attempts to forward a request to an endpoint.
   std::uint64_t attempts = 0;
   std::uint64_t attempts_not_connected = 0;
   std::uint64_t attempts_connection_lost = 0;
   std::uint64_t attempts_timed_out = 0;
   std::uint64_t attempts_rejected = 0;
   std::uint64_t attempts_failed = 0;
-  std::uint64_t attempts_denied_by_quota = 0;  // Not sent: a rate quota of the fleet was exhausted.
+  std::uint64_t attempts_denied_by_quota = 0;  // Not sent: a fleet-wide rate quota was exhausted.
 
   // Ends of established connections.
   std::uint64_t served = 0;
   std::uint64_t migrated_by_endpoint = 0;
-  std::uint64_t silent_endpoints = 0;  // The host stopped answering.
+  std::uint64_t silent_endpoints = 0;  // The endpoint stopped responding.
 
   // Health checks and discovery.
   std::uint64_t probes = 0;
@@ -66,10 +66,10 @@
   std::uint64_t activations = 0;
   std::uint64_t drain_migrations = 0;
 
-  std::vector<ClassCounters> classes;  // In the order of the settings' classes.
+  std::vector<ClassCounters> classes;  // In the order of the configured classes.
 };
 
-// Appends one field per counter to `record`, under the names that on-call staff search for.
+// Appends one field per counter to `record`, under the names that operators search for.
 void AddFields(LogLine& record, const Counters& counters);
 
 }  // namespace stoatrun
--- a/src/base/decaying_counter.h
+++ b/src/base/decaying_counter.h
@@ -1,5 +1,5 @@
-// A counter whose past increments decay exponentially: an estimate of "how many lately" in constant space.
-// Not thread-safe. Times handed in must not go backwards.
+// A counter whose increments decay exponentially; estimates the number of recent events in constant space.
+// Not thread-safe. Times passed in must not decrease.
 #ifndef STOATRUN_BASE_DECAYING_COUNTER_H_
 #define STOATRUN_BASE_DECAYING_COUNTER_H_
 
@@ -12,10 +12,10 @@
 
 class DecayingCounter {
  public:
-  // After each `time_constant` a count is worth 1/e of what it was.
+  // The value decays to 1/e of itself in each `time_constant`.
   explicit DecayingCounter(std::chrono::microseconds time_constant)
       : time_constant_(ToSeconds(time_constant)) {}
-  // The decayed sum of all increments up to `now`.
+  // The decayed sum of all increments, as of `now`.
   double ValueAt(std::chrono::microseconds now) const {
     return count_ * std::exp(-ToSeconds(now - updated_at_) / time_constant_);
   }
--- a/src/base/delayed_task_queue.h
+++ b/src/base/delayed_task_queue.h
@@ -1,5 +1,5 @@
-// Tasks ordered by the time at which they fall due; those of one moment in the order of their insertion.
-// Reads no clock and starts no timer itself: it says which timer its owner is to start. Not thread-safe.
+// A queue of tasks ordered by due time; tasks with the same due time run in insertion order. It reads no
+// clock and starts no timer itself: it tells its owner which timer to start. Not thread-safe.
 #ifndef STOATRUN_BASE_DELAYED_TASK_QUEUE_H_
 #define STOATRUN_BASE_DELAYED_TASK_QUEUE_H_
 
@@ -17,17 +17,17 @@
  public:
   using Time = std::chrono::microseconds;
 
-  // Adds a task that falls due at `due`; it runs within RunDue.
+  // Adds a task to be run by RunDue at or after `due`.
   void Add(Time due, std::function<void()> task) { tasks_.emplace(due, std::move(task)); }
-  // Runs the tasks that are due at `now`, those that they add included.
+  // Runs the tasks that are due at `now`, including due tasks that they add.
   void RunDue(Time now) {
     while (!tasks_.empty() && tasks_.begin()->first <= now) {
       const auto task = tasks_.extract(tasks_.begin());
       task.mapped()();
     }
   }
-  // The delay of the timer to start for the first task, at least 1 us; none if a timer started before, which
-  // can't be cancelled, fires in time.
+  // The delay of the timer to start for the first task, at least 1 us. nullopt if there is no task, or if a
+  // timer started earlier (timers can't be cancelled) fires in time.
   std::optional<Time> TimerToStart(Time now) {
     if (tasks_.empty()) return std::nullopt;
     const Time due = tasks_.begin()->first;
--- a/src/base/dense_set.h
+++ b/src/base/dense_set.h
@@ -1,6 +1,6 @@
-// A set of objects that is iterated as a vector of pointers. The objects store their own position, so that
-// insertion and removal take constant time; removal moves the last item into the gap, so the order depends
-// only on the sequence of operations. Does not own the objects. Not thread-safe.
+// An intrusive set that can be iterated as a vector of pointers. Each object stores its own position, so that
+// insertion and removal take constant time. Removal moves the last item into the gap; the order depends only
+// on the sequence of operations. Does not own the objects. Not thread-safe.
 #ifndef STOATRUN_BASE_DENSE_SET_H_
 #define STOATRUN_BASE_DENSE_SET_H_
 
@@ -9,10 +9,10 @@
 
 namespace stoatrun {
 
-// The position of an object that is not in the set.
+// The position stored in an object that is not in the set.
 constexpr std::size_t kNotInDenseSet = static_cast<std::size_t>(-1);
 
-// `kPosition` is a member of T, initially kNotInDenseSet. An object may be in one set for each such member.
+// `kPosition` is a member of T, initially kNotInDenseSet. An object may be in one set per such member.
 template <typename T, std::size_t T::*kPosition>
 class DenseSet {
  public:
@@ -20,14 +20,14 @@
   std::size_t size() const { return items_.size(); }
   bool empty() const { return items_.empty(); }
 
-  // Appends `item`. False if it is in the set already.
+  // Appends `item`. Returns false if it is already in the set.
   bool Insert(T& item) {
     if (item.*kPosition != kNotInDenseSet) return false;
     item.*kPosition = items_.size();
     items_.push_back(&item);
     return true;
   }
-  // False if `item` is not in the set.
+  // Removes `item`. Returns false if it is not in the set.
   bool Erase(T& item) {
     if (item.*kPosition == kNotInDenseSet) return false;
     T* last = items_.back();
--- a/src/base/durations.h
+++ b/src/base/durations.h
@@ -1,4 +1,4 @@
-// Conversions between microsecond durations and seconds as a floating-point number. Pure functions.
+// Conversions between microsecond durations and floating-point seconds. Pure functions.
 #ifndef STOATRUN_BASE_DURATIONS_H_
 #define STOATRUN_BASE_DURATIONS_H_
 
@@ -7,12 +7,12 @@
 
 namespace stoatrun {
 
-// A duration in seconds.
+// Converts `duration` to seconds.
 inline double ToSeconds(std::chrono::microseconds duration) {
   return std::chrono::duration<double>(duration).count();
 }
 
-// A duration of so many seconds, truncated to whole microseconds.
+// Converts `seconds` to a duration, truncated to whole microseconds.
 inline std::chrono::microseconds FromSeconds(double seconds) {
   return std::chrono::microseconds(static_cast<std::int64_t>(seconds * 1e6));
 }
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -1,9 +1,8 @@
-// The error type of the program: an exception with a code for the code that handles it and a message for the
-// operator.
+// The program's exception type, with an error code for the handler and a message for the operator.
 //
-// Thrown only where a caller can't go on: at start-up, at a reload, in command-line tools and in the
-// simulator adapter. Nothing on the path of a request throws. A module with errors of its own kind derives
-// its type, so that callers can catch it alone.
+// Thrown only where the caller can't continue: at start-up, on reload, in command-line tools and in the
+// simulator adapter. Nothing on the request path throws. Modules derive their own exception types, so that
+// callers can catch them separately.
 #ifndef STOATRUN_BASE_ERROR_H_
 #define STOATRUN_BASE_ERROR_H_
 
@@ -12,31 +11,30 @@
 
 namespace stoatrun {
 
-// Kinds of errors, by how they are handled.
+// Categories of errors, by how they are handled.
 enum class ErrorCode {
-  kMalformedInput,       // A document or message doesn't have the expected form.
-  kInvalidConfig,        // The environment or the configuration file is wrong.
-  kInvalidOperatorFile,  // The operator file is wrong.
-  kUnavailable,          // The operating system or another process doesn't provide what is needed.
+  kMalformedInput,       // A document or message doesn't have the expected structure.
+  kInvalidConfig,        // The environment or the configuration file is invalid.
+  kInvalidOperatorFile,  // The operator file is invalid.
+  kUnavailable,          // The operating system or another process doesn't provide a required resource.
 };
 
-// The base of the program's own errors.
+// The base class of the program's exceptions.
 class Error : public std::runtime_error {
  public:
-  // `message` is shown to the operator as it is; it names the file, setting or field concerned.
+  // `message` is shown to the operator unchanged; it must name the file, setting or field.
   Error(ErrorCode code, const std::string& message) : std::runtime_error(message), code_(code) {}
 
-  // What kind of error it is.
   ErrorCode Code() const { return code_; }
 
  private:
   ErrorCode code_;
 };
 
-// The environment or the configuration file is wrong.
+// The environment or the configuration file is invalid.
 class ConfigError : public Error {
  public:
-  // `message` names the setting.
+  // `message` must name the setting.
   explicit ConfigError(const std::string& message) : Error(ErrorCode::kInvalidConfig, message) {}
 };
 
--- a/src/base/event_loop.cpp
+++ b/src/base/event_loop.cpp
@@ -7,9 +7,9 @@
 namespace stoatrun {
 
 EventLoop::EventLoop(Clock::Mode mode) : clock(mode), loop_(ev_loop_new(EVFLAG_AUTO)) {
-  if (loop_ == nullptr) throw Error(ErrorCode::kUnavailable, "no event loop to be had");
+  if (loop_ == nullptr) throw Error(ErrorCode::kUnavailable, "libev could not create an event loop");
   ev_check_init(&check_, OnCheck);
-  ev_set_priority(&check_, EV_MAXPRI);  // Before every other callback of the turn.
+  ev_set_priority(&check_, EV_MAXPRI);  // Runs before all other callbacks of the turn.
   check_.data = this;
   ev_check_start(loop_, &check_);
   ev_prepare_init(&prepare_, OnPrepare);
--- a/src/base/event_loop.h
+++ b/src/base/event_loop.h
@@ -1,8 +1,8 @@
-// The event loop: libev for descriptors, with a clock that is read once a turn and a timer queue driven by
-// one libev timer.
+// The event loop: libev for file descriptors, a clock that is read once per iteration, and a timer queue
+// driven by one libev timer.
 //
-// A turn: read the clock, run the callbacks of descriptors and expired timers, run the turn-end hooks.
-// Everything on the loop runs on the one thread that calls Run; only BackgroundWorker passes work in from
+// A turn (one iteration) reads the clock, runs the callbacks of descriptors and expired timers, and runs the
+// turn-end hooks. All callbacks run on the thread that calls Run; only BackgroundWorker passes in work from
 // another thread.
 #ifndef STOATRUN_BASE_EVENT_LOOP_H_
 #define STOATRUN_BASE_EVENT_LOOP_H_
@@ -18,34 +18,34 @@
 
 namespace stoatrun {
 
-// One libev loop with its clock and timers.
+// A libev loop with its clock and timers.
 class EventLoop {
  public:
-  // Throws Error (kUnavailable) if the system provides no event mechanism.
+  // Throws Error (kUnavailable) if libev can't create a loop.
   explicit EventLoop(Clock::Mode mode = Clock::Mode::kMonotonic);
   ~EventLoop();
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // The libev loop, for watchers of descriptors and signals.
+  // The libev loop, to register watchers for descriptors and signals.
   struct ev_loop* native_handle() {
     return loop_;
   }
-  // The time of this turn.
+  // The time at the start of the current turn.
   Micros Now() const { return clock.Now(); }
-  // Runs `hook` at the end of each turn, before the loop waits; hooks run in the order in which they were
-  // added. It can't be removed: what it refers to must outlive the loop's last turn.
+  // Runs `hook` at the end of each turn, before the loop waits for events; hooks run in the order in which
+  // they were added. A hook can't be removed: the objects it refers to must outlive the loop's last turn.
   void AddTurnEndHook(std::function<void()> hook) { turn_end_hooks_.push_back(std::move(hook)); }
-  // Turns until Stop.
+  // Runs the loop until Stop is called.
   void Run() { ev_run(loop_, 0); }
-  // Ends Run after the current turn.
+  // Makes Run return after the current turn.
   void Stop() {
     stopped_ = true;
     ev_break(loop_, EVBREAK_ALL);
   }
-  // Has Stop been called?
+  // Returns true if Stop has been called.
   bool Stopped() const { return stopped_; }
-  // One turn that doesn't wait (for tests).
+  // Runs one turn without waiting (for tests).
   void Poll();
 
   Clock clock;
@@ -57,9 +57,9 @@
   static void OnTimer(struct ev_loop* loop, ev_timer* watcher, int events);
 
   struct ev_loop* loop_;
-  ev_check check_{};      // The start of a turn.
-  ev_prepare prepare_{};  // The end of a turn.
-  ev_timer timer_{};      // Set to the earliest timer of the queue.
+  ev_check check_{};      // Runs at the start of a turn.
+  ev_prepare prepare_{};  // Runs at the end of a turn.
+  ev_timer timer_{};      // Set to the expiry of the earliest timer in the queue.
   bool stopped_ = false;
   std::vector<std::function<void()>> turn_end_hooks_;
 };
--- a/src/base/fleet_client.h
+++ b/src/base/fleet_client.h
@@ -1,5 +1,5 @@
-// The proxy's view of the rest of its fleet: what it reports to the other relays, and the fleet-wide quotas
-// from which it acquires. A proxy without a fleet has no client and acts on its own knowledge alone.
+// The proxy's interface to its fleet: what it reports to the other relays, and the fleet-wide quotas from
+// which it acquires units. Without a fleet, a proxy has no fleet client and uses only its own observations.
 #ifndef STOATRUN_BASE_FLEET_CLIENT_H_
 #define STOATRUN_BASE_FLEET_CLIENT_H_
 
@@ -11,69 +11,69 @@
 
 namespace stoatrun {
 
-// Implemented by the fleet's member on the event loop's thread; no call blocks or throws.
+// Implemented by the fleet member. Called on the event loop's thread; no function blocks or throws.
 class FleetClient {
  public:
   // How a client's connection ended, for the fleet's connection counts.
   enum class ConnectionOutcome { kServed, kRejected, kFailed };
-  // What an attempt showed of an endpoint.
+  // The condition of an endpoint, as observed by an attempt or a health check.
   enum class EndpointCondition { kHealthy, kFailing, kOverloaded };
 
-  // Names one counted connection; kept by whoever holds the connection.
+  // Identifies a counted connection; kept by the owner of the connection.
   struct ConnectionHandle {
     std::uint32_t row = 0;
     bool open = false;
-    std::uint32_t quota = 0;  // Index of the quota it reserves, plus one; 0: none.
+    std::uint32_t quota = 0;  // Index of the quota in which it holds a reservation, plus one; 0: none.
   };
 
-  // More connections are reserved under a quota than are allowed now.
+  // A quota in which this proxy holds more reservations than it is currently allowed.
   struct ExcessReservation {
     std::uint32_t quota = 0;      // As in ConnectionHandle.
-    std::size_t connections = 0;  // To be migrated away.
+    std::size_t connections = 0;  // Number of connections to migrate to other relays.
   };
 
-  // An endpoint that may be used.
+  // An endpoint that accepts new requests.
   struct ListedEndpoint {
     std::string id;
     std::int64_t started_unix_ms = 0;  // When its process started; 0: long ago.
   };
 
-  // What the other relays know of an endpoint, for the balancer.
+  // What the other relays report about an endpoint, for the balancer.
   struct EndpointHint {
     std::string endpoint;
-    double unreported_in_flight = 0;  // Connections that others sent there and no load report may show yet.
-    double slow_start_tokens = -1;    // May be sent there now while it warms up; negative: not known.
-    bool eject = false;               // Others found it failing, and nothing observed here disproves it.
+    double unreported_in_flight = 0;  // Sent by other relays, possibly not in a load report yet.
+    double slow_start_tokens = -1;    // Requests allowed now during slow start; negative: unknown.
+    bool eject = false;               // Other relays see it failing; no local observation contradicts.
     bool operator==(const EndpointHint&) const = default;
   };
 
   virtual ~FleetClient() = default;
 
-  // Counts an incoming connection. Each handle is ended exactly once.
+  // Counts an incoming connection. Each handle must be ended exactly once.
   virtual ConnectionHandle BeginConnection(std::size_t class_index, std::string_view group) = 0;
-  // Ends the count and releases what the handle reserves.
+  // Stops counting the connection and releases its reservation.
   virtual void EndConnection(ConnectionHandle& handle, ConnectionOutcome outcome) = 0;
-  // Reserves a unit of the group's connection quota until EndConnection. False: the quota is exhausted.
+  // Reserves a unit of the group's connection quota until EndConnection. Returns false if none is left.
   virtual bool TryReserveQuota(ConnectionHandle& handle, std::string_view group) = 0;
-  // The quotas over which this proxy holds more than is allowed now.
+  // The quotas that this proxy currently exceeds.
   virtual std::vector<ExcessReservation> ExcessReservations() = 0;
 
-  // Acquires one unit of the fleet's rate quota for retries; true where no such quota is configured.
+  // Acquires one unit of the fleet's rate quota for retries. Returns true if no such quota is configured.
   virtual bool TryAcquireRetry() = 0;
   // The same for health checks.
   virtual bool TryAcquireProbe() = 0;
-  // The same for requests to an endpoint that is warming up; each such endpoint has a quota of its own.
+  // The same for requests to an endpoint in slow start; each such endpoint has a separate quota.
   virtual bool TryAcquireSlowStartSend(std::string_view endpoint) = 0;
 
-  // A request was sent to the endpoint.
+  // Called when a request was sent to the endpoint.
   virtual void OnRequestSent(std::string_view endpoint) = 0;
-  // An attempt or a health check showed the endpoint's condition.
+  // Called when an attempt or a health check has observed the endpoint's condition.
   virtual void OnEndpointObserved(std::string_view endpoint, EndpointCondition condition) = 0;
-  // All endpoints that may be used now, after each update of the list.
+  // Called after each update of the endpoint list, with all endpoints that accept new requests.
   virtual void OnEndpointsListed(const std::vector<ListedEndpoint>& endpoints) = 0;
 
-  // The hints that changed since the last call. `warming_up`: endpoints that started recently.
-  virtual std::vector<EndpointHint> TakeHints(const std::vector<std::string>& warming_up) = 0;
+  // Returns the hints that have changed since the last call. `in_slow_start`: the endpoints in slow start.
+  virtual std::vector<EndpointHint> TakeHints(const std::vector<std::string>& in_slow_start) = 0;
 };
 
 }  // namespace stoatrun
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -18,8 +18,7 @@
 std::atomic<Level> lowest_level = Level::kInfo;
 std::atomic<LogFormat> log_format = LogFormat::kText;
 
-// Each record begins with Unix time in milliseconds: the pattern's seconds and milliseconds, written
-// together.
+// Each record begins with the Unix time in milliseconds: %E (seconds) directly followed by %e (milliseconds).
 constexpr const char* kTextPattern = "%E%e %v";
 constexpr const char* kJsonPattern = R"({"time_ms":%E%e,%v})";
 
@@ -27,17 +26,17 @@
 
 spdlog::logger& Logger() {
   static const std::shared_ptr<spdlog::logger> kLogger = [] {
-    auto made =
+    auto logger =
         std::make_shared<spdlog::logger>("stoatrun", std::make_shared<spdlog::sinks::stderr_sink_mt>());
-    made->set_level(spdlog::level::trace);
-    made->flush_on(spdlog::level::trace);
-    made->set_pattern(PatternOf(log_format.load()));
-    return made;
+    logger->set_level(spdlog::level::trace);
+    logger->flush_on(spdlog::level::trace);
+    logger->set_pattern(PatternOf(log_format.load()));
+    return logger;
   }();
   return *kLogger;
 }
 
-// The length in bytes of the UTF-8 sequence that `text` begins with; 0 if it begins with none (RFC 3629).
+// The length in bytes of the UTF-8 sequence at the start of `text`; 0 if it is invalid (RFC 3629).
 std::size_t SequenceLength(std::string_view text) {
   const auto byte = [&](std::size_t index) { return static_cast<unsigned char>(text[index]); };
   const unsigned char first = byte(0);
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,8 +1,8 @@
-// The log: one record a line on standard error, filtered by level, as text or as one JSON object a line.
+// Logging to standard error: one record per line, filtered by level, as text or as JSON objects.
 //
-// A record has an event, fixed words that on-call staff search for, and named fields. In text the fields
-// follow the event as ` name=value`; in JSON the event is the field `event` and each field has its own name.
-// All functions are thread-safe and don't throw; a LogLine itself belongs to one thread.
+// A record has an event, a fixed text that operators search for, and named fields. In text format the fields
+// follow the event as ` name=value`; in JSON format the event is the field `event`, next to the named fields.
+// All functions are thread-safe and don't throw; a LogLine must be used by one thread only.
 #ifndef STOATRUN_BASE_LOG_H_
 #define STOATRUN_BASE_LOG_H_
 
@@ -18,35 +18,34 @@
 
 namespace stoatrun {
 
-// The severity of a record, in rising order.
+// The severity of a record, in ascending order.
 enum class Level { kDebug, kInfo, kWarn, kError };
-// The form in which records are written.
+// The output format of records.
 enum class LogFormat { kText, kJson };
 
-// Sets the lowest level that is written; kInfo at first.
+// Sets the lowest level that is written; the default is kInfo.
 void SetLogLevel(Level level);
-// Sets the form of all records from here on; kText at first.
+// Sets the format of all subsequent records; the default is kText.
 void SetLogFormat(LogFormat format);
-// Are records of this level written?
+// Returns true if records of this level are written.
 bool IsLogged(Level level);
-// The level that configuration calls `name` (debug, info, warn, error); nothing for another name.
+// Parses a level name of the configuration (debug, info, warn, error); nullopt for any other name.
 std::optional<Level> ParseLogLevel(std::string_view name);
 
-// Appends `text` escaped as the inside of a JSON string. A byte that is not part of valid UTF-8 becomes
-// U+FFFD, so that a record stays readable whatever a client sent.
+// Appends `text`, escaped for use inside a JSON string. Bytes that are not valid UTF-8 are replaced by
+// U+FFFD, so that records remain valid JSON for any client input.
 void AppendJsonEscaped(fmt::memory_buffer& out, std::string_view text);
 
-// Collects one record and writes it when it is destroyed. Nothing is formatted for a level that is not
-// written.
+// Builds one record and writes it on destruction. Formats nothing if the record's level is not written.
 class LogLine {
  public:
-  // `event`: fixed words; what varies belongs into fields.
+  // `event`: a fixed text; variable data belongs in fields.
   LogLine(Level level, std::string_view event);
   ~LogLine();
   LogLine(const LogLine&) = delete;
   LogLine& operator=(const LogLine&) = delete;
 
-  // Adds an integer.
+  // Adds an integer field.
   template <std::integral T>
   LogLine& Field(std::string_view name, T value) {
     if (!enabled_) return *this;
@@ -57,13 +56,13 @@
     }
     return *this;
   }
-  // Adds a text, which should hold no blanks.
+  // Adds a text field; the value should not contain spaces.
   LogLine& Field(std::string_view name, std::string_view value);
-  // The same, and not the overload for integers.
+  // The same; prevents the conversion of a pointer to the integer overload.
   LogLine& Field(std::string_view name, const char* value) { return Field(name, std::string_view(value)); }
-  // Adds a flag: ` name` in text if it is set, `"name":true` or `false` in JSON.
+  // Adds a flag: in text format ` name` if it is set, in JSON format `"name":true` or `"name":false`.
   LogLine& Flag(std::string_view name, bool set);
-  // Adds the reason, which may hold blanks: `: reason` in text, the field `why` in JSON.
+  // Adds the reason, which may contain spaces: `: reason` in text format, the field `why` in JSON format.
   LogLine& Reason(std::string_view reason);
 
  private:
@@ -72,20 +71,20 @@
   fmt::memory_buffer text_;
 };
 
-// Limits records of one kind to a few a second, so that clients can't consume CPU by what is logged about
-// them. The next record that is written reports how many were suppressed; counters count the events
-// themselves. Not thread-safe.
+// Limits records of one kind to a few per second, so that misbehaving clients can't consume CPU time through
+// logging. The next record written reports how many were suppressed; counters still count every event. Not
+// thread-safe.
 class LogRateLimiter {
  public:
-  // May a record be written now? If not, it counts as suppressed.
+  // Returns true if a record may be written now; otherwise counts it as suppressed.
   bool Allows(Micros now);
-  // The number suppressed since the last call.
+  // Returns the number of records suppressed since the last call.
   std::uint64_t TakeSuppressed();
 
  private:
   static constexpr int kMaxPerSecond = 5;
   Micros window_start_{0};
-  int written_ = 0;  // In the present window of a second.
+  int written_ = 0;  // In the current window of one second.
   std::uint64_t suppressed_ = 0;
 };
 
--- a/src/base/name.h
+++ b/src/base/name.h
@@ -1,4 +1,4 @@
-// The syntax of names on the wire: ids, groups, and what the operator file names. Pure.
+// The syntax of names: ids and groups on the wire, and names in the operator file. Pure functions.
 #ifndef STOATRUN_BASE_NAME_H_
 #define STOATRUN_BASE_NAME_H_
 
@@ -8,18 +8,18 @@
 
 namespace stoatrun {
 
-// The longest name, in bytes.
-inline constexpr std::size_t kMaxName = 128;
+// The maximum length of a name in bytes.
+inline constexpr std::size_t kMaxNameSize = 128;
 
-// Is `character` allowed in a name? The check doesn't depend on the locale.
+// Returns true if `character` is allowed in a name, independently of the locale.
 inline bool IsNameCharacter(char character) {
   constexpr std::string_view kPunctuation = "-_.:/";
   return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'z') ||
          (character >= 'A' && character <= 'Z') || kPunctuation.find(character) != std::string_view::npos;
 }
 
-// Does `text` consist of 1 to `max_size` letters, digits and -_.:/ ?
-inline bool IsName(std::string_view text, std::size_t max_size = kMaxName) {
+// Returns true if `text` consists of 1 to `max_size` letters, digits and -_.:/ characters.
+inline bool IsName(std::string_view text, std::size_t max_size = kMaxNameSize) {
   return !text.empty() && text.size() <= max_size && std::all_of(text.begin(), text.end(), IsNameCharacter);
 }
 
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,5 +1,5 @@
-// A small seeded generator with the few draws that the fleet's modules need: the same everywhere, unlike
-// those of the standard library's distributions.
+// A seeded random number generator with the distributions that the fleet modules need. Unlike the standard
+// library's distributions, they give the same values on every platform.
 #ifndef STOATRUN_BASE_RANDOM_H_
 #define STOATRUN_BASE_RANDOM_H_
 
@@ -13,31 +13,31 @@
 
 namespace stoatrun::fleet {
 
-// A 64-bit Mersenne Twister with portable draws. Equal seeds give equal sequences. Not thread-safe; not for
-// secrets.
+// A 64-bit Mersenne Twister with portable distributions. Equal seeds give equal sequences. Not thread-safe;
+// not cryptographically secure.
 class Random {
  public:
-  // Starts the sequence of `seed`.
+  // Seeds the generator.
   explicit Random(std::uint64_t seed) : engine_(seed) {}
   // The next 64 random bits.
   std::uint64_t Next() { return engine_(); }
-  // Uniform in [0, 1), with the 53 bits that a double holds.
+  // Uniform in [0, 1), with the 53 bits of a double's significand.
   double Unit() { return static_cast<double>(engine_() >> 11U) * 0x1.0p-53; }
-  // In [0, n), for n above 0; the bias of the remainder is negligible for n far below 2^64.
+  // Uniform in [0, n), for n > 0; the modulo bias is negligible for n far below 2^64.
   std::size_t Below(std::size_t n) { return static_cast<std::size_t>(engine_() % n); }
   // True with the given probability.
   bool Chance(double probability) { return Unit() < probability; }
-  // Puts the items into a random order (Fisher-Yates).
+  // Shuffles the items (Fisher-Yates).
   template <typename T>
-  void Shuffle(std::vector<T>& all) {
-    for (std::size_t k = all.size(); k > 1; --k) std::swap(all[k - 1], all[Below(k)]);
+  void Shuffle(std::vector<T>& items) {
+    for (std::size_t k = items.size(); k > 1; --k) std::swap(items[k - 1], items[Below(k)]);
   }
 
  private:
   std::mt19937_64 engine_;
 };
 
-// One of many orders that a name gives, the same at every relay (SplitMix64's finish).
+// Combines two values into one hash (SplitMix64's output function). The result is the same on every relay.
 inline std::uint64_t HashCombine(std::uint64_t a, std::uint64_t b) {
   return SplitMix64Finalize(a * kSplitMix64Increment + b);
 }
--- a/src/base/slot_map.h
+++ b/src/base/slot_map.h
@@ -1,7 +1,8 @@
-// A table whose entries are addressed by generational ids: an id names one use of a slot, and finds nothing
-// once that use has ended. So callbacks can hold ids of objects that may be gone.
+// A slot map: a table whose entries are addressed by generational ids. An id refers to one use of a slot;
+// after the entry has been erased, looking up the id returns null. Callbacks can therefore hold ids of
+// objects that may no longer exist.
 //
-// Ids are reused last-in first-out, which keeps the table small. Not thread-safe.
+// Free slots are reused in last-in first-out order, which keeps the table small. Not thread-safe.
 #ifndef STOATRUN_BASE_SLOT_MAP_H_
 #define STOATRUN_BASE_SLOT_MAP_H_
 
@@ -16,25 +17,25 @@
 // The id of an entry of a SlotMap.
 struct SlotId {
   std::uint32_t index = 0;
-  std::uint32_t generation = 0;  // 0: names nothing.
+  std::uint32_t generation = 0;  // 0: refers to no entry.
 
-  // Does it name anything? The entry may be gone nevertheless.
+  // Returns true unless this is the null id. The entry may have been erased already.
   explicit operator bool() const { return generation != 0; }
   bool operator==(const SlotId&) const = default;
 
-  // The id as one number, for interfaces that carry numbers; 0 for the id that names nothing.
+  // Packs the id into an integer, for interfaces that carry integers; 0 for the null id.
   std::uint64_t ToUint64() const { return std::uint64_t{generation} << 32U | index; }
-  // The reverse of ToUint64.
+  // The inverse of ToUint64.
   static SlotId FromUint64(std::uint64_t number) {
     return {static_cast<std::uint32_t>(number), static_cast<std::uint32_t>(number >> 32U)};
   }
 };
 
-// Owns objects of type T, whose constructor takes the SlotId first.
+// Owns objects of type T, whose constructor takes the SlotId as its first argument.
 template <typename T>
 class SlotMap {
  public:
-  // Constructs an entry from its new id and `args`. The reference stays valid until Reclaim after its Erase.
+  // Constructs an entry from its id and `args`. The reference is valid until the first Reclaim after Erase.
   template <typename... Args>
   T& Add(Args&&... args) {
     if (free_.empty()) {
@@ -56,8 +57,8 @@
     return slots_[id.index].value.get();
   }
 
-  // Removes the entry: its id finds nothing from here on. The object lives until Reclaim, since a caller
-  // further up the stack may still use it.
+  // Removes the entry; Find returns null for its id from now on. The object itself is kept until Reclaim,
+  // since callers further up the stack may still use it.
   void Erase(SlotId id) {
     if (Find(id) == nullptr) return;
     erased_.push_back(std::move(slots_[id.index].value));
@@ -65,12 +66,12 @@
     --size_;
   }
 
-  // Destroys the erased objects. To be called where none of them is in use, such as the end of a loop's turn.
+  // Destroys the erased objects. Call it only when none of them is in use, such as at the end of a loop turn.
   void Reclaim() { erased_.clear(); }
   // The number of entries.
   std::size_t Size() const { return size_; }
 
-  // Calls `visit(entry)` for each entry in the order of the slots. Entries may be added and erased meanwhile.
+  // Calls `visit(entry)` for each entry in slot order. `visit` may add and erase entries.
   template <typename Visitor>
   void ForEach(Visitor&& visit) {
     for (std::size_t index = 0; index < slots_.size(); ++index) {
--- a/src/base/split_mix64.h
+++ b/src/base/split_mix64.h
@@ -1,6 +1,6 @@
 // SplitMix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators", OOPSLA 2014): a small
-// seeded generator that gives the same sequence with every compiler and standard library. Not for secrets.
-// Not thread-safe; header-only, so that the balancer library can use it alone.
+// seeded generator that gives the same sequence with every compiler and standard library. Not
+// cryptographically secure; not thread-safe. Header-only, because the balancer library doesn't link src/base.
 #ifndef STOATRUN_BASE_SPLIT_MIX64_H_
 #define STOATRUN_BASE_SPLIT_MIX64_H_
 
@@ -23,20 +23,20 @@
   return value ^ (value >> 31U);
 }
 
-// The generator. Equal seeds give equal sequences.
+// Equal seeds give equal sequences.
 class SplitMix64 {
  public:
   explicit SplitMix64(std::uint64_t seed) : state_(seed) {}
   // The next 64 random bits.
   std::uint64_t Next() { return SplitMix64Finalize(state_ += kSplitMix64Increment); }
-  // Uniform in [0, 1), with the 53 bits that a double holds.
+  // Uniform in [0, 1), with the 53 bits of a double's significand.
   double Unit() { return static_cast<double>(Next() >> 11U) * 0x1.0p-53; }
   // Uniform in [0, limit), with negligible bias for limits far below 2^53; 0 for a limit of 0.
   std::size_t Below(std::size_t limit) {
     return static_cast<std::size_t>(Unit() * static_cast<double>(limit));
   }
-  // `mean` times a factor uniform in [min_factor, max_factor), truncated to whole microseconds: replicas that
-  // start or fail together must not go on to act together.
+  // `mean` times a factor uniform in [min_factor, max_factor), truncated to whole microseconds. The jitter
+  // keeps replicas that start or fail at the same time from staying synchronised.
   std::chrono::microseconds Jittered(std::chrono::microseconds mean, double min_factor, double max_factor) {
     return FromSeconds(ToSeconds(mean) * (min_factor + (max_factor - min_factor) * Unit()));
   }
--- a/src/base/stable_table.h
+++ b/src/base/stable_table.h
@@ -1,4 +1,4 @@
-// A table by id whose records keep their address until they are erased. Not thread-safe.
+// A hash table whose records keep a stable address until they are erased. Not thread-safe.
 #ifndef STOATRUN_BASE_STABLE_TABLE_H_
 #define STOATRUN_BASE_STABLE_TABLE_H_
 
@@ -7,21 +7,21 @@
 
 namespace stoatrun {
 
-// It can't be iterated: the order would be unspecified.
+// It provides no iteration, because the order would be unspecified.
 template <typename Id, typename Record>
 class StableTable {
  public:
-  // The record of `id`, or null.
+  // Returns the record of `id`, or null if there is none.
   Record* Find(const Id& id) {
     const auto it = records_.find(id);
     return it == records_.end() ? nullptr : &it->second;
   }
-  // The record of `id`, and whether it has just been added with its default value.
+  // Returns the record of `id`, default-constructed if it is new, and whether it was added by this call.
   std::pair<Record&, bool> FindOrAdd(const Id& id) {
     const auto [it, added] = records_.try_emplace(id);
     return {it->second, added};
   }
-  // By value: `id` may be part of the record.
+  // Takes `id` by value because it may be part of the record.
   void Erase(Id id) { records_.erase(id); }
 
  private:
--- a/src/base/tcp_connection.cpp
+++ b/src/base/tcp_connection.cpp
@@ -18,13 +18,13 @@
 namespace {
 
 constexpr std::size_t kDiscardSize = std::size_t{128} * 1024;
-// Together more than a socket's buffer holds: what exceeds it comes from a peer that never stops.
+// In total more than a socket's receive buffer can hold; only a peer that keeps sending exceeds this.
 constexpr int kMaxDiscards = 64;
-constexpr std::size_t kMaxGather = 8;  // Pieces of one writev; further ones are queued.
-// A request must not be forwarded 0.3 s after its client has disconnected.
+constexpr std::size_t kMaxGather = 8;  // Maximum pieces per writev; further pieces are queued.
+// A request must not be forwarded later than 0.3 s after its client has disconnected.
 constexpr Micros kPeerResetInterval = std::chrono::milliseconds(100);
 
-// Discards some of what the socket holds: MSG_TRUNC makes the kernel drop the bytes without copying them.
+// Discards some received data: MSG_TRUNC makes the kernel drop the bytes without copying them.
 ssize_t DiscardSome(int fd) {
   static std::array<char, kDiscardSize> unused;
   return recv(fd, unused.data(), unused.size(), MSG_TRUNC);
@@ -95,7 +95,7 @@
 }
 
 void TcpConnection::ReadNow() {
-  if (!IsUp() || broken_ || peer_finished_) return;
+  if (!IsConnected() || broken_ || peer_finished_) return;
   if (reading_ && input_size_ < kInputCapacity) return ReadSome();
   CheckPeerReset();
 }
@@ -132,7 +132,7 @@
 
 void TcpConnection::Finish() {
   finish_requested_ = true;
-  if (IsUp() && QueuedBytes() == 0) Flush();
+  if (IsConnected() && QueuedBytes() == 0) Flush();
 }
 
 void TcpConnection::Close() {
@@ -149,7 +149,7 @@
   if (fd_ < 0) return;
   const linger reset_on_close{1, 0};
   setsockopt(fd_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
-  discarding_ = false;  // A reset may follow unread bytes.
+  discarding_ = false;  // Unread bytes need not be drained before a reset.
   Close();
 }
 
@@ -164,7 +164,8 @@
   handler_.OnEnd(id_, ConnectionEnd::kReset);
 }
 
-// A write fails in the middle of what its caller does, so the reset is reported by a callback of the loop.
+// A write may fail while its caller is in the middle of an operation, so the reset is reported later, by a
+// callback of the loop.
 void TcpConnection::ReportResetLater() {
   StopWatching();
   ev_feed_event(loop_.native_handle(), &watcher_, EV_CUSTOM);
@@ -191,9 +192,8 @@
   ev_io_start(loop_.native_handle(), &watcher_);
 }
 
-// The event loop reports a peer's end only while the socket is watched. With a full buffer or reading
-// disabled it is not, and a client that disconnected or a peer that reset would go unnoticed for as long as
-// that lasts.
+// The event loop reports a peer's close or reset only while the socket is watched. With a full input buffer
+// or with reading disabled it is not watched, and a disconnected client or a reset would go undetected.
 void TcpConnection::CheckPeerReset() {
   pollfd state{fd_, POLLRDHUP, 0};
   const bool has_events = poll(&state, 1, 0) > 0;
--- a/src/base/tcp_connection.h
+++ b/src/base/tcp_connection.h
@@ -1,9 +1,9 @@
 // One non-blocking TCP connection (IPv4) with bounded buffers, driven by the event loop. Client connections,
 // attempts, health checks, discovery and the management server use it.
 //
-// Errors don't throw: they end the connection, and OnEnd reports them. All calls and callbacks are on the
-// event loop's thread. A handler may close or destroy the connection in any callback, provided that its
-// memory stays until the callback has returned (see SlotMap::Reclaim).
+// Errors are not thrown: they end the connection and are reported by OnEnd. All calls and callbacks happen on
+// the event loop's thread. A handler may close or erase the connection in any callback, provided that the
+// object remains allocated until the callback has returned (see SlotMap::Reclaim).
 #ifndef STOATRUN_BASE_TCP_CONNECTION_H_
 #define STOATRUN_BASE_TCP_CONNECTION_H_
 
@@ -27,7 +27,7 @@
 struct Address {
   sockaddr_in raw{};
 
-  // Reads `IP:PORT`; nothing for any other text, as no names are resolved.
+  // Parses `IP:PORT`; nullopt for any other text. Host names are not resolved.
   static std::optional<Address> Parse(std::string_view text);
   bool operator==(const Address& other) const {
     return raw.sin_addr.s_addr == other.raw.sin_addr.s_addr && raw.sin_port == other.raw.sin_port;
@@ -36,39 +36,39 @@
 
 // How a connection ended.
 enum class ConnectionEnd {
-  kFinished,  // The peer has finished sending, in good order (FIN).
-  kReset,     // The connection failed, or could not be made.
+  kFinished,  // The peer has finished sending (FIN).
+  kReset,     // The connection failed or could not be established.
 };
 
-// Receives the events of connections, each named by the id that was passed to its constructor.
+// Receives the events of connections, which are identified by the id passed to their constructor.
 class TcpConnectionHandler {
  public:
   virtual ~TcpConnectionHandler() = default;
-  // Connect has succeeded.
+  // The connection requested by Connect is established.
   virtual void OnConnected(SlotId /*id*/) {}
-  // More input is there, see TcpConnection::input.
+  // More input is available, see TcpConnection::input.
   virtual void OnData(SlotId id) = 0;
-  // So many bytes came and were discarded, after DiscardInput.
+  // `size` bytes were received and discarded, after DiscardInput.
   virtual void OnInputDiscarded(SlotId /*id*/, std::size_t /*size*/) {}
-  // The connection ended; at most once for each connection.
+  // The connection has ended. Called at most once per connection.
   virtual void OnEnd(SlotId id, ConnectionEnd end) = 0;
-  // The peer has finished sending or closed, but what it sent has not all been read; OnEnd follows once it
-  // has.
+  // The peer has finished sending or closed, but some of its data has not been read yet; OnEnd follows once
+  // it has been read.
   virtual void OnPeerClosing(SlotId /*id*/) {}
   // All queued output has been written.
   virtual void OnWritable(SlotId /*id*/) {}
 };
 
-// Discards what the socket holds unread: a close with unread bytes sends a reset, which may overtake the last
-// bytes written.
+// Discards unread data in the socket's receive buffer: closing a socket with unread data sends a reset, which
+// may reach the peer before the last bytes written.
 void DiscardUnreadInput(int fd);
 
-// A connection, outgoing (Connect) or incoming (Adopt). It is used once: a closed connection stays closed.
+// An outgoing (Connect) or incoming (Adopt) connection. A closed connection can't be reopened.
 class TcpConnection {
  public:
-  // Bytes of input that are held until they are consumed: two lines of the longest form.
+  // The capacity of the input buffer in bytes: two lines of maximum length.
   static constexpr std::size_t kInputCapacity = std::size_t{2} * 4096;
-  // With more queued output than this the caller should stop reading from the source of the output.
+  // If more output than this is queued, the caller should stop reading from the source of the output.
   static constexpr std::size_t kHighWatermark = std::size_t{64} * 1024;
 
   // `handler` and `loop` must outlive the connection.
@@ -79,39 +79,39 @@
 
   // Takes ownership of a connected, non-blocking socket.
   void Adopt(int fd);
-  // Starts to connect; OnConnected or OnEnd follows. False: it failed at once, and no callback follows.
+  // Starts to connect; OnConnected or OnEnd follows. Returns false on immediate failure, without a callback.
   bool Connect(const Address& address);
 
-  // Is there a socket?
+  // Returns true if there is a socket.
   bool IsOpen() const { return fd_ >= 0; }
-  // Has the peer finished sending, and has all it sent been read?
+  // Returns true if the peer has finished sending and all its data has been read.
   bool PeerFinished() const { return peer_finished_; }
-  // Is there a socket that has connected?
-  bool IsUp() const { return IsOpen() && !connecting_; }
-  // Has the connection failed? OnEnd has reported it or is about to.
+  // Returns true if there is a connected socket.
+  bool IsConnected() const { return IsOpen() && !connecting_; }
+  // Returns true if the connection has failed; OnEnd has reported it or will.
   bool IsBroken() const { return broken_; }
 
-  // What has been read and not consumed. It stays at its place until Consume, also when more is read.
+  // The input that has been read but not consumed. The view stays valid until Consume, even if more is read.
   std::string_view input() const { return {input_.get(), input_size_}; }
-  // Removes the first `size` bytes of the input.
+  // Removes the first `size` bytes from the input.
   void Consume(std::size_t size);
-  // Enables or disables reading from the socket; it is enabled at first.
+  // Enables or disables reading from the socket; initially enabled.
   void SetReading(bool enabled);
-  // Discards all input from here on, read or not; OnInputDiscarded reports how much comes.
+  // Discards buffered and future input; OnInputDiscarded reports how much is received.
   void DiscardInput();
-  // Reads what the socket holds by now, before the event loop reports it: bytes and the peer's end.
+  // Reads available data and the peer's end of stream now, without waiting for the event loop to report them.
   void ReadNow();
 
-  // Writes the pieces in one call; what the socket doesn't take is queued. A failure is reported by OnEnd,
+  // Writes the pieces in one system call; queues what the socket doesn't accept. OnEnd reports a failure
   // later.
   void Write(std::initializer_list<std::string_view> pieces);
-  // Bytes of output that the socket has not taken yet.
+  // The number of queued output bytes that the socket has not accepted yet.
   std::size_t QueuedBytes() const { return output_.size() - output_begin_; }
-  // Ends our sending (FIN) once all queued output has been written; later writes are ignored.
+  // Shuts down the sending side (FIN) once all queued output has been written; later writes are ignored.
   void Finish();
-  // Closes the socket at once. No callback follows.
+  // Closes the socket immediately. No callback follows.
   void Close();
-  // The same, and the peer sees a reset.
+  // The same, but sends a reset to the peer.
   void Reset();
 
  private:
@@ -141,10 +141,10 @@
   bool discarding_ = false;
   bool peer_closing_reported_ = false;
   Timer peer_reset_check_;         // Set while the socket is not watched, see CheckPeerReset.
-  std::unique_ptr<char[]> input_;  // Allocated at the first byte: idle connections need none.
+  std::unique_ptr<char[]> input_;  // Allocated on first use: idle connections need none.
   std::size_t input_size_ = 0;
   std::string output_;
-  std::size_t output_begin_ = 0;  // What comes before has been written.
+  std::size_t output_begin_ = 0;  // Offset of the first unwritten byte.
 };
 
 }  // namespace stoatrun
--- a/src/base/timer_queue.cpp
+++ b/src/base/timer_queue.cpp
@@ -3,7 +3,7 @@
 namespace stoatrun {
 
 void TimerQueue::RunExpired(Micros now) {
-  const std::uint64_t limit = next_sequence_;  // Timers set from here on wait for the next run.
+  const std::uint64_t limit = next_sequence_;  // Timers set from now on run in the next call.
   while (!timers_.empty()) {
     const auto first = timers_.begin();
     if (first->first.time > now || first->first.sequence >= limit) return;
--- a/src/base/timer_queue.h
+++ b/src/base/timer_queue.h
@@ -1,7 +1,7 @@
-// Timers in one ordered queue, independent of any event loop: whoever drives the queue passes the time in.
+// A queue of timers, independent of any event loop: the owner of the queue passes in the time.
 //
-// Timers expire in the order of their times; those of the same time in the order in which they were set. Not
-// thread-safe.
+// Timers expire in the order of their times; timers with the same time in the order in which they were set.
+// Not thread-safe.
 #ifndef STOATRUN_BASE_TIMER_QUEUE_H_
 #define STOATRUN_BASE_TIMER_QUEUE_H_
 
@@ -17,22 +17,22 @@
 
 class Timer;
 
-// The set timers of one event loop. It must outlive its timers.
+// The pending timers of one event loop. Must outlive its timers.
 class TimerQueue {
  public:
-  // Runs the callbacks of the timers that have expired at `now`. A timer that a callback sets waits for the
-  // next call, even if its time has come.
+  // Runs the callbacks of the timers that have expired at `now`. A timer that is set by a callback runs in
+  // the next call at the earliest, even if it has already expired.
   void RunExpired(Micros now);
-  // The time of the earliest timer; only valid if the queue is not empty.
+  // The time of the earliest timer. The queue must not be empty.
   Micros Next() const { return timers_.begin()->first.time; }
-  // Is no timer set?
+  // Returns true if no timer is set.
   bool Empty() const { return timers_.empty(); }
 
  private:
   friend class Timer;
   struct Key {
     Micros time{0};
-    std::uint64_t sequence = 0;  // Counts all settings of timers.
+    std::uint64_t sequence = 0;  // Increases with each call of Timer::Set.
     bool operator<(const Key& other) const {
       return std::tie(time, sequence) < std::tie(other.time, other.sequence);
     }
@@ -41,7 +41,7 @@
   std::uint64_t next_sequence_ = 0;
 };
 
-// A one-shot timer with a fixed callback, owned by the object that the callback concerns: its destruction
+// A one-shot timer with a fixed callback. It is owned by the object that the callback uses; destruction
 // cancels it.
 class Timer {
  public:
@@ -50,12 +50,12 @@
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
-  // Runs the callback once at `time`, in place of any time set before. A time in the past expires at the next
-  // run of the queue.
+  // Schedules the callback to run once at `time`, replacing an earlier setting. A time in the past expires in
+  // the queue's next run.
   void Set(Micros time);
-  // The callback will not run; no effect if the timer is not set.
+  // Cancels the timer, if it is set.
   void Cancel();
-  // Is the callback still to run?
+  // Returns true if the callback has yet to run.
   bool IsSet() const { return is_set_; }
 
  private:
--- a/src/base/unique_fd.h
+++ b/src/base/unique_fd.h
@@ -1,4 +1,4 @@
-// Ownership of a file descriptor: closes it at the end of its scope. Not synchronized.
+// RAII ownership of a file descriptor. Not thread-safe.
 #ifndef STOATRUN_BASE_UNIQUE_FD_H_
 #define STOATRUN_BASE_UNIQUE_FD_H_
 
@@ -8,7 +8,7 @@
 
 namespace stoatrun {
 
-// Owns at most one file descriptor; negative values stand for none, as in the results of system calls.
+// Owns at most one file descriptor; negative values mean none, as in the results of system calls.
 class UniqueFd {
  public:
   UniqueFd() = default;
@@ -23,14 +23,14 @@
   UniqueFd(const UniqueFd&) = delete;
   UniqueFd& operator=(const UniqueFd&) = delete;
 
-  // The descriptor, still owned here; negative if there is none.
+  // Returns the descriptor without releasing ownership; negative if there is none.
   int Get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
 
-  // Hands the descriptor over to the caller without closing it.
+  // Releases ownership to the caller without closing the descriptor.
   int Release() { return std::exchange(fd_, -1); }
 
-  // Closes the descriptor, if there is one, and takes ownership of `fd`.
+  // Closes the current descriptor, if any, and takes ownership of `fd`.
   void Reset(int fd = -1) {
     const int old = std::exchange(fd_, fd);
     if (old >= 0) close(old);
--- a/src/base/usage_meter.h
+++ b/src/base/usage_meter.h
@@ -1,6 +1,6 @@
-// Interface by which the proxy reports open connections to whoever accounts for their use (the ledger).
+// The interface through which the proxy reports open connections to the usage accounting (the ledger).
 //
-// Threading: called on the event loop's thread only. Neither function blocks or throws.
+// Called on the event loop's thread only. No function blocks or throws.
 #ifndef STOATRUN_BASE_USAGE_METER_H_
 #define STOATRUN_BASE_USAGE_METER_H_
 
@@ -10,21 +10,21 @@
 
 namespace stoatrun {
 
-// Identifies one open connection to its usage meter. Kept by the owner of the connection; 16 bytes.
+// Identifies an open connection to its usage meter. Kept by the owner of the connection; 16 bytes.
 struct UsageHandle {
-  std::int64_t since_us = 0;  // When it began, by the monotonic clock.
-  std::uint32_t row = 0;      // The account it is counted in.
+  std::int64_t since_us = 0;  // Start time on the monotonic clock.
+  std::uint32_t row = 0;      // The account in which it is counted.
   bool open = false;
 };
 
-// Counts connection time by group and class.
+// Measures connection time by group and class.
 class UsageMeter {
  public:
   virtual ~UsageMeter() = default;
-  // A connection is established: its client is being sent UP. `group` may be empty; `class_index` is the
-  // index of its class in the settings.
+  // Called when a connection is established and UP is sent to its client. `group` may be empty; `class_index`
+  // is the index of its class in the settings.
   virtual UsageHandle Begin(std::string_view group, std::size_t class_index) = 0;
-  // The connection has ended. A handle that is not open is ignored; an open one is marked as ended.
+  // Called when the connection has ended; marks the handle as ended. A handle that is not open is ignored.
   virtual void End(UsageHandle& handle) = 0;
 };
 
