--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -17,12 +17,12 @@
 using json::object;
 
 std::optional<std::string> GetEnvironment(const char* name) {
-  const char* value = std::getenv(name);  // NOLINT(concurrency-mt-unsafe): there is one thread.
+  const char* value = std::getenv(name);  // NOLINT(concurrency-mt-unsafe): main thread only.
   if (value == nullptr || *value == '\0') return std::nullopt;
   return value;
 }
 
-// Reads all of `text` as an integer; nothing if it is none.
+// Parses all of `text` as an integer; nullopt if it is not one.
 template <typename T>
 std::optional<T> ParseInteger(std::string_view text, int base = 10) {
   T value{};
@@ -42,12 +42,12 @@
 int ParseDescriptor(const std::string& text) {
   const auto descriptor = ParseInteger<int>(text);
   if (!descriptor || *descriptor < 0) {
-    throw ConfigError("PROXY_ACCEPT_FD: expected the number of a descriptor, got '" + text + "'");
+    throw ConfigError("PROXY_ACCEPT_FD: expected a file descriptor number, got '" + text + "'");
   }
   return *descriptor;
 }
 
-// A number, or a string of hex digits: JSON numbers above 2^53 don't survive every writer.
+// The seed is a number or a string of hex digits, because some JSON writers round numbers above 2^53.
 std::uint64_t ReadSeed(const object& file) {
   const auto value = json::Find(file, "seed");
   if (!value) throw ConfigError("seed: missing");
@@ -57,7 +57,7 @@
   return *seed;
 }
 
-// The values of the environment that take precedence over the file's.
+// Environment variables that override values of the file.
 struct EnvironmentOverrides {
   std::optional<std::string> proxy_name, listen, discovery, management;
 };
@@ -123,7 +123,7 @@
 EndpointState ParseState(std::string_view phase) {
   if (phase == "ready") return EndpointState::kReady;
   if (phase == "gone") return EndpointState::kGone;
-  // A phase of a later protocol is no promise that new work is welcome.
+  // An unknown phase, from a newer protocol version, does not imply that the endpoint accepts new requests.
   return EndpointState::kDraining;
 }
 
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -1,9 +1,8 @@
-// Typed reads of JSON values (simdjson DOM), shared by the proxy's configuration, the discovery client and
+// Typed access to JSON values (simdjson DOM), shared by the proxy's configuration, the discovery client and
 // the simulator adapter.
 //
-// Every read that finds a value of another type throws JsonError with a message `WHERE: expected WHAT`. A key
-// that is missing and a value that is null are the same. All functions are pure; elements stay valid only as
-// long as their parser.
+// All accessors throw JsonError with the message `WHERE: expected WHAT` if a value has another type. A null
+// value is treated as a missing key. All functions are pure; elements are valid only as long as their parser.
 #ifndef STOATRUN_CONFIG_JSON_H_
 #define STOATRUN_CONFIG_JSON_H_
 
@@ -19,10 +18,10 @@
 
 namespace stoatrun {
 
-// A JSON document doesn't have the expected form. what() names the field.
+// A JSON document doesn't have the expected structure. what() names the field.
 class JsonError : public Error {
  public:
-  // `message` has the form `FIELD: PROBLEM`.
+  // `message` must have the format `FIELD: PROBLEM`.
   explicit JsonError(const std::string& message) : Error(ErrorCode::kMalformedInput, message) {}
 };
 
@@ -38,10 +37,10 @@
   throw JsonError(std::string(where) + ": " + std::string(what));
 }
 
-// Is the value null?
+// Returns true if the value is null.
 inline bool IsNull(const element& value) { return value.type() == element_type::NULL_VALUE; }
 
-// Reads an integer of 0 or more.
+// Reads a non-negative integer.
 inline std::uint64_t AsUnsigned(const element& value, std::string_view where) {
   std::uint64_t number = 0;
   if (value.get_uint64().get(number) != simdjson::SUCCESS) {
@@ -71,10 +70,10 @@
   return flag;
 }
 
-// Reads a string; the view belongs to the parser.
+// Reads a string; the view is valid as long as the parser.
 inline std::string_view AsText(const element& value, std::string_view where) {
   std::string_view text;
-  if (value.get_string().get(text) != simdjson::SUCCESS) Fail(where, "expected text");
+  if (value.get_string().get(text) != simdjson::SUCCESS) Fail(where, "expected a string");
   return text;
 }
 
@@ -92,21 +91,21 @@
   return fields;
 }
 
-// The value of `key`; nothing if the key is missing or its value is null.
+// The value of `key`; nullopt if the key is missing or its value is null.
 inline std::optional<element> Find(const object& fields, std::string_view key) {
   element value;
   if (fields.at_key(key).get(value) != simdjson::SUCCESS || IsNull(value)) return std::nullopt;
   return value;
 }
 
-// The object at `key`; nothing if there is none.
+// The object at `key`; nullopt if the key is missing or its value is null.
 inline std::optional<object> FindObject(const object& fields, std::string_view key) {
   const auto value = Find(fields, key);
   if (!value) return std::nullopt;
   return AsObject(*value, "facts." + std::string(key));
 }
 
-// The value of `key` in an object that may itself be missing.
+// The value of `key` in an object that may be missing itself.
 inline std::optional<element> Find(const std::optional<object>& fields, std::string_view key) {
   return fields ? Find(*fields, key) : std::nullopt;
 }
@@ -117,7 +116,7 @@
   return value ? AsNumber(*value, key) : fallback;
 }
 
-// The duration at `key`, a number of microseconds whose fraction is cut off, or `fallback` if there is none.
+// The duration at `key` in microseconds, truncated to an integer, or `fallback` if there is none.
 inline std::chrono::microseconds MicrosOr(const std::optional<object>& fields, std::string_view key,
                                           std::chrono::microseconds fallback) {
   const double micros = NumberOr(fields, key, static_cast<double>(fallback.count()));
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -16,7 +16,7 @@
 using google::protobuf::Message;
 using google::protobuf::TextFormat;
 
-// The field's value as text; empty for a message. A field that is not set has its default's text.
+// Formats the field's value as text; empty for a message. An unset field yields the text of its default.
 std::string ValueText(const Message& message, const FieldDescriptor* field) {
   std::string text;
   TextFormat::Printer printer;
@@ -54,7 +54,7 @@
   }
 }
 
-// Sets a singular field that is not set to its default.
+// Sets an unset singular field to its default.
 void SetToDefault(Message& message, const FieldDescriptor* field) {
   const auto* reflection = message.GetReflection();
   switch (field->cpp_type()) {
@@ -78,7 +78,7 @@
   }
 }
 
-// Fills in the defaults of `message` and of the messages that are set within it.
+// Fills in the defaults of `message` and of the nested messages that are set.
 void FillInDefaults(Message& message) {
   const auto* reflection = message.GetReflection();
   const auto* descriptor = message.GetDescriptor();
@@ -110,7 +110,7 @@
   const bool parsed = parser.ParseFromString(std::string(text), &file);
   if (parsed) CheckOperatorFile(file, locations, problems);
   problems.ThrowIfAny();
-  if (!parsed) throw OperatorFileError(name + ":1:1: not of the form");
+  if (!parsed) throw OperatorFileError(name + ":1:1: not a valid operator file");
   return file;
 }
 
@@ -119,7 +119,7 @@
   std::ifstream file(path, std::ios::binary);
   std::ostringstream text;
   if (!file || !(text << file.rdbuf() || file.peek() == std::ifstream::traits_type::eof())) {
-    // NOLINTNEXTLINE(concurrency-mt-unsafe): called at the start and at reloads, on the main thread.
+    // NOLINTNEXTLINE(concurrency-mt-unsafe): called on the main thread only.
     throw OperatorFileError(path + ": " + std::strerror(errno));
   }
   return ParseOperatorText(text.str(), path);
--- a/src/config/operator_file.h
+++ b/src/config/operator_file.h
@@ -1,7 +1,8 @@
-// Reads, checks, compares and prints the operator file (proto/operator.proto in protobuf text format).
+// Loads, validates, compares and formats the operator file (proto/operator.proto in protobuf text format).
 //
-// The schema's options say what is checked: ranges, forms, required fields, and whether a reload applies a
-// change. Pure apart from LoadOperatorFile; used at start-up and at reloads on the main thread.
+// The schema's options define the validation (ranges, formats, required fields) and which changes a reload
+// applies. All functions except LoadOperatorFile are pure. Used on the main thread, at start-up and on
+// reload.
 #ifndef STOATRUN_CONFIG_OPERATOR_FILE_H_
 #define STOATRUN_CONFIG_OPERATOR_FILE_H_
 
@@ -14,31 +15,31 @@
 
 namespace stoatrun {
 
-// All that is wrong with the file, one `FILE:LINE:COLUMN: FIELD: PROBLEM` a line.
+// The operator file is invalid. what() lists all problems, one per line: `FILE:LINE:COLUMN: FIELD: PROBLEM`.
 class OperatorFileError : public Error {
  public:
-  // `message` lists the problems.
+  // `message` must list the problems.
   explicit OperatorFileError(const std::string& message) : Error(ErrorCode::kInvalidOperatorFile, message) {}
 };
 
-// Reads and checks the file at `path`; an empty path gives the defaults. Throws OperatorFileError, also if
-// the file can't be read.
+// Loads and validates the file at `path`; an empty path yields the defaults. Throws OperatorFileError if the
+// file can't be read or is invalid.
 config::OperatorFile LoadOperatorFile(const std::string& path);
 
-// Reads and checks a text; errors call it `name`. Throws OperatorFileError.
+// Parses and validates `text`; `name` is the file name for error messages. Throws OperatorFileError.
 config::OperatorFile ParseOperatorText(std::string_view text, const std::string& name);
 
-// The fields in which two files differ, by their full names.
+// The full names of the fields in which two files differ.
 struct OperatorFileChange {
-  std::vector<std::string> reloadable;        // A reload applies these.
-  std::vector<std::string> restart_required;  // These take effect at the next start.
+  std::vector<std::string> reloadable;        // Applied by a reload.
+  std::vector<std::string> restart_required;  // Take effect at the next start.
 };
 
-// A field that is not set equals one that is set to its default.
+// Compares two files. An unset field is equal to a field set to its default.
 OperatorFileChange CompareOperatorFiles(const config::OperatorFile& before,
                                         const config::OperatorFile& after);
 
-// The file's text with all defaults filled in.
+// Formats the file as text, with all defaults filled in.
 std::string FormatOperatorFile(const config::OperatorFile& file);
 
 }  // namespace stoatrun
--- a/src/config/operator_file_checks.cpp
+++ b/src/config/operator_file_checks.cpp
@@ -19,9 +19,9 @@
 using google::protobuf::Message;
 using google::protobuf::TextFormat;
 
-constexpr int kNotRepeated = -1;  // The index of a singular field, for protobuf.
+constexpr int kNotRepeated = -1;  // Protobuf's index for a singular field.
 
-// The value of an unsigned field; nothing for a field of another type.
+// The value of an unsigned field; nullopt for a field of another type.
 std::optional<std::uint64_t> UnsignedValue(const Message& message, const FieldDescriptor* field, int index) {
   const auto* reflection = message.GetReflection();
   switch (field->cpp_type()) {
@@ -36,7 +36,7 @@
   }
 }
 
-// What is wrong with a text of this form; empty if nothing is.
+// Describes how `text` violates the format `form`; empty if it is valid.
 std::string FormProblem(config::Form form, const std::string& text) {
   if (form == config::ADDRESS && !Address::Parse(text)) return "expected IP:PORT, got '" + text + "'";
   if (form == config::FOLDER && (text.empty() || text.front() != '/')) {
@@ -48,7 +48,7 @@
   return {};
 }
 
-// Checks a message and the messages within it against the schema's options.
+// Validates a message and its nested messages against the schema's options.
 class SchemaChecker {
  public:
   explicit SchemaChecker(OperatorFileProblems& problems) : problems_(problems) {}
@@ -113,8 +113,8 @@
   OperatorFileProblems& problems_;
 };
 
-// Checks the rules between the entries of the fleet section: no two peers share a place, name or address, and
-// no two quotas are of one kind.
+// Validates the fleet section across entries: no two peers may have the same place, name or address, no place
+// may exceed the fleet's size, and no two quotas may be of the same kind.
 class FleetChecker {
  public:
   FleetChecker(const config::Fleet& fleet, const TextFormat::ParseInfoTree& locations,
@@ -132,20 +132,20 @@
     if (peer.place() >= fleet_.places()) {
       AddProblem(
           "peer", index,
-          fmt::format("place: {} is out of range, the fleet has {} places", peer.place(), fleet_.places()));
+          fmt::format("place: {} is out of range; the fleet has {} places", peer.place(), fleet_.places()));
     }
     for (int other = 0; other < index; ++other) ComparePeers(index, peer, fleet_.peer(other));
   }
 
   void ComparePeers(int index, const config::FleetPeer& peer, const config::FleetPeer& other) {
     if (peer.place() == other.place()) {
-      AddProblem("peer", index, fmt::format("place: {} is {}'s already", peer.place(), other.name()));
+      AddProblem("peer", index, fmt::format("place: {} is already used by {}", peer.place(), other.name()));
     }
     if (peer.name() == other.name()) {
-      AddProblem("peer", index, "name: '" + peer.name() + "' is there twice");
+      AddProblem("peer", index, "name: duplicate name '" + peer.name() + "'");
     }
     if (peer.address() == other.address()) {
-      AddProblem("peer", index, "address: " + peer.address() + " is " + other.name() + "'s already");
+      AddProblem("peer", index, "address: " + peer.address() + " is already used by " + other.name());
     }
   }
 
@@ -153,7 +153,7 @@
     const auto kind = fleet_.budget(index).kind();
     for (int other = 0; other < index; ++other) {
       if (kind != fleet_.budget(other).kind()) continue;
-      AddProblem("budget", index, "kind: " + config::FleetBudget::Kind_Name(kind) + " is there twice");
+      AddProblem("budget", index, "kind: duplicate entry for " + config::FleetBudget::Kind_Name(kind));
     }
   }
 
@@ -174,8 +174,8 @@
   MoveToValue(problems_.back());
 }
 
-// Protobuf's parser is one token further when it rejects the value of an enum: the operator wants the place
-// of the value itself.
+// When protobuf's parser rejects an enum value, it reports the position of the next token. This moves the
+// problem to the value itself.
 void OperatorFileProblems::MoveToValue(Problem& problem) const {
   constexpr std::string_view kUnknownValue = "Unknown enumeration value of \"";
   const std::string_view message = problem.message;
--- a/src/config/operator_file_checks.h
+++ b/src/config/operator_file_checks.h
@@ -1,5 +1,5 @@
-// The checks of a parsed operator file against the options of its schema, and of the rules between fields.
-// Pure.
+// Validates a parsed operator file against the options of its schema and against rules that span several
+// fields. Pure functions.
 #ifndef STOATRUN_CONFIG_OPERATOR_FILE_CHECKS_H_
 #define STOATRUN_CONFIG_OPERATOR_FILE_CHECKS_H_
 
@@ -14,18 +14,18 @@
 
 namespace stoatrun {
 
-// Collects the problems of one file, from protobuf's parser and from the checks. Lines and columns count from
-// 0 here, as in protobuf, and from 1 in the message.
+// Collects the problems in one file, from protobuf's parser and from the checks below. Lines and columns are
+// zero-based here, as in protobuf, and one-based in the error message.
 class OperatorFileProblems : public google::protobuf::io::ErrorCollector {
  public:
-  // `text`: the file, called `name` in the message. Both must outlive this object.
+  // `text`: the contents of the file; `name`: its name for error messages. Both must outlive this object.
   OperatorFileProblems(const std::string& name, std::string_view text) : name_(name), text_(text) {}
 
-  // Adds a problem at a place of the file.
+  // Adds a problem at a position in the file.
   void AddError(int line, int column, const std::string& message) override;
   // Warnings are ignored.
   void AddWarning(int /*line*/, int /*column*/, const std::string& /*message*/) override {}
-  // Throws OperatorFileError with all problems in the order of their places, if there are any.
+  // If there are problems, throws OperatorFileError with all of them in the order of their positions.
   void ThrowIfAny();
 
  private:
@@ -41,12 +41,12 @@
   std::vector<Problem> problems_;
 };
 
-// Checks all fields of `file`; `locations` are the places of its fields in the text.
+// Checks all fields of `file`; `locations` are the positions of its fields in the text.
 void CheckOperatorFile(const config::OperatorFile& file,
                        const google::protobuf::TextFormat::ParseInfoTree& locations,
                        OperatorFileProblems& problems);
 
-// The full name of a field within the message at `path`, which is empty for the file itself.
+// The full name of a field of the message at `path`; `path` is empty for top-level fields.
 std::string FieldPath(const std::string& path, const std::string& field_name);
 
 }  // namespace stoatrun
--- a/src/config/site_settings.cpp
+++ b/src/config/site_settings.cpp
@@ -49,17 +49,17 @@
   settings.setup_latency_objective = json::MicrosOr(fields, "target", Micros(0));
   settings.deduplication_window = json::MicrosOr(fields, "repeatWindow", Micros(0));
   settings.idempotency = ParseIdempotency(json::TextOr(fields, "effect", "at_most_once"));
-  // Without a scope the narrowest one is assumed: it promises least.
+  // Defaults to the narrowest scope, which guarantees the least.
   settings.deduplication_scope = ParseDeduplicationScope(json::TextOr(fields, "group", "cell"));
   return settings;
 }
 
-// The limits, rules and costs that aren't per class.
+// Reads the limits, rules and costs that are not specific to a class.
 void ReadFleetWideSettings(const std::optional<object>& facts, balancer::Settings& settings) {
   const auto limits = json::FindObject(*facts, "limits");
   const auto rules = json::FindObject(*facts, "invariants");
   const auto charges = json::FindObject(*facts, "charges");
-  json::FindObject(*facts, "familyInfo");  // Read later; here only so that errors are found in one order.
+  json::FindObject(*facts, "familyInfo");  // Read later; validated here to keep the order of errors.
   const auto stats = json::FindObject(*facts, "stats");
   settings.replicas = static_cast<std::uint32_t>(std::max(1.0, json::NumberOr(facts, "balancers", 1)));
   settings.zone = balancer::ZoneId(static_cast<std::uint32_t>(json::NumberOr(facts, "zone", 0)));
@@ -165,7 +165,7 @@
 }
 
 ReportField ReportFieldOf(std::string_view name) {
-  // On sockets reports may use the simulator's own names, which the wire protocol allows beside these.
+  // Load reports on sockets may also use the simulator's field names, which the wire protocol allows.
   if (name == "x0") return ReportField::kLoadRatio;
   if (name == "utilization" || name == "util") return ReportField::kUtilization;
   if (name == "outstanding" || name == "inflight") return ReportField::kOutstanding;
--- a/src/endpoint/discovery_client.cpp
+++ b/src/endpoint/discovery_client.cpp
@@ -12,23 +12,24 @@
 namespace stoatrun {
 namespace {
 
-// The service handles calls one after another, so the response's head may take seconds; the balancer asks
-// again after 6 s.
-constexpr Micros kHeadTimeout = std::chrono::milliseconds(3500);
-// A heartbeat is due every 2 s and may be a quarter late on a busy machine. Only complete events count: a
-// watch that brings bytes and never completes an event is as dead as one that brings none.
+// The service handles calls sequentially, so the response headers may take seconds. The balancer requests a
+// new watch after 6 s.
+constexpr Micros kResponseHeadersTimeout = std::chrono::milliseconds(3500);
+// The service sends a heartbeat every 2 s; on a busy machine it may be late by a quarter of that. Only
+// complete events extend the timeout: a watch that delivers bytes but never a complete event is as dead as a
+// silent one.
 constexpr Micros kEventTimeout = std::chrono::milliseconds(2500);
-// The platform assumes that a proxy knows what a silent watch missed 6 s after the watch's last event, and 2
-// s after the head timeout of a call that was never answered. A call that is to learn it in time needs a
-// second where many proxies call at once.
+// The platform assumes that a proxy knows the updates that a silent watch missed 6 s after the watch's last
+// event, or 2 s after the response headers of a call timed out. To learn them by then, a call needs 1 s for
+// its response when many proxies call at the same time.
 constexpr Micros kNotifiedAfterEvent = std::chrono::seconds(6);
-constexpr Micros kNotifiedAfterHeadTimeout = std::chrono::seconds(2);
+constexpr Micros kNotifiedAfterHeadersTimeout = std::chrono::seconds(2);
 constexpr Micros kResponseTime = std::chrono::seconds(1);
-// So many timeouts in a row are followed by a call in time for that; after them the service itself is
-// overloaded, and hurried calls would keep it so.
-constexpr int kMaxHurriedRetries = 2;
-// An endpoint takes some 150 bytes, or twice that indented: this is a few thousand endpoints, in a thirtieth
-// of the least memory that a proxy is given.
+// Only this many consecutive timeouts are followed by a retry that meets the deadline above. After more of
+// them the service itself is overloaded, and early retries would keep it overloaded.
+constexpr int kMaxEarlyRetries = 2;
+// An endpoint takes about 150 bytes of JSON, or twice that if indented, so this is enough for a few thousand
+// endpoints. It is one thirtieth of the minimum memory of a proxy.
 constexpr std::size_t kMaxObjectSize = 1 << 20;
 constexpr unsigned kHttpOk = 200;
 
@@ -36,7 +37,7 @@
 
 DiscoveryClient::DiscoveryClient(EventLoop& loop, DiscoveryListener& listener, Counters& counters,
                                  const Address& address, std::string host, std::uint64_t known_revision,
-                                 const Callers& callers)
+                                 const CallPacing& pacing)
     : loop_(loop),
       listener_(listener),
       counters_(counters),
@@ -45,7 +46,7 @@
       revision_(known_revision),
       retry_timer_(loop.timers, [this] { StartCall(); }),
       watch_timeout_(loop.timers, [this] { OnWatchTimeout(); }),
-      backoff_(callers.relays, callers.longest_wait, callers.seed),
+      backoff_(pacing.callers, pacing.max_delay, pacing.jitter_seed),
       framer_(kMaxObjectSize) {
   http_parser_settings_init(&parser_settings_);
   parser_settings_.on_headers_complete = OnHeadersComplete;
@@ -55,7 +56,7 @@
 }
 
 void DiscoveryClient::Watch() {
-  watching_ = answer_due_ = true;
+  watching_ = response_due_ = true;
   if (calls_.Find(call_) == nullptr && !retry_timer_.IsSet()) ScheduleFirstCall();
 }
 
@@ -67,13 +68,13 @@
 
 void DiscoveryClient::ChangeAddress(const Address& address, std::string host) {
   const bool same_host = host == host_;
-  // A second reload must not cancel the call that the first one started.
+  // A second reload must not cancel the call that the first reload started.
   if (same_host && calls_.Find(call_) != nullptr) return;
   address_ = address;
   host_ = std::move(host);
-  // Another service counts its own revisions: only a complete list is sure to leave nothing out.
+  // Revisions of different services are unrelated: only a complete list is certain to omit nothing.
   if (!same_host) revision_ = 0;
-  // The delays grew at the old address: they must not keep the proxy from the new one.
+  // Backoff from failures at the old address must not delay calls to the new one.
   backoff_.Reset();
   CancelCall();
   if (watching_) ScheduleFirstCall();
@@ -94,8 +95,8 @@
   parser_.data = this;
   framer_.Clear();
   response_ = {};
-  // A connection that fails at once is handled in a callback of its own, like any other failure.
-  watch_timeout_.Set(loop_.Now() + (call.connection.Connect(address_) ? kHeadTimeout : Micros(1)));
+  // A connection that fails immediately is also reported by a later callback, like any other failure.
+  watch_timeout_.Set(loop_.Now() + (call.connection.Connect(address_) ? kResponseHeadersTimeout : Micros(1)));
 }
 
 void DiscoveryClient::OnConnected(SlotId id) {
@@ -128,9 +129,10 @@
 }
 
 void DiscoveryClient::OnWatchTimeout() {
-  if (++consecutive_timeouts_ <= kMaxHurriedRetries) {
-    const Micros after_head = response_.received_event ? Micros(0) : loop_.Now() + kNotifiedAfterHeadTimeout;
-    notified_deadline_ = std::max(last_event_at_ + kNotifiedAfterEvent, after_head);
+  if (++consecutive_timeouts_ <= kMaxEarlyRetries) {
+    const Micros after_headers =
+        response_.received_event ? Micros(0) : loop_.Now() + kNotifiedAfterHeadersTimeout;
+    notified_deadline_ = std::max(last_event_at_ + kNotifiedAfterEvent, after_headers);
   }
   FailWatch(WatchFailure::kTimedOut);
 }
@@ -142,7 +144,7 @@
   watch_timeout_.Set(last_event_at_ + kEventTimeout);
 }
 
-// The words of the log, which on-call staff search for.
+// The reasons in the log, which operators search for.
 const char* DiscoveryClient::LogName(WatchFailure failure) {
   switch (failure) {
     case WatchFailure::kRejected:
@@ -161,20 +163,20 @@
 
 void DiscoveryClient::FailWatch(WatchFailure failure) {
   Micros delay = backoff_.NextDelay();
-  // In a large fleet the delays exceed the time until the missed updates are assumed to be known.
+  // In a large fleet the backoff may exceed the time left until the missed updates are assumed to be known.
   const Micros remaining = notified_deadline_ - kResponseTime - loop_.Now();
   if (remaining.count() > 0) delay = std::min(delay, backoff_.DelayWithin(remaining / 2));
   LogLine(Level::kInfo, "watch failed").Reason(LogName(failure)).Field("again_in_ms", delay.count() / 1000);
   ++counters_.watch_failures;
   CancelCall();
   retry_timer_.Set(loop_.Now() + delay);
-  if (std::exchange(answer_due_, false)) listener_.OnWatchFailed();
+  if (std::exchange(response_due_, false)) listener_.OnWatchFailed();
 }
 
 int DiscoveryClient::OnHeadersComplete(http_parser* parser) {
   auto* self = static_cast<DiscoveryClient*>(parser->data);
   self->response_.rejected = parser->status_code != kHttpOk;
-  // The service has begun to serve this call: from now on events are due.
+  // The service has started to handle this call: events are due from now on.
   if (!self->response_.rejected) self->watch_timeout_.Set(self->loop_.Now() + kEventTimeout);
   return 0;
 }
@@ -193,7 +195,7 @@
 void DiscoveryClient::HandleBody(std::string_view body) {
   if (response_.malformed) return;
   const auto on_object = [this](std::string_view object) { return HandleUpdate(object); };
-  // What follows a malformed object can't be trusted: a new watch is made.
+  // Data after a malformed object can't be trusted, so the watch is renewed.
   response_.malformed = !framer_.Feed(body, on_object, [this] { RecordEvent(); });
 }
 
@@ -203,19 +205,19 @@
     simdjson::dom::parser parser;
     simdjson::dom::element root;
     if (parser.parse(simdjson::padded_string(object)).get(root) != simdjson::SUCCESS) {
-      LogLine(Level::kWarn, "discovery sent what is not JSON,").Field("size", object.size());
+      LogLine(Level::kWarn, "discovery sent invalid JSON").Field("size", object.size());
       return false;
     }
     update = ParseEndpointUpdate(root);
   } catch (const JsonError& error) {
-    LogLine(Level::kWarn, "discovery sent a malformed list").Reason(error.what());
+    LogLine(Level::kWarn, "discovery sent a malformed endpoint list").Reason(error.what());
     return false;
   }
   RecordEvent();
   revision_ = update.revision;
   notified_deadline_ = Micros(0);
   backoff_.Reset();
-  answer_due_ = false;
+  response_due_ = false;
   ++counters_.endpoint_updates;
   listener_.OnEndpointUpdate(update);
   return true;
--- a/src/endpoint/discovery_client.h
+++ b/src/endpoint/discovery_client.h
@@ -1,9 +1,9 @@
-// The discovery client: holds a long-poll watch (HTTP/1.1, one JSON object per update) on the list of
-// endpoints, and renews it when it ends, fails or times out.
+// The discovery client: maintains a long-poll watch (HTTP/1.1, one JSON object per update) on the endpoint
+// list, and renews it when it ends, fails or times out.
 //
-// At most one call is under way. A call fails if it brings neither an update nor a heartbeat (an empty line)
-// in time; the next call is then made after a backoff. The list in force stays so while there is no watch.
-// All calls and callbacks are on the event loop's thread; nothing throws.
+// At most one call is in progress. A call fails if it delivers neither an update nor a heartbeat (an empty
+// line) in time; it is retried after a backoff. The current endpoint list remains in effect while there is no
+// watch. All calls and callbacks happen on the event loop's thread; nothing throws.
 #ifndef STOATRUN_ENDPOINT_DISCOVERY_CLIENT_H_
 #define STOATRUN_ENDPOINT_DISCOVERY_CLIENT_H_
 
@@ -24,34 +24,34 @@
 
 namespace stoatrun {
 
-// Receives what discovery reports.
+// Receives endpoint updates and watch failures.
 class DiscoveryListener {
  public:
   virtual ~DiscoveryListener() = default;
-  // A watch event. It may call Watch and ChangeAddress.
+  // An update was received. The listener may call Watch and ChangeAddress.
   virtual void OnEndpointUpdate(const EndpointUpdate& update) = 0;
-  // The first call after Watch failed.
+  // The first call made after Watch has failed.
   virtual void OnWatchFailed() = 0;
 };
 
 // The client of one discovery service.
 class DiscoveryClient : public TcpConnectionHandler {
  public:
-  // How the calls are paced.
-  struct Callers {
-    std::uint32_t relays = 1;        // Proxies that share the service, this one included.
-    std::uint64_t seed = 0;          // Of the backoff's jitter.
-    Micros longest_wait{6'000'000};  // Between two calls.
+  // Determines the delays between calls.
+  struct CallPacing {
+    std::uint32_t callers = 1;      // Proxies that share the service, including this one.
+    std::uint64_t jitter_seed = 0;  // Seed of the backoff's jitter.
+    Micros max_delay{6'000'000};    // Maximum delay between two calls.
   };
 
-  // `host`: the value of the Host header. `known_revision`: of the list that is in force already; 0: none.
-  // The references must outlive the client, and the loop's last turn must come before its end.
+  // `host`: the value of the Host header. `known_revision`: the revision of the current endpoint list; 0:
+  // none. The references must outlive the client, and the loop must not run after the client's destruction.
   DiscoveryClient(EventLoop& loop, DiscoveryListener& listener, Counters& counters, const Address& address,
-                  std::string host, std::uint64_t known_revision, const Callers& callers);
+                  std::string host, std::uint64_t known_revision, const CallPacing& pacing);
 
-  // Holds a watch from now on. Each call is answered by one OnEndpointUpdate or one OnWatchFailed.
+  // Starts to maintain a watch. Each call of Watch is followed by one OnEndpointUpdate or OnWatchFailed.
   void Watch();
-  // Uses another address from now on. The list in force stays so until the new address answers.
+  // Switches to another address. The current endpoint list remains in effect until the new address responds.
   void ChangeAddress(const Address& address, std::string host);
 
   void OnConnected(SlotId id) override;
@@ -65,11 +65,11 @@
     SlotId id;
     TcpConnection connection;
   };
-  // What the present call has brought.
+  // The state of the current call's response.
   struct Response {
-    bool rejected = false;   // By its status.
-    bool ended = false;      // The response is complete, so the watch is over.
-    bool malformed = false;  // Its body can't be split into objects.
+    bool rejected = false;   // Its status is not 200.
+    bool ended = false;      // It is complete, so the watch has ended.
+    bool malformed = false;  // Its body can't be split into valid objects.
     bool received_event = false;
   };
 
@@ -93,17 +93,17 @@
   Address address_;
   std::string host_;
   std::uint64_t revision_;
-  SlotMap<Call> calls_;  // The present call, and ended ones until the end of the turn.
+  SlotMap<Call> calls_;  // The current call, and ended calls until the end of the turn.
   SlotId call_;
   Timer retry_timer_;
   Timer watch_timeout_;
   Backoff backoff_;
   bool watching_ = false;
-  bool answer_due_ = false;  // Watch has not been answered yet.
+  bool response_due_ = false;  // The last call of Watch has had no update or failure yet.
   Response response_;
-  Micros last_event_at_{0};  // Of all calls.
-  // From this time the platform assumes that the proxy has learned what the timed-out watch missed; 0: no
-  // watch has timed out since the last update, or the deadline is not observed.
+  Micros last_event_at_{0};  // Over all calls.
+  // The time from which the platform assumes that the proxy knows the updates missed by the timed-out watch.
+  // 0: no watch has timed out since the last update, or there were too many timeouts to meet the deadline.
   Micros notified_deadline_{0};
   int consecutive_timeouts_ = 0;  // Since the last event.
   JsonObjectFramer framer_;
--- a/src/endpoint/endpoint_update.h
+++ b/src/endpoint/endpoint_update.h
@@ -1,5 +1,4 @@
-// The endpoint list as a source of endpoints delivers it: discovery, or the configuration file's cached list.
-// Plain data, without an owner or a thread.
+// Updates of the endpoint list, from discovery or from the cached list in the configuration file. Plain data.
 #ifndef STOATRUN_ENDPOINT_ENDPOINT_UPDATE_H_
 #define STOATRUN_ENDPOINT_ENDPOINT_UPDATE_H_
 
@@ -9,28 +8,28 @@
 
 namespace stoatrun {
 
-// May an endpoint be used?
+// Whether an endpoint accepts requests.
 enum class EndpointState {
-  kReady,     // Takes new requests.
-  kDraining,  // Keeps what it has, takes nothing new.
+  kReady,     // Accepts new requests.
+  kDraining,  // Keeps its connections but accepts no new requests.
   kGone,      // Removed from the list.
 };
 
-// One upstream host.
+// An upstream server.
 struct Endpoint {
   std::string id;
   std::string address;  // IP:PORT.
   std::string locality;
   EndpointState state = EndpointState::kReady;
-  std::uint64_t cell = 0;            // Hosts of one cell fail together.
-  double size = 1.0;                 // Capacity, relative to the other hosts.
-  std::int64_t started_unix_ms = 0;  // When its process started, in Unix time; 0: long ago.
+  std::uint64_t cell = 0;            // Endpoints in the same cell share a failure domain.
+  double size = 1.0;                 // Capacity relative to the other endpoints.
+  std::int64_t started_unix_ms = 0;  // Start time of its process, in Unix time; 0: long ago.
 };
 
-// A watch event: the changes of some endpoints, or the complete list.
+// An update: changes to some endpoints, or the complete list.
 struct EndpointUpdate {
   std::uint64_t revision = 0;
-  bool complete = false;  // Endpoints that aren't listed are gone.
+  bool complete = false;  // Endpoints that aren't listed have been removed.
   std::vector<Endpoint> entries;
 };
 
--- a/src/endpoint/json_framing.h
+++ b/src/endpoint/json_framing.h
@@ -1,8 +1,8 @@
-// Splits a byte stream into its top-level JSON objects, whatever their layout on lines and however the stream
-// is cut into pieces.
+// Splits a byte stream into its top-level JSON objects, independently of line breaks and of how the stream is
+// split into reads.
 //
-// It follows braces, brackets and strings alone; whether an object is valid JSON is for its parser to say.
-// Not thread-safe.
+// Only braces, brackets and strings are tracked; the objects must still be validated by a JSON parser. Not
+// thread-safe.
 #ifndef STOATRUN_ENDPOINT_JSON_FRAMING_H_
 #define STOATRUN_ENDPOINT_JSON_FRAMING_H_
 
@@ -12,16 +12,16 @@
 
 namespace stoatrun {
 
-// The state of splitting one stream.
+// Splits one stream.
 class JsonObjectFramer {
  public:
-  // `max_object_size`: in bytes; a longer object is an error.
+  // `max_object_size`: in bytes; a larger object is an error.
   explicit JsonObjectFramer(std::size_t max_object_size) : max_object_size_(max_object_size) {}
 
-  // Takes the next bytes of the stream. Calls `on_object(text)` for each object that is complete, and
-  // `on_line_end()` for each end of a line between objects. False: something else than an object began, an
-  // object is too long, or `on_object` returned false; the rest of the stream can't be split then, until
-  // Clear.
+  // Processes the next bytes of the stream. Calls `on_object(text)` for each completed object, and
+  // `on_line_end()` for each line break between objects. Returns false if something other than an object
+  // starts, an object is too large, or `on_object` returns false; the rest of the stream can't be split then,
+  // and Clear must be called.
   template <typename OnObject, typename OnLineEnd>
   bool Feed(std::string_view bytes, OnObject&& on_object, OnLineEnd&& on_line_end) {
     for (const char byte : bytes) {
@@ -32,20 +32,20 @@
       }
       if (object_.size() == max_object_size_) return false;
       object_ += byte;
-      FollowStructure(byte);
+      UpdateNesting(byte);
       if (depth_ > 0) continue;
       if (!on_object(std::string_view(object_))) return false;
       object_.clear();
     }
     return true;
   }
-  // Has an object begun that is not complete?
+  // Returns true if an object has started but is not complete.
   bool InsideObject() const { return depth_ > 0; }
-  // Starts over with a new stream.
+  // Resets the framer for a new stream.
   void Clear() { *this = JsonObjectFramer(max_object_size_); }
 
  private:
-  void FollowStructure(char byte) {
+  void UpdateNesting(char byte) {
     if (in_string_) {
       if (byte == '"' && !escaped_) in_string_ = false;
       escaped_ = byte == '\\' && !escaped_;
@@ -59,10 +59,10 @@
   }
 
   std::size_t max_object_size_;
-  std::size_t depth_ = 0;  // Of open braces and brackets.
+  std::size_t depth_ = 0;  // Number of open braces and brackets.
   bool in_string_ = false;
-  bool escaped_ = false;  // The last character in the string was an escaping backslash.
-  std::string object_;    // What has come of the present object.
+  bool escaped_ = false;  // The previous character was an escaping backslash.
+  std::string object_;    // The part of the current object received so far.
 };
 
 }  // namespace stoatrun
--- a/tests/cli/cli_program.sh
+++ b/tests/cli/cli_program.sh
@@ -24,7 +24,7 @@
 output_has 'management: 127.0.0.1:9'; output_has 'handed down as descriptor 4'
 # An inherited descriptor that is no listening socket is reported by name and number.
 expect 2 env PROXY_CONFIG="$config" PROXY_ACCEPT_FD=7 "$relay" run 7</dev/null; output_has 'PROXY_ACCEPT_FD: descriptor 7 is not a socket'
-expect 2 env PROXY_CONFIG="$config" PROXY_ACCEPT_FD=x "$relay" run; output_has "PROXY_ACCEPT_FD: expected the number of a descriptor, got 'x'"
+expect 2 env PROXY_CONFIG="$config" PROXY_ACCEPT_FD=x "$relay" run; output_has "PROXY_ACCEPT_FD: expected a file descriptor number, got 'x'"
 printf 'log {\n  level: DEBUG\n  colour: 1\n}\n' >cli_operator.txtpb
 expect 2 env PROXY_CONFIG="$config" STOATRUN_OPERATOR=cli_operator.txtpb "$relay" check; output_has 'cli_operator.txtpb:3:9: .*colour'
 expect 2 env PROXY_CONFIG="$config" "$relay" --operator /nonexistent run; output_has '/nonexistent: No such file'
--- a/tests/config/operator_file_test.cpp
+++ b/tests/config/operator_file_test.cpp
@@ -1,4 +1,5 @@
-// The operator file: its errors, what a reload takes up; and the text of JSON log records.
+// Tests of the operator file (error messages, changes applied by a reload) and of the escaping of JSON log
+// records.
 #include "config/operator_file.h"
 
 #include <fmt/format.h>
@@ -27,7 +28,7 @@
   CHECK_THAT(error("log { level: DEBUG level: INFO }"), Catch::Contains("level"));
 }
 
-TEST_CASE("the fleet section is validated in full, each error reported at its position") {
+TEST_CASE("all errors in the fleet section are reported, each at its position") {
   const auto error = [](const std::string& peers) -> std::string {
     try {
       ParseOperatorText("fleet {\n  name: \"f\" places: 2\n" + peers + "}", "f");
@@ -39,21 +40,21 @@
   const std::string peer = "  peer { place: 0 name: \"n0\" address: \"127.0.0.1:1\" }\n";
   CHECK(error(peer) == "none");
   CHECK(error(peer + "  peer { place: 2 name: \"n1\" address: \"127.0.0.1:2\" }\n") ==
-        "f:4:3: fleet.peer.place: 2 is out of range, the fleet has 2 places");
+        "f:4:3: fleet.peer.place: 2 is out of range; the fleet has 2 places");
   CHECK(error(peer + "  peer { place: 0 name: \"n1\" address: \"127.0.0.1:2\" }\n") ==
-        "f:4:3: fleet.peer.place: 0 is n0's already");
+        "f:4:3: fleet.peer.place: 0 is already used by n0");
   CHECK_THAT(error(peer + "  peer { place: 1 name: \"n0\" address: \"127.0.0.1:1\" }\n"),
-             Catch::Contains("fleet.peer.name: 'n0' is there twice") &&
-                 Catch::Contains("fleet.peer.address: 127.0.0.1:1 is n0's already"));
+             Catch::Contains("fleet.peer.name: duplicate name 'n0'") &&
+                 Catch::Contains("fleet.peer.address: 127.0.0.1:1 is already used by n0"));
   CHECK_THAT(error("  budget { kind: PROBES units: 0 }\n"),
              Catch::Contains("fleet.budget.units: 0 is out of range"));
   CHECK_THAT(error("  budget { kind: PROBES units: 1 }\n  budget { kind: PROBES units: 2 }\n"),
-             Catch::StartsWith("f:4:3: fleet.budget.kind: PROBES is there twice"));
+             Catch::StartsWith("f:4:3: fleet.budget.kind: duplicate entry for PROBES"));
   CHECK_THAT(error("  peer { place: 1 name: \"n 1\" address: \"here\" }\n"),
              Catch::Contains("expected a name") && Catch::Contains("expected IP:PORT"));
 }
 
-TEST_CASE("a reload separates the fields it takes up from those that need a restart") {
+TEST_CASE("changed fields are divided into those a reload applies and those that require a restart") {
   const auto base = ParseOperatorText("", "f");
   CHECK(CompareOperatorFiles(base, ParseOperatorText("log { level: INFO }", "f")).reloadable.empty());
   const auto change = CompareOperatorFiles(base, ParseOperatorText("log { level: DEBUG form: JSON }", "f"));
@@ -62,7 +63,7 @@
   CHECK_THAT(FormatOperatorFile(base), Catch::Contains("level: INFO") && Catch::Contains("form: TEXT"));
 }
 
-TEST_CASE("text in JSON log records is valid UTF-8 whatever a client sent") {
+TEST_CASE("text in JSON log records is valid UTF-8 for any client input") {
   const auto json = [](std::string_view text) {
     fmt::memory_buffer out;
     AppendJsonEscaped(out, text);
--- a/tests/endpoint/discovery_client_test.cpp
+++ b/tests/endpoint/discovery_client_test.cpp
@@ -1,5 +1,5 @@
-// The discovery client: the forms of updates, watch timeouts and retries. The script language of
-// LoopbackFixture::Play is described in proxy/loopback_fixture.h.
+// Tests of the discovery client: formats of updates, watch timeouts and retries. proxy/loopback_fixture.h
+// documents the script language of LoopbackFixture::Play.
 #include <catch2/catch.hpp>
 #include <string>
 
@@ -10,7 +10,7 @@
 namespace {
 
 // A complete update that drains the only endpoint, with braces and quotes inside strings.
-constexpr std::string_view kDrain =
+constexpr std::string_view kDrainUpdate =
     R"({\n  "revision": 2,\n  "later": "}]\"{",\n  "complete": false,\n  "members": [\n    {)"
     R"("id": "s-1", "phase": "draining", "later": {"a": [1, {}]}}\n  ]\n})";
 
@@ -19,20 +19,21 @@
   fixture.Play("a send OPEN 1 k c=watch,d=300\nwait 300\na expect BUSY*\ns-1 legs 0");
 }
 
-TEST_CASE("an update may be indented, cut into any pieces, and without an end of line") {
+TEST_CASE("an update may be indented, split at any byte, and without a final line break") {
   LoopbackFixture fixture({"s-1"});
-  SECTION("in one piece") { fixture.Play("discovery raw " + std::string(kDrain)); }
-  SECTION("cut at every byte") {
-    for (std::size_t k = 0; k < kDrain.size(); ++k) {
-      const std::size_t size = kDrain[k] == '\\' && kDrain[k + 1] == 'n' ? 2 : 1;
-      // A script step's text can't begin with a blank, so blanks stay with the piece before them.
-      const std::size_t more = kDrain.substr(k + size).find_first_not_of(' ');
-      fixture.Play("discovery raw " + std::string(kDrain.substr(k, size + more * (more < kDrain.size()))));
-      k += size + more * (more < kDrain.size()) - 1;
+  SECTION("in one piece") { fixture.Play("discovery raw " + std::string(kDrainUpdate)); }
+  SECTION("split at every byte") {
+    for (std::size_t k = 0; k < kDrainUpdate.size(); ++k) {
+      const std::size_t size = kDrainUpdate[k] == '\\' && kDrainUpdate[k + 1] == 'n' ? 2 : 1;
+      // The text of a script step can't start with a space, so spaces are sent with the preceding byte.
+      const std::size_t next = kDrainUpdate.substr(k + size).find_first_not_of(' ');
+      const std::size_t spaces = next < kDrainUpdate.size() ? next : 0;
+      fixture.Play("discovery raw " + std::string(kDrainUpdate.substr(k, size + spaces)));
+      k += size + spaces - 1;
     }
   }
   SECTION("two in one piece") {
-    fixture.Play(R"(discovery raw {"revision":1,"members":[]})" + std::string(kDrain));
+    fixture.Play(R"(discovery raw {"revision":1,"members":[]})" + std::string(kDrainUpdate));
     CHECK(fixture.Counts().endpoint_updates == 2);
     fixture.Play("a send OPEN 1 k c=watch,d=300\nwait 300\na expect BUSY*\ns-1 legs 0");
     return;
@@ -41,7 +42,7 @@
   CheckDrained(fixture);
 }
 
-TEST_CASE("a complete response with a length is accepted, and one that ends within an object is not") {
+TEST_CASE("a complete response with Content-Length is accepted, and a truncated object is rejected") {
   LoopbackFixture fixture({"s-1"});
   fixture.Play("discovery mute\ndiscovery watches 1");
   const std::string body = R"({"revision":2,"complete":true,"members":[]})";
@@ -50,11 +51,11 @@
     fixture.Play("discovery plain " + head + std::to_string(body.size()) + R"(\r\n\r\n)" + body);
     CheckDrained(fixture);
   }
-  SECTION("its length ends within an object") {
+  SECTION("the Content-Length ends within an object") {
     fixture.Play("discovery plain " + head + std::to_string(body.size() - 1) + R"(\r\n\r\n)" + body);
     CHECK(fixture.Counts().endpoint_updates == 0);
   }
-  SECTION("its connection ends within an object") {
+  SECTION("the connection ends within an object") {
     fixture.Play("discovery plain " + head + "999" + R"(\r\n\r\n)" + body.substr(0, 30) +
                  "\ndiscovery close");
     CHECK(fixture.Counts().endpoint_updates == 0);
@@ -81,40 +82,40 @@
   CHECK_FALSE(feed("]"));
 }
 
-// Regression: any byte used to extend the timeout, so a watch that sent half an update slowly was kept for as
-// long as it sent.
+// Regression test: every byte received used to extend the timeout, so a watch that slowly sent an incomplete
+// update never timed out.
 TEST_CASE("a watch that sends bytes but never completes an event times out like a silent one") {
   LoopbackFixture fixture({"s-1"});
-  std::string drip;
+  std::string send_byte;
   SECTION("an object that never ends") {
     fixture.Play("discovery watches 1");
-    drip = "discovery raw [";
+    send_byte = "discovery raw [";
     fixture.Play("discovery raw {\"members\":");
   }
-  SECTION("a head that never ends") {
+  SECTION("response headers that never end") {
     fixture.Play("discovery mute\ndiscovery watches 1\ndiscovery plain HTTP/1.1 200 OK\\r\\nX: ");
-    drip = "discovery plain x";
+    send_byte = "discovery plain x";
   }
-  SECTION("a response of whitespace") {
+  SECTION("a body of whitespace") {
     fixture.Play("discovery watches 1");
-    drip = "discovery raw \\r";
+    send_byte = "discovery raw \\r";
   }
   for (int ms = 0; ms < 3400; ms += 200) {
-    if (fixture.Counts().watch_failures == 0) fixture.Play(drip);
+    if (fixture.Counts().watch_failures == 0) fixture.Play(send_byte);
     fixture.Play("wait 200");
   }
   fixture.Play("discovery serve\nwait 200\ndiscovery watches 2");
   CHECK(fixture.Counts().endpoint_updates == 0);
 }
 
-// The platform assumes that a proxy knows what a silent watch missed 6 s after its last event. Regression: in
-// a fleet of hundreds the delays between calls alone used to be 3 to 6 s.
+// The platform assumes that a proxy knows the updates missed by a silent watch 6 s after the watch's last
+// event. Regression test: in a fleet of hundreds of relays the delays between calls used to be 3 to 6 s.
 TEST_CASE("updates that a silent watch missed are fetched before the proxy is assumed to know them") {
   const auto [mode, relays] = GENERATE(table<std::string, int>(
       {{"subscribe", 1}, {"subscribe", 2}, {"subscribe", 100}, {"subscribe", 300}, {"automatic", 300}}));
   INFO(mode << ", " << relays << " relays");
   LoopbackFixture fixture({"s-1"}, {.fleet_size = relays, .discovery_mode = mode});
-  // The first calls of a fleet are spread over seconds; the time counts from the first event.
+  // In a large fleet the first call is delayed by up to seconds; the deadline counts from the first event.
   while (!fixture.DiscoveryCallCount()) fixture.Play("wait 50");
   fixture.Play(R"(discovery send {"revision":1,"members":[]})");
   int remaining = 6000;
@@ -132,33 +133,33 @@
     fixture.Play("discovery mute");
     while (fixture.Counts().watch_failures < 2) wait(20);
     fixture.Play("discovery serve");
-    remaining = 2000;  // After the head timeout, if that is later.
+    remaining = 2000;  // After the timeout of the response headers, if that is later.
   }
   const auto calls = fixture.DiscoveryCallCount();
   while (fixture.DiscoveryCallCount() == calls && remaining > 0) wait(20);
   fixture.Play(R"(discovery send {"revision":2,"complete":true,"members":[]})");
-  CHECK(remaining >= 500);  // For the response, where many proxies call at once.
+  CHECK(remaining >= 500);  // For the response, when many proxies call at the same time.
   CHECK(fixture.Counts().endpoint_updates == 2);
 }
 
-// A request that waits for its next attempt must not be forwarded to an endpoint that was reported as
-// draining meanwhile, however the update was received.
+// A request that is waiting for its next attempt must not be forwarded to an endpoint that has been reported
+// as draining in the meantime, regardless of how the update was received.
 TEST_CASE("an update after a timeout, an outage or a reload stops retries to a draining endpoint") {
   LoopbackFixture fixture({"s-1"});
   fixture.Play(R"(discovery send {"revision":1,"members":[]})");
-  const std::string before = GENERATE("silence", "outage", "reload");
-  INFO(before);
-  std::string speaker = "discovery";
-  if (before == "silence") fixture.Play("wait 2600\ndiscovery watches 2");
-  if (before == "outage") {
+  const std::string disturbance = GENERATE("timeout", "outage", "reload");
+  INFO(disturbance);
+  std::string service = "discovery";
+  if (disturbance == "timeout") fixture.Play("wait 2600\ndiscovery watches 2");
+  if (disturbance == "outage") {
     fixture.Play("discovery refuse\ndiscovery close\nwait 3000\ndiscovery serve\nwait 1000");
   }
-  if (before == "reload") {
-    speaker = "discovery2";
+  if (disturbance == "reload") {
+    service = "discovery2";
     fixture.Play("reload discovery2\ndiscovery2 watches 1");
   }
   fixture.Play("a send OPEN 1 k c=watch,d=2000\ns-1 expect OPEN 1 k*\ns-1 send BUSY\ns-1 expect-end");
-  fixture.Play(speaker + R"( send {"revision":9,"members":[{"id":"s-1","phase":"draining"}]})");
+  fixture.Play(service + R"( send {"revision":9,"members":[{"id":"s-1","phase":"draining"}]})");
   fixture.Play("wait 2000\na expect BUSY*\ns-1 legs 1");
   CHECK(fixture.Counts().attempts == 1);
 }
