--- a/tests/golden.h
+++ b/tests/golden.h
@@ -1,5 +1,5 @@
-// Golden files: texts that were written once and must not change. With GOLDEN_WRITE set in the environment
-// they are written anew first, which is for intended changes of an outer form only.
+// Golden files: expected outputs stored in the repository. If GOLDEN_WRITE is set in the environment, they
+// are overwritten with the actual output first; use this only for intended changes of an external format.
 #ifndef STOATRUN_TESTS_GOLDEN_H_
 #define STOATRUN_TESTS_GOLDEN_H_
 
@@ -10,7 +10,7 @@
 
 namespace stoatrun::tests {
 
-// The text of the golden file `name`, to be compared with `actual`; empty if there is no such file.
+// Returns the text of the golden file `name`, to compare it with `actual`; empty if there is no such file.
 inline std::string GoldenText(const std::string& name, const std::string& actual) {
   const std::string path = std::string(GOLDEN_DIR) + "/" + name;
   if (std::getenv("GOLDEN_WRITE") != nullptr) std::ofstream(path) << actual;
--- a/tests/golden.sh
+++ b/tests/golden.sh
@@ -1,7 +1,7 @@
-# Sourced by the golden_*.sh scripts, which set `outputs`, the folder of the golden outputs. Each `run NAME
-# COMMAND...` keeps one command's exit code and output; `compare` holds all of them against the golden ones.
-# With GOLDEN_WRITE set in the environment the golden outputs are written anew instead, which is for intended
-# changes of an outer form only.
+# Sourced by the golden_*.sh scripts, which set `outputs` to the folder of the golden files. `run NAME COMMAND...`
+# records the exit code and output of a command; `compare` compares all recorded outputs with the golden files.
+# If GOLDEN_WRITE is set in the environment, `compare` first overwrites the golden files; use this only for
+# intended changes of an external format.
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 fail() { echo "$*"; exit 1; }
@@ -27,5 +27,5 @@
     rm -rf "$outputs"
     cp -r "$work/outputs" "$outputs"
   fi
-  diff -r -u "$outputs" "$work/outputs" || fail "the output is not the golden one"
+  diff -r -u "$outputs" "$work/outputs" || fail "the output differs from the golden files"
 }
--- a/tests/proxy/base_utilities_test.cpp
+++ b/tests/proxy/base_utilities_test.cpp
@@ -1,4 +1,4 @@
-// Slot maps, timers, clock, backoff, log rate limiter and configuration errors: no sockets.
+// Tests of slot maps, timers, clock, backoff, log rate limiter and configuration errors, without sockets.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -20,13 +20,13 @@
 namespace stoatrun {
 namespace {
 
-struct Thing {
-  explicit Thing(SlotId slot) : id(slot) {}
+struct Entry {
+  explicit Entry(SlotId slot) : id(slot) {}
   SlotId id;
 };
 
-TEST_CASE("a slot id finds nothing once its value is erased, though the slot is used again") {
-  SlotMap<Thing> slots;
+TEST_CASE("the id of an erased entry is not found, even after its slot is reused") {
+  SlotMap<Entry> slots;
   const SlotId first = slots.Add().id;
   slots.Erase(first);
   const SlotId second = slots.Add().id;
@@ -38,102 +38,103 @@
 }
 
 TEST_CASE("timers run in order, once, and not when cancelled") {
-  TimerQueue all;
-  std::string ran;
-  Timer late(all, [&] { ran += 'l'; });
-  Timer early(all, [&] { ran += 'e'; });
-  Timer back(all, [&] { ran += 'b'; });
+  TimerQueue queue;
+  std::string expired;
+  Timer late(queue, [&] { expired += 'l'; });
+  Timer early(queue, [&] { expired += 'e'; });
+  Timer cancelled(queue, [&] { expired += 'c'; });
   late.Set(Micros(20));
   early.Set(Micros(10));
-  back.Set(Micros(5));
-  back.Cancel();
-  all.RunExpired(Micros(9));
-  CHECK(ran.empty());
-  all.RunExpired(Micros(20));
-  all.RunExpired(Micros(30));
-  CHECK(ran == "el");
+  cancelled.Set(Micros(5));
+  cancelled.Cancel();
+  queue.RunExpired(Micros(9));
+  CHECK(expired.empty());
+  queue.RunExpired(Micros(20));
+  queue.RunExpired(Micros(30));
+  CHECK(expired == "el");
 }
 
 TEST_CASE("a timer that is set again by its own callback waits for the next call") {
-  TimerQueue all;
+  TimerQueue queue;
   int runs = 0;
-  Timer timer(all, [&] {
+  Timer timer(queue, [&] {
     ++runs;
     timer.Set(Micros(1));
   });
   timer.Set(Micros(1));
-  all.RunExpired(Micros(5));
+  queue.RunExpired(Micros(5));
   CHECK(runs == 1);
-  all.RunExpired(Micros(5));
+  queue.RunExpired(Micros(5));
   CHECK(runs == 2);
 }
 
-TEST_CASE("a start time is constant, and one from before the clock's origin is still a start time") {
+TEST_CASE("the conversion of Unix time is constant, and a time before the clock's origin is not unknown") {
   const Clock clock(Clock::Mode::kManual);
   CHECK(clock.FromUnixMs(0) == Micros(0));
   CHECK(clock.FromUnixMs(1'999'000) == Micros(999'000'000));
   CHECK(clock.FromUnixMs(1) == Micros(1));
 }
 
-// Callers of a service that takes calls in turn, 50 ms each, also those whose callers gave up after 2 s. All
-// come at once. Gives how many of a hundred were served within 30 s.
-int ServedOfAHundred(unsigned assumed_callers) {
+// Simulates a hundred callers that all start at the same time and call a service that handles calls
+// sequentially. A call takes 50 ms; the service also handles calls whose callers have timed out (after 2 s).
+// Returns the number of callers that were served within 30 s.
+int CountServedCallers(unsigned assumed_callers) {
   using std::chrono::milliseconds;
-  std::vector<Backoff> waits;
-  for (std::uint64_t k = 0; k < 100; ++k) waits.emplace_back(assumed_callers, Micros(6'000'000), k);
+  std::vector<Backoff> backoffs;
+  for (std::uint64_t k = 0; k < 100; ++k) backoffs.emplace_back(assumed_callers, Micros(6'000'000), k);
   using Call = std::pair<Micros, std::size_t>;
   std::priority_queue<Call, std::vector<Call>, std::greater<>> calls;
-  for (std::size_t k = 0; k < 100; ++k) calls.emplace(waits[k].InitialDelay(), k);
-  Micros free{0};
+  for (std::size_t k = 0; k < 100; ++k) calls.emplace(backoffs[k].InitialDelay(), k);
+  Micros service_free_at{0};
   int served = 0;
   while (!calls.empty() && calls.top().first < std::chrono::seconds(30)) {
-    const auto [at, who] = calls.top();
+    const auto [at, caller] = calls.top();
     calls.pop();
-    free = std::max(free, at);
-    if (free - at > std::chrono::seconds(9)) {  // Its queue is full: refused at once.
-      calls.emplace(at + waits[who].NextDelay(), who);
+    service_free_at = std::max(service_free_at, at);
+    if (service_free_at - at > std::chrono::seconds(9)) {  // The queue is full: rejected immediately.
+      calls.emplace(at + backoffs[caller].NextDelay(), caller);
       continue;
     }
-    free += milliseconds(50);
-    if (free - at <= std::chrono::seconds(2)) {
+    service_free_at += milliseconds(50);
+    if (service_free_at - at <= std::chrono::seconds(2)) {
       ++served;
     } else {
-      calls.emplace(at + std::chrono::seconds(2) + waits[who].NextDelay(), who);
+      calls.emplace(at + std::chrono::seconds(2) + backoffs[caller].NextDelay(), caller);
     }
   }
   return served;
 }
 
-TEST_CASE("a hundred callers that poll one slow service at once are all served, unless each assumes two") {
-  CHECK(ServedOfAHundred(100) == 100);
-  CHECK(ServedOfAHundred(2) < 50);
+TEST_CASE("a slow service serves a hundred callers if their backoff is scaled to a hundred, not to two") {
+  CHECK(CountServedCallers(100) == 100);
+  CHECK(CountServedCallers(2) < 50);
 }
 
-TEST_CASE("backoff grows to a bound, has jitter and is reset by a success") {
+TEST_CASE("backoff grows up to a bound, has jitter and can be reset") {
   Backoff two(2, Micros(6'000'000), 1), many(100, Micros(6'000'000), 1), other(100, Micros(6'000'000), 2);
   CHECK(Backoff(1, Micros(6'000'000), 1).InitialDelay() == Micros(0));
   CHECK(two.InitialDelay() <= Micros(40'000));
   CHECK(many.NextDelay() != other.NextDelay());
   for (int k = 0; k < 20; ++k) {
     CHECK(two.NextDelay() <= Micros(800'000));
-    const Micros wait = many.NextDelay();
-    CHECK((wait >= Micros(2'500'000) && wait <= Micros(6'000'000)));
+    const Micros delay = many.NextDelay();
+    CHECK((delay >= Micros(2'500'000) && delay <= Micros(6'000'000)));
   }
   two.Reset();
   CHECK(two.NextDelay() <= Micros(50'000));
 }
 
-TEST_CASE("the log rate limiter allows a few records a second and counts the rest") {
-  LogRateLimiter limit;
+TEST_CASE("the log rate limiter allows a few records per second and counts the suppressed ones") {
+  LogRateLimiter limiter;
   int written = 0;
-  for (int k = 0; k < 100; ++k) written += limit.Allows(Micros(2'000'000 + k)) ? 1 : 0;
+  for (int k = 0; k < 100; ++k) written += limiter.Allows(Micros(2'000'000 + k)) ? 1 : 0;
   CHECK(written == 5);
-  CHECK(limit.Allows(Micros(3'000'000)));
-  CHECK(limit.TakeSuppressed() == 95);
-  CHECK(limit.TakeSuppressed() == 0);
+  CHECK(limiter.Allows(Micros(3'000'000)));
+  CHECK(limiter.TakeSuppressed() == 95);
+  CHECK(limiter.TakeSuppressed() == 0);
 }
 
-TEST_CASE("an invalid configuration is an error that names the field") {
+TEST_CASE("the error for an invalid configuration names the field") {
   CHECK_THROWS_WITH(ParseConfig("{"), Catch::StartsWith("not JSON"));
   CHECK_THROWS_WITH(ParseConfig("{}"), "name: missing");
   CHECK_THROWS_WITH(ParseConfig(R"({"name":"n","listen":"there"})"),
