--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -3,7 +3,7 @@
 
 #include "balancer/placement.h"
 #include "balancer/rebalancing.h"
-#include "base/timed_queue.h"
+#include "base/delayed_task_queue.h"
 
 namespace balancer {
 
@@ -362,7 +362,7 @@
   EndpointTable endpoints_{context_};
   Admission admission_{context_, endpoints_};
   Placement placement_{context_, endpoints_};
-  stoatrun::TimedQueue tasks_;
+  stoatrun::DelayedTaskQueue tasks_;
   std::vector<Action>* actions_ = nullptr;  // Receives the actions of the event being handled.
   Micros watch_due_{0};        // When to watch again unless an update arrives first; 0: a watch is in force.
   double sample_budget_ = -1;  // In probes; negative: before the first tick.
--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -2,7 +2,7 @@
 
 namespace stoatrun {
 
-// The one place that maps counters to their names in the log, which are documented in docs/ON-CALL.md.
+// This is the only place that maps counters to their names in the log, which docs/ON-CALL.md documents.
 void AddFields(LogLine& record, const Counters& counters) {
   record.Field("accepted", counters.accepted)
       .Field("accept_failed", counters.accept_failed)
@@ -24,8 +24,8 @@
       .Field("attempts_rejected", counters.attempts_rejected)
       .Field("attempts_failed", counters.attempts_failed)
       .Field("served", counters.served)
-      .Field("endpoint_migrated", counters.migrated_by_host)
-      .Field("silent_endpoints", counters.silent_hosts)
+      .Field("endpoint_migrated", counters.migrated_by_endpoint)
+      .Field("silent_endpoints", counters.silent_endpoints)
       .Field("probes", counters.probes)
       .Field("probes_failed", counters.probes_failed)
       .Field("drain_calls", counters.drain_calls)
--- a/src/fleet/quota_account.cpp
+++ b/src/fleet/quota_account.cpp
@@ -32,7 +32,7 @@
   if (remainder == 0) return quotient;
   // The remainder goes to the members that come first in a pseudo-random order seeded by the quota's name.
   const std::uint64_t seed = Hash(quota);
-  const auto rank = [&](MemberId other) { return std::pair(Mixed(seed, other + 1), other); };
+  const auto rank = [&](MemberId other) { return std::pair(HashCombine(seed, other + 1), other); };
   const auto own = rank(member_id);
   std::uint32_t before = 0;
   for (MemberId other = 0; other < fleet_size && before < remainder; ++other) {
--- a/src/proxy/session_controller.cpp
+++ b/src/proxy/session_controller.cpp
@@ -320,7 +320,7 @@
   if (session == nullptr) return;
   AttemptEnd attempt_end = session->announced_end;
   if (attempt_end == AttemptEnd::kServed) ++deps_.counters.served;
-  if (attempt_end == AttemptEnd::kMigrated) ++deps_.counters.migrated_by_host;
+  if (attempt_end == AttemptEnd::kMigrated) ++deps_.counters.migrated_by_endpoint;
   const bool client_left = session->CurrentState() == Session::State::kHalfClosed;
   if (attempt_end == AttemptEnd::kBroken && client_left) attempt_end = AttemptEnd::kAbandoned;
   if (attempt_end == AttemptEnd::kBroken) {
@@ -365,7 +365,7 @@
       return;
     case Session::State::kEstablished:
       // The connections of a machine that has crashed or lost its network stay open without any event.
-      ++deps_.counters.silent_hosts;
+      ++deps_.counters.silent_endpoints;
       LogLine(Level::kInfo, "endpoint silent, client migrated")
           .Field("endpoint", deps_.upstream.Endpoints().IdOf(session->endpoint));
       EndEstablished(*session, AttemptEnd::kBroken, kMoveLine);
