--- a/bench/ledger_bench.cpp
+++ b/bench/ledger_bench.cpp
@@ -174,7 +174,7 @@
 // Writes the export of one relay.
 void WriteExport(const std::string& path, const std::string& relay, int periods, int groups) {
   std::ofstream out(path, std::ios::binary);
-  std::string previous_hash = FirstHash();
+  std::string previous_hash = InitialPrevHash();
   std::uint64_t seq = 0;
   wire::Record record = MakeUseRecord(relay);
   for (int period = 0; period < periods; ++period) {
--- a/src/ledger/io/export_file.cpp
+++ b/src/ledger/io/export_file.cpp
@@ -123,8 +123,8 @@
   std::map<LedgerKey, std::vector<ExportPart>> parts_by_ledger;
   for (const std::string& file : files) {
     try {
-      const FileHead head = ReadHead(FirstLine(file));
-      parts_by_ledger[{head.relay, head.ledger_id}].push_back({head.first_seq, file});
+      const FileOrigin origin = ParseFirstLine(FirstLine(file));
+      parts_by_ledger[{origin.relay, origin.ledger_id}].push_back({origin.first_seq, file});
     } catch (const std::runtime_error& e) {
       ++report.files;
       report.Add({file, 1, 0, e.what()});
@@ -188,7 +188,7 @@
 ExportTrailer WriteExport(Store& store, std::uint64_t from_seq, const std::string& path) {
   const std::string temporary = fmt::format("{}.{}.part", path, getpid());
   const StoreState state = store.State();
-  ExportTrailer trailer{state.relay, state.ledger_id, from_seq, from_seq - 1, FirstHash()};
+  ExportTrailer trailer{state.relay, state.ledger_id, from_seq, from_seq - 1, InitialPrevHash()};
   try {
     File out(temporary, O_WRONLY | O_CREAT | O_TRUNC);
     WriteRecords(store, out, trailer);
@@ -239,7 +239,7 @@
   for (const LedgerExport& ledger_export : exports) relays.insert(ledger_export.ledger.relay);
   for (ReconcileReport& part : ReadInParallel(exports, threads)) report.Merge(std::move(part));
   report.relays = relays.size();
-  report.Complete();
+  report.Finalize();
   return report;
 }
 
--- a/src/ledger/io/store.cpp
+++ b/src/ledger/io/store.cpp
@@ -70,7 +70,7 @@
     meta_.Set(MetaTable::kRelay, setup.relay);
     meta_.Set(MetaTable::kLedgerId, setup.ledger_id);
     meta_.Set(MetaTable::kHeadSeq, "0");
-    meta_.Set(MetaTable::kHeadHash, FirstHash());
+    meta_.Set(MetaTable::kHeadHash, InitialPrevHash());
     meta_.Set(MetaTable::kDeliveredSeq, "0");
     transaction.Commit();
     relay_ = setup.relay;
--- a/src/ledger/io/store_verifier.cpp
+++ b/src/ledger/io/store_verifier.cpp
@@ -43,7 +43,7 @@
 
   void CheckChain(std::uint64_t head_seq) {
     std::uint64_t expected = 1;
-    std::string previous_hash = FirstHash();
+    std::string previous_hash = InitialPrevHash();
     Statement records(database_, "SELECT seq, hash, line FROM record ORDER BY seq");
     for (; records.Step(); ++expected) {
       const auto seq = static_cast<std::uint64_t>(records.Int(0));
--- a/src/ledger/reconcile.cpp
+++ b/src/ledger/reconcile.cpp
@@ -105,7 +105,7 @@
   clock_steps += other.clock_steps;
 }
 
-void ReconcileReport::Complete() {
+void ReconcileReport::Finalize() {
   std::int64_t latest_end = std::numeric_limits<std::int64_t>::min(), start_of_latest = 0;
   for (const auto& [start_s, length] : lengths) {
     if (start_s < latest_end) {
@@ -128,7 +128,7 @@
   });
 }
 
-FileHead ReadHead(std::string_view first_line) {
+FileOrigin ParseFirstLine(std::string_view first_line) {
   constexpr const char* kNoRecord = "its first line is no record";
   simdjson::dom::parser parser;
   const simdjson::padded_string text(first_line);
@@ -136,18 +136,21 @@
   if (parser.parse(text).get(root) != simdjson::SUCCESS) {
     throw ExportError(ExportErrorCode::kNotAnExport, kNoRecord);
   }
-  const auto head = [](const object& json, std::string_view number_key) -> FileHead {
+  const auto origin = [](const object& json, std::string_view number_key) -> FileOrigin {
     return {std::string(TextField(json, "relay")), std::string(TextField(json, "book")),
             UnsignedField(json, number_key)};
   };
   object json;
-  if (root["record"].get(json) == simdjson::SUCCESS) return head(json, "seq");
-  if (root["end"].get(json) == simdjson::SUCCESS) return head(json, "from");
+  if (root["record"].get(json) == simdjson::SUCCESS) return origin(json, "seq");
+  if (root["end"].get(json) == simdjson::SUCCESS) return origin(json, "from");
   throw ExportError(ExportErrorCode::kNotAnExport, kNoRecord);
 }
 
 ExportReader::ExportReader(std::string relay, std::string ledger_id, ReconcileReport& report)
-    : relay_(std::move(relay)), ledger_id_(std::move(ledger_id)), report_(report), last_hash_(FirstHash()) {
+    : relay_(std::move(relay)),
+      ledger_id_(std::move(ledger_id)),
+      report_(report),
+      last_hash_(InitialPrevHash()) {
   ++report_.ledgers;
 }
 
--- a/src/ledger/reconcile.h
+++ b/src/ledger/reconcile.h
@@ -93,8 +93,8 @@
   void Add(Fault fault);
   // Adds a report on other ledgers.
   void Merge(ReconcileReport&& other);
-  // Reports periods that overlap and sorts all lists. To be called once, after everything else.
-  void Complete();
+  // Reports overlapping periods and sorts all lists. Must be called once, after all reading and merging.
+  void Finalize();
 };
 
 // Why an export can't be read or written.
@@ -116,13 +116,13 @@
   ExportErrorCode code;
 };
 
-// What the first line of a file says, to sort files by.
-struct FileHead {
+// The ledger that a file's records belong to, and the first of them. Files are sorted by it.
+struct FileOrigin {
   std::string relay, ledger_id;
   std::uint64_t first_seq = 0;
 };
-// Parses the first line of a file, a record or a trailer. Throws ExportError if it is neither.
-FileHead ReadHead(std::string_view first_line);
+// Parses the first line of a file, which is a record or a trailer. Throws ExportError if it is neither.
+FileOrigin ParseFirstLine(std::string_view first_line);
 
 // Reads the export of one ledger into a report.
 class ExportReader {
--- a/src/ledger/record.cpp
+++ b/src/ledger/record.cpp
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-std::string FirstHash() { return std::string(kHashSize, '0'); }
+std::string InitialPrevHash() { return std::string(kHashSize, '0'); }
 
 std::string Sha256Hex(std::string_view text) {
   const auto hex = HashHex(text);
--- a/src/ledger/record.h
+++ b/src/ledger/record.h
@@ -20,8 +20,8 @@
 // The length of a hash, in hexadecimal digits.
 inline constexpr std::size_t kHashSize = 64;
 
-// What the first record names as the hash of the one before it.
-std::string FirstHash();
+// The `prev` of a ledger's first record: 64 zeros.
+std::string InitialPrevHash();
 // The SHA-256 of `text` in lower-case hexadecimal. Throws std::runtime_error if OpenSSL has no SHA-256.
 std::string Sha256Hex(std::string_view text);
 
--- a/tests/ledger/reconcile_test.cpp
+++ b/tests/ledger/reconcile_test.cpp
@@ -31,7 +31,7 @@
 
 struct Export {
   std::vector<std::string> lines;
-  std::string prev = FirstHash();
+  std::string prev = InitialPrevHash();
   void Add(const wire::Record& record) {
     const Line line = MakeLine(record, prev);
     lines.push_back(line.text);
@@ -72,7 +72,7 @@
     }
     reader.EndFile();
   }
-  report.Complete();
+  report.Finalize();
   return report;
 }
 
--- a/tests/ledger/store_test.cpp
+++ b/tests/ledger/store_test.cpp
@@ -109,7 +109,7 @@
 // Requires that the records are numbered without gaps and chained. Returns how many are unattested.
 int CheckChain(Store& store) {
   int unattested = 0;
-  std::string previous_hash = FirstHash();
+  std::string previous_hash = InitialPrevHash();
   std::uint64_t expected = 0;
   store.EachRecord(1, [&](const StoredRecord& stored) {
     const auto parts = SplitLine(stored.line);
--- a/tests/standin/receiver.cpp
+++ b/tests/standin/receiver.cpp
@@ -89,7 +89,9 @@
   }
 }
 
-std::string Receiver::LastHash() const { return hashes_.empty() ? ledger::FirstHash() : hashes_.back(); }
+std::string Receiver::LastHash() const {
+  return hashes_.empty() ? ledger::InitialPrevHash() : hashes_.back();
+}
 
 std::string Receiver::Acknowledgement() const {
   return R"({"seq":)" + std::to_string(hashes_.size()) + R"(,"hash":")" + LastHash() + "\"}";
