--- a/src/ledger/accounts.cpp
+++ b/src/ledger/accounts.cpp
@@ -8,20 +8,21 @@
 namespace stoatrun::ledger {
 namespace {
 
-constexpr std::int64_t kMilli = 1000;
+constexpr std::int64_t kMilliPerUnit = 1000;
 constexpr std::int64_t kMicrosPerSecond = 1'000'000;
-constexpr std::size_t kMaxGroupName = 64;
+constexpr std::size_t kMaxGroupNameLength = 64;
 
-// Rounds down, also before 1970: a machine without a battery-backed clock starts there.
-std::int64_t FloorTo(std::int64_t value, std::int64_t step) {
-  const std::int64_t rest = value % step;
-  return value - (rest < 0 ? rest + step : rest);
+// Rounds down to a multiple of `step`. Times before 1970 are negative: a machine without a battery-backed
+// clock may start with one.
+std::int64_t FloorToMultiple(std::int64_t value, std::int64_t step) {
+  const std::int64_t remainder = value % step;
+  return value - (remainder < 0 ? remainder + step : remainder);
 }
 
-// The name under which a group is accounted, whatever a client gave.
+// Maps the group name that a client sent to the name under which its usage is accounted.
 std::string AccountedName(std::string_view name) {
   if (name.empty()) return kMissingGroup;
-  return IsName(name, kMaxGroupName) ? std::string(name) : kOtherGroups;
+  return IsName(name, kMaxGroupNameLength) ? std::string(name) : kOtherGroups;
 }
 
 }  // namespace
@@ -35,14 +36,14 @@
 }
 
 std::int64_t Accounts::PeriodStartAt(Micros wall) const {
-  return FloorTo(wall.count(), setup_.period.count()) / kMicrosPerSecond;
+  return FloorToMultiple(wall.count(), setup_.period.count()) / kMicrosPerSecond;
 }
 
 std::uint32_t Accounts::AddGroup(const std::string& name, std::optional<std::int64_t> quota_milli) {
   const auto index = static_cast<std::uint32_t>(groups_.size());
   group_by_name_.emplace(name, index);
-  groups_.push_back({.name = name, .quota_milli = quota_milli, .settled_us = latest_us_});
-  row_of_.emplace_back(setup_.classes.size());
+  groups_.push_back({.name = name, .quota_milli = quota_milli, .accrued_until_us = latest_us_});
+  row_numbers_.emplace_back(setup_.classes.size());
   return index;
 }
 
@@ -62,39 +63,40 @@
 }
 
 std::uint32_t Accounts::FindOrAddRow(std::uint32_t group, std::size_t class_index) {
-  std::uint32_t& row = row_of_[group].at(class_index);
+  std::uint32_t& row = row_numbers_[group].at(class_index);
   if (row == 0) {
-    rows_.push_back(
-        {.group = group, .class_index = static_cast<std::uint32_t>(class_index), .settled_us = latest_us_});
+    rows_.push_back({.group = group,
+                     .class_index = static_cast<std::uint32_t>(class_index),
+                     .accrued_until_us = latest_us_});
     row = static_cast<std::uint32_t>(rows_.size());
   }
   return row - 1;
 }
 
-void Accounts::Settle(Row& row, std::int64_t now_us) {
-  row.use_us += (now_us - row.settled_us) * row.open;
-  row.settled_us = now_us;
+void Accounts::Accrue(Row& row, std::int64_t now_us) {
+  row.use_us += (now_us - row.accrued_until_us) * row.open;
+  row.accrued_until_us = now_us;
 }
 
-// Quotas are in thousandths of a connection: the remainder of a microsecond is carried on, so that no long
-// run of short intervals loses any usage.
-void Accounts::Settle(Group& group, std::int64_t now_us) {
-  const std::int64_t span = now_us - group.settled_us;
-  group.settled_us = now_us;
+// Quotas are in thousandths of a connection. The remainder below a microsecond is carried over, so that usage
+// within the quota does not drift low over many short intervals.
+void Accounts::Accrue(Group& group, std::int64_t now_us) {
+  const std::int64_t span = now_us - group.accrued_until_us;
+  group.accrued_until_us = now_us;
   group.use_us += span * group.open;
-  const std::int64_t open_milli = group.open * kMilli;
+  const std::int64_t open_milli = group.open * kMilliPerUnit;
   if (!group.quota_milli || *group.quota_milli >= open_milli) {
     group.within_us += span * group.open;
     return;
   }
   const std::int64_t within_milli = span * *group.quota_milli + group.within_remainder_milli;
-  group.within_us += within_milli / kMilli;
-  group.within_remainder_milli = within_milli % kMilli;
+  group.within_us += within_milli / kMilliPerUnit;
+  group.within_remainder_milli = within_milli % kMilliPerUnit;
 }
 
-void Accounts::SettleAll(std::int64_t now_us) {
-  for (Row& row : rows_) Settle(row, now_us);
-  for (Group& group : groups_) Settle(group, now_us);
+void Accounts::AccrueAll(std::int64_t now_us) {
+  for (Row& row : rows_) Accrue(row, now_us);
+  for (Group& group : groups_) Accrue(group, now_us);
 }
 
 UsageHandle Accounts::Begin(Micros now, std::string_view group_name, std::size_t class_index) {
@@ -103,15 +105,15 @@
   const std::uint32_t row_index = FindOrAddRow(group_index, class_index);
   Row& row = rows_[row_index];
   Group& group = groups_[group_index];
-  Settle(row, now.count());
-  Settle(group, now.count());
+  Accrue(row, now.count());
+  Accrue(group, now.count());
   ++row.open;
   ++row.begun;
   ++group.open;
   group.peak = std::max(group.peak, group.open);
-  group.touched = true;
+  group.has_new_connection = true;
   ++open_;
-  open_since_sum_us_ += now.count();
+  open_start_sum_us_ += now.count();
   return {now.count(), row_index, true};
 }
 
@@ -120,18 +122,18 @@
   Advance(now);
   Row& row = rows_[handle.row];
   Group& group = groups_[row.group];
-  Settle(row, now.count());
-  Settle(group, now.count());
+  Accrue(row, now.count());
+  Accrue(group, now.count());
   handle.open = false;
-  if (row.open == 0) {  // Ended twice, by way of a copy: counted, and nothing is subtracted.
+  if (row.open == 0) {  // A copy of the handle was ended before: counted, but not subtracted again.
     ++double_ends_;
     return;
   }
   --row.open;
   --group.open;
   --open_;
-  open_since_sum_us_ -= handle.since_us;
-  ended_us_ += now.count() - handle.since_us;
+  open_start_sum_us_ -= handle.since_us;
+  ended_duration_us_ += now.count() - handle.since_us;
 }
 
 void Accounts::Advance(Micros now) {
@@ -139,19 +141,19 @@
     const std::int64_t period_end_us = period_start_s_ * kMicrosPerSecond + setup_.period.count();
     const std::int64_t boundary_us = period_end_us - wall_offset_.count();
     if (now.count() < boundary_us) break;
-    // A wall clock that drifted ahead may put the boundary before what is already accounted.
-    Cut(std::max(boundary_us, latest_us_), CurrentPeriod::kEnds);
+    // If the wall clock drifted ahead, the boundary may lie before the usage already accrued.
+    EmitPosting(std::max(boundary_us, latest_us_), CurrentPeriod::kEnds);
     period_start_s_ = period_end_us / kMicrosPerSecond;
   }
   latest_us_ = now.count();
 }
 
 std::int64_t Accounts::ConnectionTimeUntil(std::int64_t at_us) const {
-  return ended_us_ + static_cast<std::int64_t>(open_) * at_us - open_since_sum_us_;
+  return ended_duration_us_ + static_cast<std::int64_t>(open_) * at_us - open_start_sum_us_;
 }
 
-void Accounts::Cut(std::int64_t at_us, CurrentPeriod current) {
-  SettleAll(at_us);
+void Accounts::EmitPosting(std::int64_t at_us, CurrentPeriod current) {
+  AccrueAll(at_us);
   Posting posting;
   posting.period_start_s = period_start_s_;
   posting.period_s = setup_.period.count() / kMicrosPerSecond;
@@ -163,16 +165,16 @@
       connection_time_us - std::exchange(posted_connection_time_us_, connection_time_us);
   posting.groups = TakeUsage();
   posted_row_time_us_ += posting.UseUs();
-  ready_.push_back(std::move(posting));
+  pending_postings_.push_back(std::move(posting));
 }
 
 std::vector<GroupUse> Accounts::TakeUsage() {
   std::vector<GroupUse> usage;
-  std::vector<std::size_t> place(groups_.size());  // In `usage`, of each group that is listed.
+  std::vector<std::size_t> usage_index(groups_.size());  // For each group that is listed in `usage`.
   for (std::size_t k = 0; k < groups_.size(); ++k) {
     Group& group = groups_[k];
-    if (!group.touched && group.use_us == 0) continue;
-    place[k] = usage.size();
+    if (!group.has_new_connection && group.use_us == 0) continue;
+    usage_index[k] = usage.size();
     usage.push_back({group.name,
                      std::exchange(group.use_us, 0),
                      std::exchange(group.within_us, 0),
@@ -180,11 +182,11 @@
                      group.peak,
                      {}});
     group.peak = group.open;
-    group.touched = false;
+    group.has_new_connection = false;
   }
   for (Row& row : rows_) {
     if (row.use_us == 0 && row.begun == 0) continue;
-    usage[place[row.group]].classes.push_back(
+    usage[usage_index[row.group]].classes.push_back(
         {setup_.classes[row.class_index], std::exchange(row.use_us, 0), std::exchange(row.begun, 0U)});
   }
   return usage;
@@ -199,19 +201,19 @@
   steps_.push_back({expected.count(), wall.count()});
   const std::int64_t start_s = PeriodStartAt(wall);
   if (start_s == period_start_s_) return;
-  Cut(now.count(), CurrentPeriod::kEnds);
+  EmitPosting(now.count(), CurrentPeriod::kEnds);
   period_start_s_ = start_s;
 }
 
 std::vector<Posting> Accounts::TakePostings(Micros now, CurrentPeriod current) {
   Advance(now);
-  Cut(now.count(), current);
-  return std::exchange(ready_, {});
+  EmitPosting(now.count(), current);
+  return std::exchange(pending_postings_, {});
 }
 
 Accounts::Sums Accounts::ComputeSums(Micros now) {
   Advance(now);
-  SettleAll(now.count());
+  AccrueAll(now.count());
   Sums sums;
   sums.double_ends = double_ends_;
   sums.row_time_us = posted_row_time_us_;
--- a/src/ledger/posting.cpp
+++ b/src/ledger/posting.cpp
@@ -5,7 +5,7 @@
 namespace stoatrun::ledger {
 namespace {
 
-// The entry of that name, appended if there is none.
+// Returns the entry with that name, appended if there is none.
 template <typename Entry>
 Entry& FindOrAppend(std::vector<Entry>& entries, const std::string& name) {
   const auto it =
@@ -55,14 +55,14 @@
 }
 
 Posting WithoutUsage(const Posting& posting) {
-  constexpr std::size_t kMaxSteps = 16;  // A clock that jumps all the time must not fill the memory either.
-  Posting bare = posting;
-  bare.groups.clear();
-  bare.connection_time_us = 0;
-  bare.unrecorded_us = posting.unrecorded_us + posting.UseUs();
-  if (posting.unrecorded_us == 0) bare.unrecorded_from_wall_us = posting.wall_us;
-  if (bare.steps.size() > kMaxSteps) bare.steps.resize(kMaxSteps);
-  return bare;
+  constexpr std::size_t kMaxSteps = 16;  // A constantly stepping clock must not exhaust the memory.
+  Posting reduced = posting;
+  reduced.groups.clear();
+  reduced.connection_time_us = 0;
+  reduced.unrecorded_us = posting.unrecorded_us + posting.UseUs();
+  if (posting.unrecorded_us == 0) reduced.unrecorded_from_wall_us = posting.wall_us;
+  if (reduced.steps.size() > kMaxSteps) reduced.steps.resize(kMaxSteps);
+  return reduced;
 }
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/posting.h
+++ b/src/ledger/posting.h
@@ -1,6 +1,6 @@
-// Postings: the unit in which accounting hands usage to the store.
+// A posting is a batch of usage that the accounting passes to the store.
 //
-// A posting holds the usage of one interval within one accounting period. Plain data, no I/O, no threads.
+// It holds the usage of one interval within one accounting period. Plain data: no I/O, no threads.
 #ifndef STOATRUN_LEDGER_POSTING_H_
 #define STOATRUN_LEDGER_POSTING_H_
 
@@ -14,8 +14,8 @@
 
 using Micros = std::chrono::microseconds;
 
-// Names under which connections without a group, and groups beyond the bound on listed ones, are accounted.
-// No group can be called so: blanks and brackets are not allowed in names.
+// Names under which connections without a group, and groups beyond `max_unlisted_groups`, are accounted.
+// They cannot clash with a group's name, which may not contain parentheses.
 inline constexpr const char* kMissingGroup = "(missing)";
 inline constexpr const char* kOtherGroups = "(other)";
 
@@ -23,16 +23,16 @@
 struct ClassUse {
   std::string name;
   std::int64_t use_us = 0;  // Connection time.
-  std::uint64_t begun = 0;  // Connections that began.
+  std::uint64_t begun = 0;  // Connections opened.
 };
 
 // Usage of one group.
 struct GroupUse {
   std::string name;
   std::int64_t use_us = 0;        // Connection time.
-  std::int64_t within_us = 0;     // The part of it within the group's quota.
-  std::int64_t quota_milli = -1;  // Thousandths of a connection; under 0: no quota, all use is within.
-  std::uint32_t peak = 0;         // The most connections open at once.
+  std::int64_t within_us = 0;     // The part within the group's quota.
+  std::int64_t quota_milli = -1;  // Thousandths of a connection; negative: no quota, all usage is within.
+  std::uint32_t peak = 0;         // Maximum number of concurrently open connections.
   std::vector<ClassUse> classes;
 
   // Connection time beyond the quota.
@@ -50,32 +50,35 @@
   std::uint32_t open = 0;
 };
 
-// Open connections by group: the bound on what a crash leaves unattested is computed from them.
+// Open connections by group. The upper bound on the usage that a crash leaves unattested is computed from
+// them.
 using OpenCounts = std::vector<OpenCount>;
 
 // Usage of one interval within one period. Times are Unix time unless said otherwise.
 struct Posting {
-  std::uint64_t number =
-      0;  // Within this run of the relay, assigned by the recorder; makes Apply idempotent.
+  // Assigned by the recorder, unique within this run of the relay; makes Store::Apply idempotent.
+  std::uint64_t number = 0;
   std::int64_t period_start_s = 0, period_s = 0;
   std::int64_t wall_us = 0;             // End of the interval.
-  std::int64_t connection_time_us = 0;  // Counted independently: what the groups must add up to.
-  bool period_ended = false;            // No further postings of this period: it can be closed.
+  std::int64_t connection_time_us = 0;  // Counted independently; the groups must add up to it.
+  bool period_ended = false;            // No more postings of this period follow: it can be closed.
   std::vector<GroupUse> groups;
   std::vector<ClockStep> steps;
-  // Usage whose details were dropped because memory was full while the disk was away: reported, never billed.
+  // Usage whose breakdown by group was dropped because the backlog in memory was full while the store could
+  // not be written: reported, never billed.
   std::int64_t unrecorded_us = 0, unrecorded_from_wall_us = 0;
 
-  // The sum of all groups' connection time.
+  // Connection time, summed over all groups.
   std::int64_t UseUs() const;
-  // The memory it takes, counted in groups, classes and clock steps.
+  // The size that counts towards the limit on the backlog: one cell for the posting itself and for each
+  // group, class of a group and clock step.
   std::size_t Cells() const;
 };
 
-// Adds `from`, the later one, to `into`. Both must be of the same period, or both without usage.
+// Merges `from`, the later posting, into `into`. Both must be of the same period, or both without usage.
 void MergePosting(Posting& into, const Posting& from);
 
-// A copy without usage by group, which is counted as unrecorded instead.
+// Returns a copy without the groups, whose usage is added to `unrecorded_us`.
 Posting WithoutUsage(const Posting& posting);
 
 }  // namespace stoatrun::ledger
--- a/tests/ledger/accounts_test.cpp
+++ b/tests/ledger/accounts_test.cpp
@@ -1,4 +1,4 @@
-// The accounting against a naive model, and its special cases.
+// Compares the accounting with a naive model over random histories, and tests its edge cases.
 #include "ledger/accounts.h"
 
 #include <rapidcheck.h>
@@ -18,13 +18,13 @@
 using std::chrono::seconds;
 
 constexpr Micros kStart(5'000'000);
-constexpr Micros kWall = seconds(1'800'000'000);  // A boundary of periods of all lengths used here.
+constexpr Micros kWall = seconds(1'800'000'000);  // A period boundary for all period lengths used here.
 
 AccountsSetup MakeSetup() {
   return {seconds(60), {{"wetland", 1500}, {"coast", 0}, {"garden", std::nullopt}}, {"feed", "watch"}, 2};
 }
 
-// Sums over postings by period and row, whatever intervals they are of.
+// Sums of all postings by period and row.
 struct Totals {
   std::map<std::tuple<std::int64_t, std::string, std::string>, std::int64_t> rows;
   std::map<std::pair<std::int64_t, std::string>, std::int64_t> within, use;
@@ -51,7 +51,7 @@
   }
 };
 
-// Follows the same history interval by interval: between two events nothing changes but the period.
+// Computes the usage interval by interval: between two events only the period changes.
 class NaiveModel {
  public:
   void AdvanceTo(std::int64_t to_us, std::int64_t wall_offset) {
@@ -65,8 +65,8 @@
         ++open[group];
       }
       for (const auto& [group, count] : open) {
-        const std::int64_t share = group == "wetland" ? 1500 : group == "coast" ? 0 : count * 1000;
-        within_milli[{start, group}] += std::min(share, count * 1000) * (next - now_);
+        const std::int64_t quota_milli = group == "wetland" ? 1500 : group == "coast" ? 0 : count * 1000;
+        within_milli[{start, group}] += std::min(quota_milli, count * 1000) * (next - now_);
       }
       now_ = next;
     }
@@ -84,10 +84,10 @@
   std::vector<std::pair<std::string, std::string>> open_;
 };
 
-// Drives the accounting and the naive model through the same random events.
+// Applies the same random events to the accounting and to the naive model.
 class RandomHistory {
  public:
-  // Lets some time pass, then carries out one event.
+  // Advances the time by a random interval, then applies one random event.
   void Step() {
     now_ +=
         Micros(*rc::gen::weightedOneOf<std::int64_t>({{5, rc::gen::inRange<std::int64_t>(0, 3'000'000)},
@@ -116,7 +116,7 @@
     std::erase_if(totals_.rows, [](const auto& row) { return row.second == 0; });
     std::erase_if(naive_.rows, [](const auto& row) { return row.second == 0; });
     RC_ASSERT(totals_.rows == naive_.rows);
-    // A remainder under a microsecond is carried into the next period of its group.
+    // A remainder below a microsecond is carried over into the group's next period.
     std::map<std::string, std::int64_t> accounted, expected_milli;
     for (const auto& [key, value] : totals_.within) {
       RC_ASSERT(std::abs(value * 1000 - naive_.within_milli[key]) < 1000);
@@ -141,7 +141,7 @@
     naive_.Close(index);
   }
 
-  // Steps of up to three hours either way; a difference under the threshold would not be a step.
+  // Steps by up to three hours in either direction, and by more than the threshold below which it is drift.
   void StepClock() {
     constexpr std::int64_t kThresholdUs = Accounts::kClockStepThreshold.count();
     std::int64_t step_us = *rc::gen::inRange<std::int64_t>(-10'800'000'000, 10'800'000'000);
@@ -169,7 +169,7 @@
   CHECK(holds);
 }
 
-TEST_CASE("a connection across boundaries of periods is split at them, to the microsecond") {
+TEST_CASE("a connection that spans several periods is split at their boundaries, to the microsecond") {
   Accounts accounts(MakeSetup(), kStart, kWall + seconds(30));
   UsageHandle handle = accounts.Begin(kStart, "garden", 0);
   accounts.End(kStart + seconds(100) + Micros(7), handle);
@@ -184,7 +184,7 @@
   CHECK(postings[2].period_start_s == 1'800'000'120);
 }
 
-TEST_CASE("a step of the clock neither loses nor doubles usage, and is recorded") {
+TEST_CASE("a clock step neither loses nor duplicates usage, and is recorded") {
   const auto step = GENERATE(hours(3), hours(-3), hours(24 * 400));
   Accounts accounts(MakeSetup(), kStart, kWall + seconds(10));
   UsageHandle handle = accounts.Begin(kStart, "garden", 1);
@@ -200,7 +200,7 @@
   CHECK(postings[0].steps[0].to_wall_us - postings[0].steps[0].from_wall_us == Micros(step).count());
 }
 
-TEST_CASE("a clock that drifts shifts the boundaries and is not a step") {
+TEST_CASE("a drifting clock shifts the period boundaries and is not recorded as a step") {
   Accounts accounts(MakeSetup(), kStart, kWall);
   UsageHandle handle = accounts.Begin(kStart, "garden", 0);
   for (int k = 1; k <= 600; ++k) {
@@ -211,17 +211,17 @@
   totals.Add(accounts.TakePostings(kStart + seconds(60), Accounts::CurrentPeriod::kContinues));
   CHECK(totals.steps == 0);
   CHECK(totals.connection_time_us == 60'000'000);
-  CHECK(totals.use[{1'800'000'000, "garden"}] == 60'000'000);  // 59.4 s by the wall.
+  CHECK(totals.use[{1'800'000'000, "garden"}] == 60'000'000);  // 59.4 s of wall-clock time.
 }
 
-TEST_CASE("unlisted groups get rows of their own, within a bound, and no usage is dropped") {
+TEST_CASE("a limited number of unlisted groups is accounted separately, and no usage is dropped") {
   Accounts accounts(MakeSetup(), kStart, kWall);
   std::vector<UsageHandle> handles;
-  const std::string endless(500, 'x');
+  const std::string long_name(500, 'x');
   for (const char* name : {"raptor", "", "bad name", "owls", "third", "fourth"}) {
     handles.push_back(accounts.Begin(kStart, name, 0));
   }
-  handles.push_back(accounts.Begin(kStart, endless, 0));
+  handles.push_back(accounts.Begin(kStart, long_name, 0));
   Totals totals;
   totals.Add(accounts.TakePostings(kStart + seconds(1), Accounts::CurrentPeriod::kContinues));
   CHECK(totals.use[{1'800'000'000, "raptor"}] == 1'000'000);
@@ -231,15 +231,15 @@
   CHECK(accounts.RowCount() == 4);
 }
 
-TEST_CASE("the comparison of sums detects a handle that was ended twice") {
+TEST_CASE("the comparison of sums detects a handle that was ended twice through a copy") {
   Accounts accounts(MakeSetup(), kStart, kWall);
   UsageHandle handle = accounts.Begin(kStart, "garden", 0);
   UsageHandle copy = handle;
   accounts.End(kStart + seconds(1), handle);
-  accounts.End(kStart + seconds(2), handle);  // A handle that is not open is passed by.
+  accounts.End(kStart + seconds(2), handle);  // Ignored: the handle is no longer open.
   CHECK(accounts.ComputeSums(kStart + seconds(3)).AreBalanced());
   UsageHandle other = accounts.Begin(kStart + seconds(3), "garden", 1);
-  accounts.End(kStart + seconds(5), copy);  // Ended twice, by way of a copy.
+  accounts.End(kStart + seconds(5), copy);  // Ends the first connection a second time.
   accounts.End(kStart + seconds(6), other);
   CHECK_FALSE(accounts.ComputeSums(kStart + seconds(7)).AreBalanced());
 }
