--- a/src/ledger/record.cpp
+++ b/src/ledger/record.cpp
@@ -11,9 +11,9 @@
 namespace stoatrun::ledger {
 namespace {
 
-// A line is kHead RECORD kPrev HASH kHash HASH kTail.
-constexpr std::string_view kHead = R"({"record":)", kPrev = R"(,"prev":")", kHash = R"(","hash":")",
-                           kTail = "\"}\n";
+// A line is kLineStart RECORD kPrevKey HASH kHashKey HASH kLineEnd.
+constexpr std::string_view kLineStart = R"({"record":)", kPrevKey = R"(,"prev":")",
+                           kHashKey = R"(","hash":")", kLineEnd = "\"}\n";
 
 bool IsHash(std::string_view text) {
   return text.size() == kHashSize && std::all_of(text.begin(), text.end(), [](char c) {
@@ -21,7 +21,7 @@
          });
 }
 
-// Owns OpenSSL's handles of SHA-256.
+// Owns OpenSSL's handles for SHA-256.
 struct Digest {
   EVP_MD* md = EVP_MD_fetch(nullptr, "SHA256", nullptr);
   EVP_MD_CTX* context = EVP_MD_CTX_new();
@@ -35,13 +35,13 @@
 };
 
 std::array<char, kHashSize> HashHex(std::string_view text) {
-  thread_local Digest digest;  // Fetching the algorithm costs more than hashing a line.
+  thread_local Digest digest;  // Per thread, since fetching the algorithm costs more than hashing a line.
   std::array<unsigned char, kHashSize / 2> raw{};
   unsigned size = 0;
   if (digest.md == nullptr || EVP_DigestInit_ex2(digest.context, digest.md, nullptr) != 1 ||
       EVP_DigestUpdate(digest.context, text.data(), text.size()) != 1 ||
       EVP_DigestFinal_ex(digest.context, raw.data(), &size) != 1 || size != raw.size()) {
-    throw std::runtime_error("SHA-256 is not to be had");
+    throw std::runtime_error("OpenSSL cannot compute SHA-256");
   }
   constexpr std::string_view kDigits = "0123456789abcdef";
   std::array<char, kHashSize> hex{};
@@ -66,31 +66,34 @@
   util::JsonPrintOptions options;
   options.preserve_proto_field_names = true;
   Line line;
-  line.text = kHead;
+  line.text = kLineStart;
   if (!util::MessageToJsonString(record, &line.text, options).ok()) {
-    throw std::runtime_error("a record has no JSON form");
+    throw std::runtime_error("a record cannot be converted to JSON");
   }
-  if (!line.text.starts_with(kHead)) line.text.insert(0, kHead);  // Some releases of protobuf clear the text.
-  line.text.append(kPrev).append(prev).append(1, '"');
+  // Some releases of protobuf clear the text before they append to it.
+  if (!line.text.starts_with(kLineStart)) line.text.insert(0, kLineStart);
+  line.text.append(kPrevKey).append(prev).append(1, '"');
   line.hash = Sha256Hex(line.text);
-  line.text.append(kHash.substr(1)).append(line.hash).append(kTail);
+  line.text.append(kHashKey.substr(1)).append(line.hash).append(kLineEnd);
   return line;
 }
 
 std::optional<LineParts> SplitLine(std::string_view line) {
-  const std::size_t after = kHash.size() + kHashSize + kTail.size();  // From the end of `prev`.
-  if (line.size() < kHead.size() + kPrev.size() + kHashSize + after) return std::nullopt;
-  const std::size_t end = line.size() - after;
+  // The length of everything after the hash in `prev`.
+  const std::size_t suffix_size = kHashKey.size() + kHashSize + kLineEnd.size();
+  if (line.size() < kLineStart.size() + kPrevKey.size() + kHashSize + suffix_size) return std::nullopt;
+  const std::size_t prev_end = line.size() - suffix_size;
   LineParts parts;
-  parts.prev = line.substr(end - kHashSize, kHashSize);
-  parts.hash = line.substr(end + kHash.size(), kHashSize);
-  const std::size_t record_end = end - kHashSize - kPrev.size();
-  parts.record = line.substr(kHead.size(), record_end - kHead.size());
-  if (!line.starts_with(kHead) || !line.ends_with(kTail) || line.substr(record_end, kPrev.size()) != kPrev ||
-      line.substr(end, kHash.size()) != kHash || !IsHash(parts.prev) || !IsHash(parts.hash)) {
+  parts.prev = line.substr(prev_end - kHashSize, kHashSize);
+  parts.hash = line.substr(prev_end + kHashKey.size(), kHashSize);
+  const std::size_t record_end = prev_end - kHashSize - kPrevKey.size();
+  parts.record = line.substr(kLineStart.size(), record_end - kLineStart.size());
+  if (!line.starts_with(kLineStart) || !line.ends_with(kLineEnd) ||
+      line.substr(record_end, kPrevKey.size()) != kPrevKey ||
+      line.substr(prev_end, kHashKey.size()) != kHashKey || !IsHash(parts.prev) || !IsHash(parts.hash)) {
     return std::nullopt;
   }
-  const auto hex = HashHex(line.substr(0, end + 1));  // With the closing quote of `prev`.
+  const auto hex = HashHex(line.substr(0, prev_end + 1));  // Includes the closing quote of `prev`.
   if (parts.hash != std::string_view(hex.data(), hex.size())) return std::nullopt;
   return parts;
 }
--- a/tests/ledger/delivery_test.cpp
+++ b/tests/ledger/delivery_test.cpp
@@ -1,4 +1,4 @@
-// When records are sent to the receiver, and what its responses lead to.
+// Tests when records are sent to the receiver and how its responses are handled.
 #include "ledger/delivery.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 namespace stoatrun::ledger {
 namespace {
 
-TEST_CASE("delivery backs off after each failure, with jitter, and sends at once after progress") {
+TEST_CASE("delivery backs off after each failure, with jitter, and sends immediately after progress") {
   Delivery delivery({std::chrono::seconds(1), std::chrono::seconds(60), 10});
   Micros now(0);
   delivery.UpdateState(now, 25, 0);
@@ -39,7 +39,7 @@
   CHECK(delivery.OnResponse(now, {503, std::nullopt, "", std::chrono::hours(5)}, 0.0) ==
         Delivery::Verdict::kRetry);
   CHECK(*delivery.NextAttemptAt() - now ==
-        std::chrono::seconds(60));  // Not longer than the longest backoff, whatever it asks.
+        std::chrono::seconds(60));  // Retry-After is capped at the maximum backoff.
   delivery.StartBatch();
   CHECK(delivery.OnResponse(now, {200, 4, "h", Micros(0)}, 0.0) == Delivery::Verdict::kVerify);
   delivery.OnVerified(now, 4, true, 0.0);
