--- a/src/ledger/reconcile.cpp
+++ b/src/ledger/reconcile.cpp
@@ -13,16 +13,17 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-// Faults listed one by one: a broken disk must not fill the memory with them.
+// Limits the listed faults, so that an export from a failing disk does not exhaust the memory.
 constexpr std::size_t kMaxListedFaults = 1000;
-// Hexadecimal digits of a hash that are kept to recognize a repeated record.
+// The number of hexadecimal digits of each hash that are kept to recognize a repeated record.
 constexpr std::size_t kHashPrefixDigits = 16;
-constexpr std::string_view kTrailerHead = R"({"end":{"relay":")", kTrailerHash = R"(,"hash":")",
-                           kTrailerTail = "\"}\n";
+constexpr std::string_view kTrailerStart = R"({"end":{"relay":")", kTrailerHashKey = R"(,"hash":")",
+                           kTrailerEnd = "\"}\n";
 constexpr const char* kBrokenChain = "broken chain: it does not follow the record before it";
 
-// An integer field, 0 if it is absent: protobuf's JSON form omits zeros and writes 64-bit integers as text.
-// Throws ExportError kBadField or simdjson_error, both a std::runtime_error, if it is no integer.
+// Returns an integer field, or 0 if it is absent: protobuf's JSON form omits zeros and writes 64-bit integers
+// as strings. Throws ExportError kBadField or simdjson_error (both are std::runtime_error) if the field is
+// not an integer.
 std::int64_t IntegerField(const object& json, std::string_view key) {
   element value;
   if (json.at_key(key).get(value) != simdjson::SUCCESS) return 0;
@@ -31,7 +32,7 @@
   std::int64_t number = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   if (error != std::errc() || end != text.data() + text.size()) {
-    throw ExportError(ExportErrorCode::kBadField, "not a whole number");
+    throw ExportError(ExportErrorCode::kBadField, fmt::format("{} is not an integer", key));
   }
   return number;
 }
@@ -40,7 +41,7 @@
   return static_cast<std::uint64_t>(IntegerField(json, key));
 }
 
-// A text field, empty if it is absent or no text.
+// Returns a string field, or an empty string if it is absent or not a string.
 std::string_view TextField(const object& json, std::string_view key) {
   std::string_view text;
   return json.at_key(key).get(text) == simdjson::SUCCESS ? text : std::string_view();
@@ -52,11 +53,11 @@
   return value;
 }
 
-std::string MissingRecords(std::uint64_t first, std::uint64_t last) {
+std::string MissingRecordsMessage(std::uint64_t first, std::uint64_t last) {
   return fmt::format("gap: records {} to {} are missing", first, last);
 }
 
-std::string DifferentLengths(std::int64_t start_s, std::int64_t length_s, const PeriodLength& other) {
+std::string DifferentLengthsMessage(std::int64_t start_s, std::int64_t length_s, const PeriodLength& other) {
   return fmt::format("overlapping periods: the one from {} lasts {} s here, {} s in {}", start_s, length_s,
                      other.seconds, other.file);
 }
@@ -64,10 +65,10 @@
 }  // namespace
 
 std::string MakeTrailer(const ExportTrailer& trailer) {
-  std::string text = fmt::format(R"({}{}","book":"{}","from":{},"to":{},"head":"{}"}})", kTrailerHead,
+  std::string text = fmt::format(R"({}{}","book":"{}","from":{},"to":{},"head":"{}"}})", kTrailerStart,
                                  trailer.relay, trailer.ledger_id, trailer.from, trailer.to, trailer.head);
   const std::string hash = Sha256Hex(text);
-  return text.append(kTrailerHash).append(hash).append(kTrailerTail);
+  return text.append(kTrailerHashKey).append(hash).append(kTrailerEnd);
 }
 
 void ReconcileReport::Add(Fault fault) {
@@ -88,10 +89,10 @@
     sum.records += total.records;
     sum.corrections += total.corrections;
   }
-  for (const auto& [start_s, length] : other.lengths) {
-    const auto [it, inserted] = lengths.try_emplace(start_s, length);
+  for (const auto& [start_s, length] : other.period_lengths) {
+    const auto [it, inserted] = period_lengths.try_emplace(start_s, length);
     if (!inserted && it->second.seconds != length.seconds) {
-      Add({length.file, 0, 0, DifferentLengths(start_s, length.seconds, it->second)});
+      Add({length.file, 0, 0, DifferentLengthsMessage(start_s, length.seconds, it->second)});
     }
   }
   std::move(other.corrections.begin(), other.corrections.end(), std::back_inserter(corrections));
@@ -107,7 +108,7 @@
 
 void ReconcileReport::Finalize() {
   std::int64_t latest_end = std::numeric_limits<std::int64_t>::min(), start_of_latest = 0;
-  for (const auto& [start_s, length] : lengths) {
+  for (const auto& [start_s, length] : period_lengths) {
     if (start_s < latest_end) {
       Add({length.file, 0, 0,
            fmt::format("overlapping periods: the one from {} begins before the one from {} ends", start_s,
@@ -155,37 +156,37 @@
 }
 
 void ExportReader::AddFault(std::uint64_t seq, std::string what) {
-  report_.Add({file_, line_, seq, std::move(what)});
+  report_.Add({file_, line_number_, seq, std::move(what)});
 }
 
 void ExportReader::BeginFile(const std::string& name) {
   ++report_.files;
   file_ = name;
-  line_ = file_first_ = file_last_ = 0;
-  file_hash_.clear();
-  trailer_read_ = broken_ = false;
+  line_number_ = file_first_seq_ = file_last_seq_ = 0;
+  file_last_hash_.clear();
+  trailer_read_ = skip_rest_of_file_ = false;
 }
 
 void ExportReader::ReadLine(std::string_view line) {
-  ++line_;
-  if (broken_) return;  // Nothing after a broken line can be trusted to follow from it.
+  ++line_number_;
+  if (skip_rest_of_file_) return;  // After a damaged or foreign line, the chain cannot be checked.
   if (trailer_read_) return AddFault(0, "more lines after the end of the export");
-  if (line.starts_with(kTrailerHead)) {
+  if (line.starts_with(kTrailerStart)) {
     if (!ReadTrailer(line)) AddFault(0, "the end line is damaged");
     trailer_read_ = true;
     return;
   }
   const auto parts = SplitLine(line);
   if (!parts) {
-    broken_ = true;
+    skip_rest_of_file_ = true;
     const bool cut = !line.ends_with('\n');
-    return AddFault(file_last_ + 1,
+    return AddFault(file_last_seq_ + 1,
                     cut ? "cut short within a record" : "damaged: the record does not agree with its hash");
   }
   try {
     ReadRecord(line, *parts);
   } catch (const std::runtime_error& e) {
-    AddFault(file_last_ + 1, fmt::format("not a record of the schema: {}", e.what()));
+    AddFault(file_last_seq_ + 1, fmt::format("not a record of the schema: {}", e.what()));
   }
 }
 
@@ -194,13 +195,13 @@
   const object record = root["record"];
   const std::uint64_t seq = UnsignedField(record, "seq");
   if (!CheckIdentity(record, seq)) return;
-  if (file_first_ == 0) file_first_ = seq;
-  CheckFollowsInFile(seq, parts);
-  file_last_ = seq;
-  file_hash_ = parts.hash;
-  if (seq == 0) return AddFault(0, "record without a number");
-  if (seq <= last_seq_) return ReportRepeated(seq, parts);
-  CheckFollowsLastFile(seq, parts);
+  if (file_first_seq_ == 0) file_first_seq_ = seq;
+  CheckChainWithinFile(seq, parts);
+  file_last_seq_ = seq;
+  file_last_hash_ = parts.hash;
+  if (seq == 0) return AddFault(0, "record without a sequence number");
+  if (seq <= last_seq_) return ReportDuplicate(seq, parts);
+  CheckChainAcrossFiles(seq, parts);
   hash_prefixes_.resize(seq);
   hash_prefixes_[seq - 1] = HashPrefix(parts.hash);
   last_seq_ = seq;
@@ -212,41 +213,41 @@
 bool ExportReader::CheckIdentity(object record, std::uint64_t seq) {
   const std::string_view relay = TextField(record, "relay"), ledger_id = TextField(record, "book");
   if (relay == relay_ && ledger_id == ledger_id_) return true;
-  broken_ = true;
+  skip_rest_of_file_ = true;
   AddFault(seq, fmt::format("it is of {} book {}, the file began with {} book {}", relay, ledger_id, relay_,
                             ledger_id_));
   return false;
 }
 
-void ExportReader::CheckFollowsInFile(std::uint64_t seq, const LineParts& parts) {
-  if (file_last_ == 0) return;
-  if (seq > file_last_ + 1) {
-    AddFault(seq, MissingRecords(file_last_ + 1, seq - 1));
-  } else if (seq != file_last_ + 1) {
-    AddFault(seq, fmt::format("duplicate or out of order: it comes after record {}", file_last_));
-  } else if (parts.prev != file_hash_) {
+void ExportReader::CheckChainWithinFile(std::uint64_t seq, const LineParts& parts) {
+  if (file_last_seq_ == 0) return;
+  if (seq > file_last_seq_ + 1) {
+    AddFault(seq, MissingRecordsMessage(file_last_seq_ + 1, seq - 1));
+  } else if (seq != file_last_seq_ + 1) {
+    AddFault(seq, fmt::format("duplicate or out of order: it comes after record {}", file_last_seq_));
+  } else if (parts.prev != file_last_hash_) {
     AddFault(seq, kBrokenChain);
   }
 }
 
-void ExportReader::ReportRepeated(std::uint64_t seq, const LineParts& parts) {
+void ExportReader::ReportDuplicate(std::uint64_t seq, const LineParts& parts) {
   ++report_.duplicates;
   const bool same = seq <= hash_prefixes_.size() && hash_prefixes_[seq - 1] == HashPrefix(parts.hash);
   AddFault(seq, same ? "duplicate: the same record came before, it counts once"
                      : "fork: another record came before under this number, this one is not counted");
 }
 
-// Only for the first line of a file: CheckFollowsInFile reports the others.
-void ExportReader::CheckFollowsLastFile(std::uint64_t seq, const LineParts& parts) {
-  if (line_ != 1) return;
+// Checks only the first line of a file; CheckChainWithinFile checks the others.
+void ExportReader::CheckChainAcrossFiles(std::uint64_t seq, const LineParts& parts) {
+  if (line_number_ != 1) return;
   if (seq != last_seq_ + 1) {
-    AddFault(seq, MissingRecords(last_seq_ + 1, seq - 1));
+    AddFault(seq, MissingRecordsMessage(last_seq_ + 1, seq - 1));
   } else if (parts.prev != last_hash_) {
     AddFault(seq, kBrokenChain);
   }
 }
 
-// Records of usage are nearly all of an export and are read without building a message.
+// Nearly all records of an export are usage records, so they are read without building a protobuf message.
 void ExportReader::ReadBody(object record, std::uint64_t seq, const LineParts& parts) {
   object body;
   if (record.at_key("use").get(body) == simdjson::SUCCESS) return ReadUse(body, seq);
@@ -256,10 +257,10 @@
   }
   const auto parsed = ParseRecord(parts.record);
   if (!parsed) return AddFault(seq, "not a record of the schema");
-  ReadRareBody(*parsed, seq);
+  ReadParsedBody(*parsed, seq);
 }
 
-void ExportReader::ReadRareBody(const wire::Record& record, std::uint64_t seq) {
+void ExportReader::ReadParsedBody(const wire::Record& record, std::uint64_t seq) {
   if (record.has_correction()) {
     const wire::Correction& correction = record.correction();
     PeriodTotal& total = report_.totals[{correction.period_start_s(), correction.group()}];
@@ -272,7 +273,7 @@
     AddFault(seq, fmt::format("the relay itself found period {} out of balance",
                               record.imbalance().period_start_s()));
   } else {
-    AddFault(seq, "a record of a kind that this program does not know");
+    AddFault(seq, "unknown kind of record");
   }
 }
 
@@ -290,13 +291,13 @@
                               within_us, beyond_us, class_sum_us));
   }
   const std::string group(TextField(use, "group"));
-  if (!uses_.emplace(start_s, UnsignedField(use, "supplement"), group).second) {
+  if (!seen_usage_.emplace(start_s, UnsignedField(use, "supplement"), group).second) {
     AddFault(seq,
              fmt::format("overlapping periods: group {} has a record of period {} already", group, start_s));
   }
-  const auto [it, inserted] = report_.lengths.try_emplace(start_s, PeriodLength{length_s, file_});
+  const auto [it, inserted] = report_.period_lengths.try_emplace(start_s, PeriodLength{length_s, file_});
   if (!inserted && it->second.seconds != length_s) {
-    AddFault(seq, DifferentLengths(start_s, length_s, it->second));
+    AddFault(seq, DifferentLengthsMessage(start_s, length_s, it->second));
   }
   PeriodTotal& sum = report_.totals[{start_s, group}];
   sum.use_us += total_us;
@@ -307,12 +308,12 @@
 
 // Returns false if the line does not match its hash.
 bool ExportReader::ReadTrailer(std::string_view line) {
-  const std::size_t hash_part_size = kTrailerHash.size() + kHashSize + kTrailerTail.size();
-  if (line.size() < hash_part_size || !line.ends_with(kTrailerTail)) return false;
+  const std::size_t hash_part_size = kTrailerHashKey.size() + kHashSize + kTrailerEnd.size();
+  if (line.size() < hash_part_size || !line.ends_with(kTrailerEnd)) return false;
   const std::string_view body = line.substr(0, line.size() - hash_part_size);
   const std::string_view hash_part = line.substr(body.size());
-  if (!hash_part.starts_with(kTrailerHash) ||
-      hash_part.substr(kTrailerHash.size(), kHashSize) != Sha256Hex(body)) {
+  if (!hash_part.starts_with(kTrailerHashKey) ||
+      hash_part.substr(kTrailerHashKey.size(), kHashSize) != Sha256Hex(body)) {
     return false;
   }
   const element root = parser_.parse(line.data(), line.size(), false);
@@ -322,19 +323,19 @@
     AddFault(0, "the end line is of another book");
   }
   const bool empty = last < first;
-  const bool agrees =
-      empty ? file_last_ == 0
-            : file_first_ == first && file_last_ == last && TextField(trailer, "head") == file_hash_;
+  const bool agrees = empty ? file_last_seq_ == 0
+                            : file_first_seq_ == first && file_last_seq_ == last &&
+                                  TextField(trailer, "head") == file_last_hash_;
   if (!agrees) {
     AddFault(0, fmt::format("records are missing: the export held {} to {}, here are {} to {}", first, last,
-                            file_first_, file_last_));
+                            file_first_seq_, file_last_seq_));
   }
   return true;
 }
 
 void ExportReader::EndFile() {
-  if (trailer_read_ || broken_) return;
-  AddFault(0, fmt::format("cut short after record {}: the end line is missing", file_last_));
+  if (trailer_read_ || skip_rest_of_file_) return;
+  AddFault(0, fmt::format("cut short after record {}: the end line is missing", file_last_seq_));
 }
 
 }  // namespace stoatrun::ledger
--- a/tests/ledger/export_file_test.cpp
+++ b/tests/ledger/export_file_test.cpp
@@ -1,4 +1,4 @@
-// Writing export files.
+// Tests that export files are written atomically.
 #include "ledger/io/export_file.h"
 
 #include <sys/resource.h>
@@ -24,8 +24,8 @@
   return std::string{std::istreambuf_iterator<char>(input), {}};
 }
 
-// Writes an export in a child process that is killed by the write that takes the file over `max_bytes`.
-// Returns whether it was killed.
+// Writes an export in a child process that is killed when it writes beyond `max_bytes`. Returns whether it
+// was killed.
 bool IsKilledWriting(const std::string& folder, const std::string& path, rlim_t max_bytes) {
   const pid_t child = fork();
   if (child == 0) {
@@ -41,18 +41,18 @@
   return WIFSIGNALED(status) && WTERMSIG(status) == SIGXFSZ;
 }
 
-TEST_CASE("an export file is complete or the old one, wherever its writing is killed") {
+TEST_CASE("an export file is complete or unchanged, wherever the process writing it is killed") {
   RecorderFixture relay(nullptr);
   UsageHandle handle = relay.recorder->Begin("wetland", 0);
   relay.Wait(seconds(200));
   relay.recorder->End(handle);
   REQUIRE(relay.recorder->Finish(seconds(5)));
   const std::string path = relay.Folder() + "/n0.jsonl";
-  std::ofstream(path) << "the old one";
+  std::ofstream(path) << "the previous file";
   Store store = relay.Reader();
-  for (rlim_t max_bytes = 0; ReadFile(path) == "the old one"; max_bytes += 97) {
+  for (rlim_t max_bytes = 0; ReadFile(path) == "the previous file"; max_bytes += 97) {
     const bool killed = IsKilledWriting(relay.Folder(), path, max_bytes);
-    REQUIRE((killed == (ReadFile(path) == "the old one")));
+    REQUIRE((killed == (ReadFile(path) == "the previous file")));
     REQUIRE(max_bytes < 100'000);
   }
   const ReconcileReport report = ReconcileFiles({path}, 1);
--- a/tests/ledger/golden_ledger.sh
+++ b/tests/ledger/golden_ledger.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# `stoatrun ledger` on golden folders against golden outputs and exports: every byte, and exit codes.
+# Runs `stoatrun ledger` on golden folders and compares its outputs, exports and exit codes with golden files.
+# Fails on any differing byte.
 set -u
 relay=$1
 golden=$2
@@ -7,7 +8,7 @@
 . "$(dirname "$0")/../golden.sh"
 
 cp -r "$golden/ledger/n0" "$golden/ledger/n1" "$work"
-cd "$work" || exit 1  # Messages name the files as they are given: relative paths.
+cd "$work" || exit 1  # Messages name files as given: with relative paths.
 ledger() { # ledger NAME ARGUMENT...
   name=$1; shift
   run "$name" "$relay" ledger "$@"
@@ -38,7 +39,7 @@
 export_records export-since n0 parts/n0-since-5.jsonl --since 5
 export_records export-nothing n0 parts/n0-nothing.jsonl --since 99
 ledger export-into-nowhere export --folder n0 --out none/n0.jsonl
-# The file that is written first carries the process's number.
+# The temporary file's name contains the process id.
 sed -i 's/\.[0-9]*\.part/.NUMBER.part/' outputs/export-into-nowhere.txt
 ledger reconcile-without-fault reconcile exports/n0.jsonl
 for format in table json csv; do
--- a/tests/ledger/golden_test.cpp
+++ b/tests/ledger/golden_test.cpp
@@ -1,4 +1,4 @@
-// What the store writes against golden exports: the same postings give the same records, to the byte.
+// Compares exports byte for byte with golden files: the same postings must always give the same records.
 #include "golden.h"
 
 #include <unistd.h>
@@ -17,7 +17,7 @@
 namespace stoatrun::ledger {
 namespace {
 
-constexpr std::int64_t kHour = 1'800'000'000;
+constexpr std::int64_t kPeriodStart = 1'800'000'000;
 
 Posting MakePosting(std::uint64_t number, std::int64_t start_s, std::int64_t use_us, bool period_ended) {
   Posting posting;
@@ -40,51 +40,51 @@
   return {std::istreambuf_iterator<char>(input), {}};
 }
 
-// Closed periods, a step of the clock, supplements, corrections, usage that was dropped, a crash, an open
-// period.
-TEST_CASE("every kind of record is exported as in the golden file") {
+// Covers closed periods, a clock step, supplements, corrections, dropped usage, a crash and an open period.
+TEST_CASE("an export with every kind of record matches the golden file") {
   const TemporaryFolder folder;
   const StoreSetup setup{folder.Path(), "n0", "b0", nullptr, true, 5000};
   {
     Store store(setup);
-    store.BeginRun(kHour * 1'000'000, kHour);
-    store.Apply(MakePosting(1, kHour, 1'000'000, false), {{"coast", 1}});
-    Posting unnamed = MakePosting(2, kHour, 2'000'001, true);
+    store.BeginRun(kPeriodStart * 1'000'000, kPeriodStart);
+    store.Apply(MakePosting(1, kPeriodStart, 1'000'000, false), {{"coast", 1}});
+    Posting unnamed = MakePosting(2, kPeriodStart, 2'000'001, true);
     unnamed.groups.push_back({kMissingGroup, 17, 17, -1, 1, {{"feed", 17, 1}}});
     unnamed.groups.push_back({kOtherGroups, 19, 19, -1, 1, {{"watch", 19, 1}}});
     unnamed.connection_time_us += 36;
     store.Apply(unnamed, {});
-    Posting stepped = MakePosting(3, kHour + 3600, 500, false);
+    Posting stepped = MakePosting(3, kPeriodStart + 3600, 500, false);
     stepped.steps.push_back({stepped.wall_us, stepped.wall_us - 3'600'000'000});
     store.Apply(stepped, {{"coast", 1}});
-    store.Apply(MakePosting(4, kHour, 77, false), {{"coast", 1}});
-    store.Apply(MakePosting(5, kHour + 3600, 30'000'000, true), {{"coast", 1}, {"wetland", 2}});
-    store.EnterCorrection({"coast", kHour, -30, "double count", "ann", "ref-1", (kHour + 7000) * 1'000'000});
+    store.Apply(MakePosting(4, kPeriodStart, 77, false), {{"coast", 1}});
+    store.Apply(MakePosting(5, kPeriodStart + 3600, 30'000'000, true), {{"coast", 1}, {"wetland", 2}});
     store.EnterCorrection(
-        {"reef", kHour + 3600, 12, "was \"missed\", wrongly", "bo", "", (kHour + 7001) * 1'000'000});
-    Posting unrecorded = MakePosting(6, kHour + 7200, 9'000'000, false);
+        {"coast", kPeriodStart, -30, "double count", "ann", "ref-1", (kPeriodStart + 7000) * 1'000'000});
+    store.EnterCorrection({"reef", kPeriodStart + 3600, 12, "was \"missed\", wrongly", "bo", "",
+                           (kPeriodStart + 7001) * 1'000'000});
+    Posting unrecorded = MakePosting(6, kPeriodStart + 7200, 9'000'000, false);
     unrecorded.unrecorded_us = 4'000'000;
     unrecorded.unrecorded_from_wall_us = unrecorded.wall_us - 60'000'000;
     store.Apply(unrecorded, {{"coast", 3}, {"wetland", 1}});
-  }  // As if the process were killed.
+  }  // Destroyed without EndRun, as after a crash.
   Store store(setup);
-  store.BeginRun((kHour + 7300) * 1'000'000, kHour + 7200);
+  store.BeginRun((kPeriodStart + 7300) * 1'000'000, kPeriodStart + 7200);
   CHECK(store.Acknowledge(2, store.Records(2, 1).at(0).hash));
-  store.Apply(MakePosting(1, kHour + 7200, 1'234'567, false), {{"coast", 2}});
-  store.EndRun((kHour + 7400) * 1'000'000);
+  store.Apply(MakePosting(1, kPeriodStart + 7200, 1'234'567, false), {{"coast", 2}});
+  store.EndRun((kPeriodStart + 7400) * 1'000'000);
   const std::string text = ExportOf(store, folder);
   CHECK(text == tests::GoldenText("ledger/outputs/n0.jsonl", text));
 }
 
-TEST_CASE("unbalanced sums are exported as in the golden file") {
+TEST_CASE("an export with unbalanced sums matches the golden file") {
   const TemporaryFolder folder;
   Store store({folder.Path(), "n1", "b1", nullptr, true, 250});
-  store.BeginRun(kHour * 1'000'000, kHour);
-  Posting one = MakePosting(1, kHour, 5'000'000, true);
+  store.BeginRun(kPeriodStart * 1'000'000, kPeriodStart);
+  Posting one = MakePosting(1, kPeriodStart, 5'000'000, true);
   one.connection_time_us += 3;
   store.Apply(one, {});
-  store.Apply(MakePosting(2, kHour + 3600, 6'000'000, true), {});
-  store.EndRun((kHour + 7300) * 1'000'000);
+  store.Apply(MakePosting(2, kPeriodStart + 3600, 6'000'000, true), {});
+  store.EndRun((kPeriodStart + 7300) * 1'000'000);
   const std::string text = ExportOf(store, folder);
   CHECK(text == tests::GoldenText("ledger/outputs/n1.jsonl", text));
 }
--- a/tests/ledger/reconcile_test.cpp
+++ b/tests/ledger/reconcile_test.cpp
@@ -1,4 +1,4 @@
-// Reconciling complete exports, and detecting each way in which an export can be wrong.
+// Tests that complete exports are reconciled and that each kind of fault in an export is detected.
 #include "ledger/reconcile.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 namespace stoatrun::ledger {
 namespace {
 
-constexpr std::int64_t kHour = 1'800'000'000;
+constexpr std::int64_t kPeriodStart = 1'800'000'000;
 
 wire::Record UseRecord(const std::string& relay, std::uint64_t seq, std::int64_t start_s,
                        const std::string& group) {
@@ -42,22 +42,22 @@
   }
 };
 
-// Four records of two periods and a correction.
-Export MakeSoundExport() {
-  Export sound;
-  sound.Add(UseRecord("n0", 1, kHour, "coast"));
-  sound.Add(UseRecord("n0", 2, kHour, "wetland"));
-  sound.Add(UseRecord("n0", 3, kHour + 3600, "coast"));
+// Three usage records of two periods, and a correction.
+Export MakeIntactExport() {
+  Export intact;
+  intact.Add(UseRecord("n0", 1, kPeriodStart, "coast"));
+  intact.Add(UseRecord("n0", 2, kPeriodStart, "wetland"));
+  intact.Add(UseRecord("n0", 3, kPeriodStart + 3600, "coast"));
   wire::Record correction;
   correction.set_relay("n0");
   correction.set_book("b");
   correction.set_seq(4);
-  correction.mutable_correction()->set_period_start_s(kHour);
+  correction.mutable_correction()->set_period_start_s(kPeriodStart);
   correction.mutable_correction()->set_group("coast");
   correction.mutable_correction()->set_seconds(-7);
   correction.mutable_correction()->set_original_seq(1);
-  sound.Add(correction);
-  return sound;
+  intact.Add(correction);
+  return intact;
 }
 
 ReconcileReport Read(const std::vector<std::vector<std::string>>& files) {
@@ -85,23 +85,23 @@
   return all;
 }
 
-TEST_CASE("a complete export adds up, in one file or in several") {
-  const Export sound = MakeSoundExport();
-  const auto& lines = sound.lines;
+TEST_CASE("a complete export is summed up, from one file or from several") {
+  const Export intact = MakeIntactExport();
+  const auto& lines = intact.lines;
   const Line third =
-      MakeLine(UseRecord("n0", 3, kHour + 3600, "coast"),
+      MakeLine(UseRecord("n0", 3, kPeriodStart + 3600, "coast"),
                SplitLine(lines[1])->hash.data() != nullptr ? std::string(SplitLine(lines[1])->hash) : "");
-  CHECK(third.text == lines[2]);  // The same record after the same hash is the same line.
+  CHECK(third.text == lines[2]);  // Serialization is deterministic.
   const std::string second_trailer = MakeTrailer({"n0", "b", 1, 2, std::string(SplitLine(lines[1])->hash)});
   for (const auto& files : std::vector<std::vector<std::vector<std::string>>>{
-           {{lines[0], lines[1], lines[2], lines[3], sound.Trailer(1, 4)}},
-           {{lines[0], lines[1], second_trailer}, {lines[2], lines[3], sound.Trailer(3, 4)}}}) {
+           {{lines[0], lines[1], lines[2], lines[3], intact.Trailer(1, 4)}},
+           {{lines[0], lines[1], second_trailer}, {lines[2], lines[3], intact.Trailer(3, 4)}}}) {
     const ReconcileReport report = Read(files);
     CHECK(Faults(report).empty());
     CHECK(report.records == 4);
-    CHECK(report.totals.at({kHour, "coast"}).use_us == 900);
-    CHECK(report.totals.at({kHour, "coast"}).corrected_s == -7);
-    CHECK(report.totals.at({kHour + 3600, "coast"}).beyond_us == 300);
+    CHECK(report.totals.at({kPeriodStart, "coast"}).use_us == 900);
+    CHECK(report.totals.at({kPeriodStart, "coast"}).corrected_s == -7);
+    CHECK(report.totals.at({kPeriodStart + 3600, "coast"}).beyond_us == 300);
     CHECK(report.corrections.size() == 1);
   }
 }
@@ -110,10 +110,10 @@
 
 std::string FaultsOf(const Files& files) { return Faults(Read(files)); }
 
-TEST_CASE("missing, cut and repeated records are reported with their file and record") {
-  const Export sound = MakeSoundExport();
-  const auto& lines = sound.lines;
-  const std::string trailer = sound.Trailer(1, 4);
+TEST_CASE("missing, truncated and repeated records are reported with their file and sequence number") {
+  const Export intact = MakeIntactExport();
+  const auto& lines = intact.lines;
+  const std::string trailer = intact.Trailer(1, 4);
   CHECK(FaultsOf({{lines[0], lines[2], lines[3], trailer}}) == "f1:2:3 gap: records 2 to 2 are missing\n");
   CHECK_THAT(FaultsOf({{lines[0], lines[1], lines[2], lines[3]}}),
              Catch::StartsWith("f1:4:0 cut short after record 4"));
@@ -123,49 +123,49 @@
              Catch::StartsWith("f1:4:0 records are missing"));
   CHECK_THAT(FaultsOf({{lines[0], lines[1], lines[1], lines[2], lines[3], trailer}}),
              Catch::Contains("f1:3:2 duplicate"));
-  CHECK_THAT(FaultsOf({{lines[2], lines[3], sound.Trailer(3, 4)}}),
+  CHECK_THAT(FaultsOf({{lines[2], lines[3], intact.Trailer(3, 4)}}),
              Catch::StartsWith("f1:1:3 gap: records 1 to 2"));
   CHECK_THAT(FaultsOf({{lines[0], lines[1], lines[2], lines[3], trailer},
-                       {lines[1], lines[2], lines[3], sound.Trailer(2, 4)}}),
+                       {lines[1], lines[2], lines[3], intact.Trailer(2, 4)}}),
              Catch::Contains("f2:1:2 duplicate: the same record"));
-  const ReconcileReport twice = Read({{lines[0], lines[1], lines[2], lines[3], trailer},
-                                      {lines[1], lines[2], lines[3], sound.Trailer(2, 4)}});
-  CHECK(twice.duplicates == 3);
-  CHECK(twice.totals.at({kHour, "wetland"}).use_us == 900);
+  const ReconcileReport repeated = Read({{lines[0], lines[1], lines[2], lines[3], trailer},
+                                         {lines[1], lines[2], lines[3], intact.Trailer(2, 4)}});
+  CHECK(repeated.duplicates == 3);
+  CHECK(repeated.totals.at({kPeriodStart, "wetland"}).use_us == 900);
 }
 
-TEST_CASE("records that contradict others are reported with their file and record") {
-  const Export sound = MakeSoundExport();
-  const auto& lines = sound.lines;
-  const std::string trailer = sound.Trailer(1, 4);
+TEST_CASE("records that conflict with others are reported with their file and sequence number") {
+  const Export intact = MakeIntactExport();
+  const auto& lines = intact.lines;
+  const std::string trailer = intact.Trailer(1, 4);
   Export fork;
-  fork.Add(UseRecord("n0", 1, kHour, "garden"));
+  fork.Add(UseRecord("n0", 1, kPeriodStart, "garden"));
   CHECK_THAT(
       FaultsOf({{lines[0], lines[1], lines[2], lines[3], trailer}, {fork.lines[0], fork.Trailer(1, 1)}}),
       Catch::Contains("f2:1:1 fork"));
   Export other;
-  other.Add(UseRecord("n0", 1, kHour, "garden"));
-  other.Add(UseRecord("n0", 2, kHour, "wetland"));
+  other.Add(UseRecord("n0", 1, kPeriodStart, "garden"));
+  other.Add(UseRecord("n0", 2, kPeriodStart, "wetland"));
   CHECK_THAT(FaultsOf({{lines[0], other.lines[1], lines[2], lines[3], trailer}}),
              Catch::Contains("f1:2:2 broken chain"));
   Export overlap;
-  overlap.Add(UseRecord("n0", 1, kHour, "coast"));
-  overlap.Add(UseRecord("n0", 2, kHour, "coast"));
-  overlap.Add(UseRecord("n0", 3, kHour + 1800, "coast"));
+  overlap.Add(UseRecord("n0", 1, kPeriodStart, "coast"));
+  overlap.Add(UseRecord("n0", 2, kPeriodStart, "coast"));
+  overlap.Add(UseRecord("n0", 3, kPeriodStart + 1800, "coast"));
   const std::string faults =
       FaultsOf({{overlap.lines[0], overlap.lines[1], overlap.lines[2], overlap.Trailer(1, 3)}});
   CHECK_THAT(faults, Catch::Contains("f1:2:2 overlapping periods: group coast has a record"));
   CHECK_THAT(faults, Catch::Contains("begins before the one from 1800000000 ends"));
   Export other_relay;
-  other_relay.Add(UseRecord("n7", 1, kHour, "coast"));
+  other_relay.Add(UseRecord("n7", 1, kPeriodStart, "coast"));
   CHECK_THAT(FaultsOf({{other_relay.lines[0]}}), Catch::Contains("it is of n7 book b"));
 }
 
 TEST_CASE("a flipped bit in any byte of an export is detected") {
-  const Export sound = MakeSoundExport();
+  const Export intact = MakeIntactExport();
   std::string text;
-  for (const std::string& line : sound.lines) text += line;
-  text += sound.Trailer(1, 4);
+  for (const std::string& line : intact.lines) text += line;
+  text += intact.Trailer(1, 4);
   for (std::size_t at = 0; at < text.size(); ++at) {
     for (const int bit : {1, 32}) {
       std::string broken = text;
