--- a/src/ledger/reconcile.cpp
+++ b/src/ledger/reconcile.cpp
@@ -19,7 +19,8 @@
 constexpr std::size_t kHashPrefixDigits = 16;
 constexpr std::string_view kTrailerStart = R"({"end":{"relay":")", kTrailerHashKey = R"(,"hash":")",
                            kTrailerEnd = "\"}\n";
-constexpr const char* kBrokenChain = "broken chain: it does not follow the record before it";
+constexpr const char* kBrokenChain =
+    "broken chain: the record does not continue the hash chain of the previous record";
 
 // Returns an integer field, or 0 if it is absent: protobuf's JSON form omits zeros and writes 64-bit integers
 // as strings. Throws ExportError kBadField or simdjson_error (both are std::runtime_error) if the field is
@@ -58,8 +59,8 @@
 }
 
 std::string DifferentLengthsMessage(std::int64_t start_s, std::int64_t length_s, const PeriodLength& other) {
-  return fmt::format("overlapping periods: the one from {} lasts {} s here, {} s in {}", start_s, length_s,
-                     other.seconds, other.file);
+  return fmt::format("overlapping periods: the period from {} lasts {} s here, but {} s in {}", start_s,
+                     length_s, other.seconds, other.file);
 }
 
 }  // namespace
@@ -111,7 +112,7 @@
   for (const auto& [start_s, length] : period_lengths) {
     if (start_s < latest_end) {
       Add({length.file, 0, 0,
-           fmt::format("overlapping periods: the one from {} begins before the one from {} ends", start_s,
+           fmt::format("overlapping periods: the period from {} begins before the one from {} ends", start_s,
                        start_of_latest)});
     }
     if (start_s + length.seconds > latest_end) {
@@ -130,12 +131,12 @@
 }
 
 FileOrigin ParseFirstLine(std::string_view first_line) {
-  constexpr const char* kNoRecord = "its first line is no record";
+  constexpr const char* kNotARecord = "the first line is not a record";
   simdjson::dom::parser parser;
   const simdjson::padded_string text(first_line);
   element root;
   if (parser.parse(text).get(root) != simdjson::SUCCESS) {
-    throw ExportError(ExportErrorCode::kNotAnExport, kNoRecord);
+    throw ExportError(ExportErrorCode::kNotAnExport, kNotARecord);
   }
   const auto origin = [](const object& json, std::string_view number_key) -> FileOrigin {
     return {std::string(TextField(json, "relay")), std::string(TextField(json, "book")),
@@ -144,7 +145,7 @@
   object json;
   if (root["record"].get(json) == simdjson::SUCCESS) return origin(json, "seq");
   if (root["end"].get(json) == simdjson::SUCCESS) return origin(json, "from");
-  throw ExportError(ExportErrorCode::kNotAnExport, kNoRecord);
+  throw ExportError(ExportErrorCode::kNotAnExport, kNotARecord);
 }
 
 ExportReader::ExportReader(std::string relay, std::string ledger_id, ReconcileReport& report)
@@ -170,9 +171,9 @@
 void ExportReader::ReadLine(std::string_view line) {
   ++line_number_;
   if (skip_rest_of_file_) return;  // After a damaged or foreign line, the chain cannot be checked.
-  if (trailer_read_) return AddFault(0, "more lines after the end of the export");
+  if (trailer_read_) return AddFault(0, "the file continues after its trailer");
   if (line.starts_with(kTrailerStart)) {
-    if (!ReadTrailer(line)) AddFault(0, "the end line is damaged");
+    if (!ReadTrailer(line)) AddFault(0, "damaged: the trailer is incomplete or does not agree with its hash");
     trailer_read_ = true;
     return;
   }
@@ -186,7 +187,7 @@
   try {
     ReadRecord(line, *parts);
   } catch (const std::runtime_error& e) {
-    AddFault(file_last_seq_ + 1, fmt::format("not a record of the schema: {}", e.what()));
+    AddFault(file_last_seq_ + 1, fmt::format("the record does not conform to the schema: {}", e.what()));
   }
 }
 
@@ -214,8 +215,8 @@
   const std::string_view relay = TextField(record, "relay"), ledger_id = TextField(record, "book");
   if (relay == relay_ && ledger_id == ledger_id_) return true;
   skip_rest_of_file_ = true;
-  AddFault(seq, fmt::format("it is of {} book {}, the file began with {} book {}", relay, ledger_id, relay_,
-                            ledger_id_));
+  AddFault(seq, fmt::format("the record belongs to relay {} ledger {}, but the file to relay {} ledger {}",
+                            relay, ledger_id, relay_, ledger_id_));
   return false;
 }
 
@@ -224,7 +225,7 @@
   if (seq > file_last_seq_ + 1) {
     AddFault(seq, MissingRecordsMessage(file_last_seq_ + 1, seq - 1));
   } else if (seq != file_last_seq_ + 1) {
-    AddFault(seq, fmt::format("duplicate or out of order: it comes after record {}", file_last_seq_));
+    AddFault(seq, fmt::format("duplicate or out of order: the record follows record {}", file_last_seq_));
   } else if (parts.prev != file_last_hash_) {
     AddFault(seq, kBrokenChain);
   }
@@ -234,7 +235,7 @@
   ++report_.duplicates;
   const bool same = seq <= hash_prefixes_.size() && hash_prefixes_[seq - 1] == HashPrefix(parts.hash);
   AddFault(seq, same ? "duplicate: the same record came before, it counts once"
-                     : "fork: another record came before under this number, this one is not counted");
+                     : "fork: another record with this number was read before; this one is not counted");
 }
 
 // Checks only the first line of a file; CheckChainWithinFile checks the others.
@@ -256,7 +257,7 @@
     return;
   }
   const auto parsed = ParseRecord(parts.record);
-  if (!parsed) return AddFault(seq, "not a record of the schema");
+  if (!parsed) return AddFault(seq, "the record does not conform to the schema");
   ReadParsedBody(*parsed, seq);
 }
 
@@ -293,7 +294,7 @@
   const std::string group(TextField(use, "group"));
   if (!seen_usage_.emplace(start_s, UnsignedField(use, "supplement"), group).second) {
     AddFault(seq,
-             fmt::format("overlapping periods: group {} has a record of period {} already", group, start_s));
+             fmt::format("overlapping periods: group {} already has a record for period {}", group, start_s));
   }
   const auto [it, inserted] = report_.period_lengths.try_emplace(start_s, PeriodLength{length_s, file_});
   if (!inserted && it->second.seconds != length_s) {
@@ -320,22 +321,22 @@
   const object trailer = root["end"];
   const std::uint64_t first = UnsignedField(trailer, "from"), last = UnsignedField(trailer, "to");
   if (TextField(trailer, "relay") != relay_ || TextField(trailer, "book") != ledger_id_) {
-    AddFault(0, "the end line is of another book");
+    AddFault(0, "the trailer belongs to another ledger");
   }
   const bool empty = last < first;
   const bool agrees = empty ? file_last_seq_ == 0
                             : file_first_seq_ == first && file_last_seq_ == last &&
                                   TextField(trailer, "head") == file_last_hash_;
   if (!agrees) {
-    AddFault(0, fmt::format("records are missing: the export held {} to {}, here are {} to {}", first, last,
-                            file_first_seq_, file_last_seq_));
+    AddFault(0, fmt::format("records are missing: the export contained {} to {}, this file contains {} to {}",
+                            first, last, file_first_seq_, file_last_seq_));
   }
   return true;
 }
 
 void ExportReader::EndFile() {
   if (trailer_read_ || skip_rest_of_file_) return;
-  AddFault(0, fmt::format("cut short after record {}: the end line is missing", file_last_seq_));
+  AddFault(0, fmt::format("cut short after record {}: the trailer is missing", file_last_seq_));
 }
 
 }  // namespace stoatrun::ledger
--- a/tests/ledger/reconcile_test.cpp
+++ b/tests/ledger/reconcile_test.cpp
@@ -154,11 +154,15 @@
   overlap.Add(UseRecord("n0", 3, kPeriodStart + 1800, "coast"));
   const std::string faults =
       FaultsOf({{overlap.lines[0], overlap.lines[1], overlap.lines[2], overlap.Trailer(1, 3)}});
-  CHECK_THAT(faults, Catch::Contains("f1:2:2 overlapping periods: group coast has a record"));
+  CHECK_THAT(
+      faults,
+      Catch::Contains("f1:2:2 overlapping periods: group coast already has a record for period 1800000000"));
   CHECK_THAT(faults, Catch::Contains("begins before the one from 1800000000 ends"));
   Export other_relay;
   other_relay.Add(UseRecord("n7", 1, kPeriodStart, "coast"));
-  CHECK_THAT(FaultsOf({{other_relay.lines[0]}}), Catch::Contains("it is of n7 book b"));
+  CHECK_THAT(
+      FaultsOf({{other_relay.lines[0]}}),
+      Catch::Contains("f1:1:1 the record belongs to relay n7 ledger b, but the file to relay n0 ledger b"));
 }
 
 TEST_CASE("a flipped bit in any byte of an export is detected") {
