--- a/src/ledger/accounts.h
+++ b/src/ledger/accounts.h
@@ -44,7 +44,7 @@
 // See the comment at the top of this file.
 class Accounts {
  public:
-  // Whether the current period goes on after its posting is taken.
+  // Whether the current period continues after its posting is taken.
   enum class CurrentPeriod {
     kContinues,  // More postings of it follow.
     kEnds        // It can be closed; no more postings follow.
