--- a/src/cli/ledger.cpp
+++ b/src/cli/ledger.cpp
@@ -64,7 +64,7 @@
   UsageFilter filter{.period_start_s = std::nullopt, .group = options.group};
   if (!options.period.empty()) filter.period_start_s = ParsePeriodStart(options.period);
   UsageReport report(filter);
-  store.EachRecord(1, [&](const ledger::StoredRecord& record) { report.AddRecord(record); });
+  store.ForEachRecord(1, [&](const ledger::StoredRecord& record) { report.AddRecord(record); });
   report.MakeTable(store.OpenPeriods()).Print(std::cout, ParseOutputFormat(options.format));
   const ledger::StoreState state = store.State();
   std::cerr << fmt::format("ledger of {}, book {}: {} records, {} delivered, {} unattested intervals\n",
--- a/src/ledger/io/export_file.cpp
+++ b/src/ledger/io/export_file.cpp
@@ -143,7 +143,7 @@
   for (const ExportPart& part : ledger_export.parts) {
     reader.BeginFile(part.path);
     try {
-      EachLine(part.path, [&](std::string_view line) { reader.ReadLine(line); });
+      ForEachLine(part.path, [&](std::string_view line) { reader.ReadLine(line); });
       reader.EndFile();
     } catch (const std::runtime_error& e) {
       report.Add({part.path, 0, 0, e.what()});
@@ -168,7 +168,7 @@
 
 void WriteRecords(Store& store, File& out, ExportTrailer& trailer) {
   std::string buffer;
-  store.EachRecord(trailer.from, [&](const StoredRecord& record) {
+  store.ForEachRecord(trailer.from, [&](const StoredRecord& record) {
     if (record.seq != trailer.to + 1) {
       throw ExportError(ExportErrorCode::kMissingRecord,
                         fmt::format("record {} is missing in the ledger", trailer.to + 1));
@@ -204,7 +204,7 @@
   return trailer;
 }
 
-void EachLine(const std::string& path, const std::function<void(std::string_view)>& each) {
+void ForEachLine(const std::string& path, const std::function<void(std::string_view)>& callback) {
   File input(path, O_RDONLY);
   std::vector<char> buffer(kReadBufferSize + simdjson::SIMDJSON_PADDING);
   std::size_t size = 0;
@@ -221,10 +221,10 @@
     std::string_view rest(buffer.data(), size);
     for (std::size_t end = 0; (end = rest.find('\n')) != std::string_view::npos;
          rest.remove_prefix(end + 1)) {
-      each(rest.substr(0, end + 1));
+      callback(rest.substr(0, end + 1));
     }
     if (bytes == 0) {
-      if (!rest.empty()) each(rest);
+      if (!rest.empty()) callback(rest);
       return;
     }
     std::memmove(buffer.data(), rest.data(), rest.size());
--- a/src/ledger/io/export_file.h
+++ b/src/ledger/io/export_file.h
@@ -21,9 +21,9 @@
 // untouched.
 ExportTrailer WriteExport(Store& store, std::uint64_t from_seq, const std::string& path);
 
-// Calls `each` with every line of a file, its newline included; SIMDJSON_PADDING bytes after it may be read.
-// Throws ExportError kSystem where the file can't be read, kLineTooLong for a line over 1 MiB.
-void EachLine(const std::string& path, const std::function<void(std::string_view)>& each);
+// Calls `callback` with every line of a file, including its newline. SIMDJSON_PADDING bytes beyond the line
+// are readable. Throws ExportError: kSystem if the file can't be read, kLineTooLong for a line over 1 MiB.
+void ForEachLine(const std::string& path, const std::function<void(std::string_view)>& callback);
 
 // Reconciles files, and all *.jsonl files of folders, on `threads` threads. Files that are no exports are
 // reported as faults.
--- a/src/ledger/io/store.cpp
+++ b/src/ledger/io/store.cpp
@@ -258,12 +258,12 @@
   return Guarded(path_, [&] { return records_.Read(from_seq, max_records); });
 }
 
-void Store::EachRecord(std::uint64_t from_seq, const std::function<void(const StoredRecord&)>& each) {
-  constexpr std::size_t kBatch = 1000;  // No lock is held between batches: the relay goes on writing.
+void Store::ForEachRecord(std::uint64_t from_seq, const std::function<void(const StoredRecord&)>& callback) {
+  constexpr std::size_t kBatchSize = 1000;  // No lock is held between batches, so that the relay can write.
   for (;;) {
-    const auto batch = Records(from_seq, kBatch);
-    for (const StoredRecord& record : batch) each(record);
-    if (batch.size() < kBatch) return;
+    const auto batch = Records(from_seq, kBatchSize);
+    for (const StoredRecord& record : batch) callback(record);
+    if (batch.size() < kBatchSize) return;
     from_seq = batch.back().seq + 1;
   }
 }
--- a/src/ledger/io/store.h
+++ b/src/ledger/io/store.h
@@ -92,8 +92,8 @@
   StoreState State();
   // Up to `max_records` records from number `from_seq` on.
   std::vector<StoredRecord> Records(std::uint64_t from_seq, std::size_t max_records);
-  // Calls `each` with every record from `from_seq` on. No lock is held during the calls.
-  void EachRecord(std::uint64_t from_seq, const std::function<void(const StoredRecord&)>& each);
+  // Calls `callback` with every record from number `from_seq` on. Holds no database lock during the calls.
+  void ForEachRecord(std::uint64_t from_seq, const std::function<void(const StoredRecord&)>& callback);
   // Usage of the periods that are not closed yet.
   std::vector<OpenUse> OpenPeriods();
   // Notes that the receiver holds all records up to `seq`, the last of which has `hash`. Returns false, and
--- a/tests/ledger/recorder_fixture.cpp
+++ b/tests/ledger/recorder_fixture.cpp
@@ -85,7 +85,7 @@
 RecorderFixture::Totals RecorderFixture::ReadTotals() {
   Totals totals;
   Store store = Reader();
-  store.EachRecord(1, [&](const StoredRecord& stored) {
+  store.ForEachRecord(1, [&](const StoredRecord& stored) {
     const auto record = ParseRecord(SplitLine(stored.line).value().record).value();
     totals.use_us += record.use().use_us();
     totals.within_us += record.use().within_us();
--- a/tests/ledger/store_test.cpp
+++ b/tests/ledger/store_test.cpp
@@ -44,7 +44,7 @@
 // All usage in the store: in records and in periods that are not closed.
 std::int64_t StoredUse(Store& store) {
   std::int64_t sum = 0;
-  store.EachRecord(1, [&](const StoredRecord& stored) {
+  store.ForEachRecord(1, [&](const StoredRecord& stored) {
     const auto record = ParseRecord(SplitLine(stored.line).value().record);
     REQUIRE(record);
     if (record->has_use()) sum += record->use().use_us();
@@ -111,7 +111,7 @@
   int unattested = 0;
   std::string previous_hash = FirstHash();
   std::uint64_t expected = 0;
-  store.EachRecord(1, [&](const StoredRecord& stored) {
+  store.ForEachRecord(1, [&](const StoredRecord& stored) {
     const auto parts = SplitLine(stored.line);
     REQUIRE(parts);
     REQUIRE(stored.seq == ++expected);
