--- a/src/ledger/io/checked_vfs.h
+++ b/src/ledger/io/checked_vfs.h
@@ -1,11 +1,12 @@
-// A SQLite VFS layer that keeps a checksum in each page of the main database file, so that no byte of it can
-// change unnoticed. A page whose checksum is wrong is not read: SQLite reports SQLITE_IOERR_DATA.
+// A SQLite VFS shim that stores a checksum in each page of the main database file and verifies it on each
+// read, so that corruption of any byte is detected. Reading a page with a wrong checksum fails with
+// SQLITE_IOERR_DATA.
 //
-// The checksum is XXH3 over the page, seeded with its number, since a page at another page's place is wrong,
-// too. It lies in kReservedBytes at the end of each page, which ReservePageChecksums makes SQLite leave free.
-// The rollback journal passes through unchanged.
+// The checksum is XXH3 over the page, seeded with the page number so that a page written to the wrong offset
+// is detected, too. It occupies the last kReservedBytes of each page, which ReservePageChecksums makes SQLite
+// leave unused. The rollback journal is passed through unchanged.
 //
-// The layer itself is thread-safe; each connection is used by one thread at a time.
+// Thread-safety: the shim is thread-safe; each connection must be used by one thread at a time.
 #ifndef STOATRUN_LEDGER_IO_CHECKED_VFS_H_
 #define STOATRUN_LEDGER_IO_CHECKED_VFS_H_
 
@@ -17,24 +18,25 @@
 
 namespace stoatrun::ledger {
 
-inline constexpr int kPageSize = 4096;    // The page size that the database must have, in bytes.
-inline constexpr int kReservedBytes = 8;  // Of each page, for its checksum.
+inline constexpr int kPageSize = 4096;    // Required page size of the database, in bytes.
+inline constexpr int kReservedBytes = 8;  // At the end of each page, for its checksum.
 
-// The name of the checksum layer over the VFS `base_name` (null: the system's), registered at the first call.
-// The name is valid as long as the process. Throws std::runtime_error if there is no such VFS.
-const char* CheckedVfs(const char* base_name);
+// Returns the name of the checksum VFS on top of the VFS `base_name` (null: SQLite's default), and registers
+// it on first use. The name stays valid until a VFS of the same base name is registered anew. Throws
+// std::runtime_error if the base VFS does not exist.
+const char* CheckedVfsName(const char* base_name);
 
-// Reserves the checksums' bytes. To be called on a new connection before anything else. Throws SqlError.
+// Reserves the space for the checksums. Must be the first call on a new connection. Throws SqlError.
 void ReservePageChecksums(sqlite3* database);
 
-// Whether the page of kPageSize bytes with this number, from 1, is as it was written. A page of zeros, which
-// was never written, is.
+// Returns whether a page of kPageSize bytes matches its checksum; pages are numbered from 1. A page of zeros
+// has never been written and counts as valid.
 bool IsPageValid(std::string_view page, std::uint64_t number);
 
-// Reads every page of the main database, also those that no table uses, and returns the number of the first
-// invalid one, from 1. The caller must hold a lock on the database. Reads through the connection's own file:
-// opening the file once more and closing it would drop the POSIX locks of the whole process. Throws SqlError
-// if it can't be read.
+// Reads every page of the main database, including unused ones, and returns the number of the first invalid
+// page, from 1. The caller must hold a lock on the database. Reads through the connection's own file handle,
+// because opening and closing the file once more would release all POSIX locks that this process holds on it.
+// Throws SqlError if the file can't be read.
 std::optional<std::uint64_t> FindInvalidPage(sqlite3* database);
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/io/folder_lock.cpp
+++ b/src/ledger/io/folder_lock.cpp
@@ -13,7 +13,7 @@
 
 constexpr mode_t kLockFileMode = 0644;
 
-StoreErrorCode CodeOfErrno(int error) {
+StoreErrorCode ErrorCodeFromErrno(int error) {
   if (error == ENOSPC || error == EDQUOT) return StoreErrorCode::kFull;
   return error == EIO ? StoreErrorCode::kIo : StoreErrorCode::kReadOnly;
 }
@@ -23,15 +23,16 @@
   UniqueFd file(open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kLockFileMode));
   if (file) return file;
   const int error = errno;
-  throw StoreError(CodeOfErrno(error),
-                   path + ": " + std::strerror(error));  // NOLINT(concurrency-mt-unsafe): glibc's is safe.
+  throw StoreError(
+      ErrorCodeFromErrno(error),
+      path + ": " + std::strerror(error));  // NOLINT(concurrency-mt-unsafe): thread-safe in glibc.
 }
 
 }  // namespace
 
 FolderLock::FolderLock(const std::string& folder) : file_(OpenLockFile(folder)) {
   if (flock(file_.Get(), LOCK_EX | LOCK_NB) == 0) return;
-  throw StoreError(StoreErrorCode::kLocked, folder + ": another relay uses this folder");
+  throw StoreError(StoreErrorCode::kLocked, folder + ": the folder is locked by another relay process");
 }
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/io/folder_lock.h
+++ b/src/ledger/io/folder_lock.h
@@ -1,4 +1,4 @@
-// Exclusive use of a ledger's folder by one relay process.
+// A lock that gives one relay process exclusive use of a ledger's folder.
 #ifndef STOATRUN_LEDGER_IO_FOLDER_LOCK_H_
 #define STOATRUN_LEDGER_IO_FOLDER_LOCK_H_
 
@@ -8,12 +8,12 @@
 
 namespace stoatrun::ledger {
 
-// Owns an advisory lock (flock) on the file `relay.lock` in a folder. The kernel releases it when the process
-// ends, however it ends. Command line programs, which only read or enter corrections, don't take it.
+// Holds an advisory lock (flock) on the file `relay.lock` in a folder. The kernel releases the lock when the
+// process exits or crashes. Command line programs only read or enter corrections and do not take the lock.
 class FolderLock {
  public:
-  // Locks `folder` without waiting. Throws StoreError: kLocked if another process holds the lock, else what
-  // kept the file from being opened.
+  // Locks `folder` without waiting. Throws StoreError: kLocked if another process holds the lock, otherwise
+  // the code for the error of opening the lock file.
   explicit FolderLock(const std::string& folder);
 
  private:
--- a/src/ledger/io/period_table.cpp
+++ b/src/ledger/io/period_table.cpp
@@ -10,7 +10,7 @@
   return query.Bind(start_s).Step() ? std::optional(query.Int(0)) : std::nullopt;
 }
 
-std::int64_t PeriodTable::FindOrBegin(const Posting& posting) {
+std::int64_t PeriodTable::FindOrOpen(const Posting& posting) {
   if (const auto open = FindOpen(posting.period_start_s)) return *open;
   Statement supplement(database_, "SELECT coalesce(max(supplement) + 1, 0) FROM period WHERE start_s = ?");
   supplement.Bind(posting.period_start_s).Step();
@@ -23,7 +23,7 @@
 }
 
 void PeriodTable::AddUsage(const Posting& posting) {
-  const std::int64_t period_id = FindOrBegin(posting);
+  const std::int64_t period_id = FindOrOpen(posting);
   for (const GroupUse& group : posting.groups) {
     AddGroup(period_id, group);
     for (const ClassUse& use : group.classes) AddClass(period_id, group.name, use);
@@ -85,13 +85,13 @@
   if (sums.class_us != sums.group_us || sums.group_us != period.connection_time_us) {
     AppendImbalance(period, sums);
   }
-  // From here on the usage is in the records.
+  // The usage is now in the records.
   Statement(database_, "DELETE FROM cell WHERE period = ?").Bind(id).Run();
   Statement(database_, "DELETE FROM split WHERE period = ?").Bind(id).Run();
   Statement(database_, "UPDATE period SET closed = 1 WHERE id = ?").Bind(id).Run();
 }
 
-// Groups and their classes are read in order of their names, so that the same usage gives the same records.
+// Groups and classes are read in order of their names, so that identical usage produces identical records.
 PeriodTable::Sums PeriodTable::AppendUseRecords(const Period& period) {
   Sums sums;
   Statement groups(
@@ -111,13 +111,13 @@
     use.set_share_milli(groups.Int(3));
     use.set_peak(static_cast<std::uint32_t>(groups.Int(4)));
     sums.group_us += use_us;
-    sums.class_us += ReadClasses(period, use);
+    sums.class_us += AddClassUsage(period, use);
     records_.Append(std::move(record), {period.start_s, group, {}});
   }
   return sums;
 }
 
-std::int64_t PeriodTable::ReadClasses(const Period& period, wire::Use& use) {
+std::int64_t PeriodTable::AddClassUsage(const Period& period, wire::Use& use) {
   std::int64_t sum_us = 0;
   Statement classes(database_,
                     "SELECT class, use_us, begun FROM cell WHERE period = ? AND grp = ? ORDER BY class");
--- a/src/ledger/io/record_log.cpp
+++ b/src/ledger/io/record_log.cpp
@@ -5,8 +5,8 @@
 namespace stoatrun::ledger {
 namespace {
 
-// The column `kind` of the table of records.
-std::string_view StoredKind(const wire::Record& record) {
+// The value of the column `kind` for a record.
+std::string_view KindColumn(const wire::Record& record) {
   switch (record.body_case()) {
     case wire::Record::kUse:
       return "use";
@@ -33,7 +33,7 @@
 
 std::uint64_t RecordLog::Append(wire::Record record, const RecordIndex& index) {
   const std::uint64_t seq = meta_.GetNumber(MetaTable::kHeadSeq) + 1;
-  const std::string_view kind = StoredKind(record);
+  const std::string_view kind = KindColumn(record);
   record.set_relay(relay_);
   record.set_book(ledger_id_);
   record.set_seq(seq);
--- a/src/ledger/io/record_log.h
+++ b/src/ledger/io/record_log.h
@@ -1,4 +1,4 @@
-// The exported records in the database: an append-only log, chained by hash.
+// The table of exported records: an append-only log, chained by hash.
 #ifndef STOATRUN_LEDGER_IO_RECORD_LOG_H_
 #define STOATRUN_LEDGER_IO_RECORD_LOG_H_
 
@@ -15,41 +15,42 @@
 
 namespace stoatrun::ledger {
 
-// A record as it was exported.
+// A record as exported.
 struct StoredRecord {
-  std::uint64_t seq = 0;  // From 1, without gaps.
+  std::uint64_t seq = 0;  // Starts at 1, without gaps.
   std::string hash;       // SHA-256 in hexadecimal.
-  std::string line;       // The whole line, its newline included.
+  std::string line;       // The complete line, including its newline.
 };
 
-// By what a record can be found, apart from its number.
+// Keys by which a record can be found besides its number.
 struct RecordIndex {
-  std::int64_t period_start_s = 0;  // 0: not of a period.
-  std::string group;                // Empty: not of a group.
-  std::string reference;            // Unique among the records; empty: none.
+  std::int64_t period_start_s = 0;  // 0: not about a period.
+  std::string group;                // Empty: not about a group.
+  std::string reference;            // Unique among all records; empty: none.
 };
 
-// The table of records. Every function works inside the transaction of its caller and throws SqlError. Of one
-// thread at a time, as its database.
+// Access to the table of records. Functions run inside the caller's transaction, if there is one, and throw
+// SqlError. Must be used by one thread at a time, like its database.
 class RecordLog {
  public:
   // `database` must outlive this object.
   explicit RecordLog(Database& database) : database_(database), meta_(database) {}
 
-  // Whose records are appended: the relay's name and the id of its ledger.
+  // Sets the relay's name and the ledger's id that Append writes into records.
   void SetIdentity(const std::string& relay, const std::string& ledger_id);
 
-  // Numbers `record`, chains it to the last one and appends it. Returns its number.
+  // Numbers `record`, chains it to the last record and appends it. Must be called inside a transaction.
+  // Returns the record's number.
   std::uint64_t Append(wire::Record record, const RecordIndex& index = {});
 
-  // Up to `max_records` records from number `from_seq` on.
+  // Returns up to `max_records` records, starting with number `from_seq`.
   std::vector<StoredRecord> Read(std::uint64_t from_seq, std::size_t max_records);
 
-  // The number of the record that was entered under `reference`.
+  // Returns the number of the record with this reference.
   std::optional<std::int64_t> FindByReference(std::string_view reference);
-  // The number of the first record of use of a group in a period.
+  // Returns the number of the first usage record of a group in a period.
   std::optional<std::uint64_t> FindUse(std::int64_t period_start_s, std::string_view group);
-  // Whether record `seq` exists and has this hash.
+  // Returns whether record `seq` exists and has this hash.
   bool Contains(std::uint64_t seq, std::string_view hash);
 
  private:
--- a/src/ledger/io/sqlite.cpp
+++ b/src/ledger/io/sqlite.cpp
@@ -3,8 +3,8 @@
 namespace stoatrun::ledger {
 namespace {
 
-constexpr int kBusyTimeoutMs =
-    5000;  // Other processes on the same file hold its lock for a transaction only.
+// Other processes hold the file's lock only for the duration of a transaction.
+constexpr int kBusyTimeoutMs = 5000;
 
 }  // namespace
 
@@ -30,33 +30,35 @@
   const int code = sqlite3_prepare_v2(database.native_handle(), sql.data(), static_cast<int>(sql.size()),
                                       &statement, nullptr);
   statement_.reset(statement);
-  if (code != SQLITE_OK) Fail(code);
+  if (code != SQLITE_OK) ThrowError(code);
 }
 
-void Statement::Fail(int code) { throw SqlError(code, sqlite3_errmsg(database_.native_handle())); }
+void Statement::ThrowError(int code) { throw SqlError(code, sqlite3_errmsg(database_.native_handle())); }
 
 Statement& Statement::Bind(std::int64_t value) {
-  if (const int code = sqlite3_bind_int64(statement_.get(), ++bound_, value); code != SQLITE_OK) Fail(code);
+  const int code = sqlite3_bind_int64(statement_.get(), ++bound_count_, value);
+  if (code != SQLITE_OK) ThrowError(code);
   return *this;
 }
 
 Statement& Statement::Bind(std::string_view value) {
-  const int code = sqlite3_bind_text(statement_.get(), ++bound_, value.empty() ? "" : value.data(),
-                                     static_cast<int>(value.size()),
-                                     SQLITE_TRANSIENT);  // NOLINT: SQLite's own macro casts a number.
-  if (code != SQLITE_OK) Fail(code);
+  const int code = sqlite3_bind_text(
+      statement_.get(), ++bound_count_, value.empty() ? "" : value.data(), static_cast<int>(value.size()),
+      SQLITE_TRANSIENT);  // NOLINT: SQLite's macro casts an integer to a pointer.
+  if (code != SQLITE_OK) ThrowError(code);
   return *this;
 }
 
 Statement& Statement::BindNull() {
-  if (const int code = sqlite3_bind_null(statement_.get(), ++bound_); code != SQLITE_OK) Fail(code);
+  const int code = sqlite3_bind_null(statement_.get(), ++bound_count_);
+  if (code != SQLITE_OK) ThrowError(code);
   return *this;
 }
 
 bool Statement::Step() {
   const int code = sqlite3_step(statement_.get());
   if (code == SQLITE_ROW) return true;
-  if (code != SQLITE_DONE) Fail(code);
+  if (code != SQLITE_DONE) ThrowError(code);
   return false;
 }
 
@@ -71,7 +73,7 @@
 }
 
 Transaction::~Transaction() {
-  // After an error SQLite may have rolled back by itself; then no transaction is open.
+  // SQLite may already have rolled back after an error, in which case no transaction is open.
   if (!committed_ && sqlite3_get_autocommit(database_.native_handle()) == 0) {
     sqlite3_exec(database_.native_handle(), "ROLLBACK", nullptr, nullptr, nullptr);
   }
--- a/src/ledger/io/store.cpp
+++ b/src/ledger/io/store.cpp
@@ -11,16 +11,16 @@
 namespace stoatrun::ledger {
 namespace {
 
-// The column `ended` of the table of runs.
+// Values of the column `ended` of the table `run`.
 enum class RunEnd : std::int64_t {
-  kRunning = 0,     // Or crashed: known only when the next run begins.
-  kOrderly = 1,     // By EndRun.
-  kUnattested = 2,  // Found crashed, and recorded so.
+  kRunning = 0,  // Or crashed, which is detected when the next run begins.
+  kClean = 1,    // Ended by EndRun.
+  kCrashed = 2,  // Crashed, and an unattested record was appended.
 };
 
-// Runs `operation` on the database at `path`; SQLite's errors come out as StoreError.
+// Runs `operation` on the database at `path`, converting a SqlError into a StoreError.
 template <typename Operation>
-auto Guarded(const std::string& path, Operation&& operation) -> decltype(operation()) {
+auto WithStoreErrors(const std::string& path, Operation&& operation) -> decltype(operation()) {
   try {
     return operation();
   } catch (const SqlError& e) {
@@ -42,16 +42,16 @@
       meta_(database_),
       records_(database_),
       periods_(database_, records_) {
-  Guarded(path_, [&] { LoadIdentity(setup); });
+  WithStoreErrors(path_, [&] { LoadIdentity(setup); });
 }
 
 Database Store::OpenDatabase(const StoreSetup& setup, const std::string& path) {
-  return Guarded(path, [&] {
+  return WithStoreErrors(path, [&] {
     const int create = setup.lock_folder ? SQLITE_OPEN_CREATE : 0;
-    Database database(path, SQLITE_OPEN_READWRITE | create, CheckedVfs(setup.vfs));
+    Database database(path, SQLITE_OPEN_READWRITE | create, CheckedVfsName(setup.vfs));
     ReservePageChecksums(database.native_handle());
     database.Execute("PRAGMA page_size = 4096");
-    // A commit is in force once the deletion of its journal is on the disk, the folder's entry included.
+    // A commit is durable once the deletion of its journal, including the directory entry, is on the disk.
     database.Execute(
         "PRAGMA journal_mode = DELETE; PRAGMA synchronous = EXTRA; PRAGMA temp_store = MEMORY;"
         "PRAGMA cache_size = -2048; PRAGMA foreign_keys = ON");
@@ -64,7 +64,7 @@
   relay_ = meta_.Get(MetaTable::kRelay);
   if (relay_.empty()) {
     if (!setup.lock_folder) {
-      throw StoreError(StoreErrorCode::kCorrupt, path_ + ": no relay has used it yet");
+      throw StoreError(StoreErrorCode::kCorrupt, path_ + ": the ledger has not been initialized by a relay");
     }
     Transaction transaction(database_, Transaction::Kind::kWrite);
     meta_.Set(MetaTable::kRelay, setup.relay);
@@ -77,16 +77,17 @@
   }
   ledger_id_ = meta_.Get(MetaTable::kLedgerId);
   if (!setup.relay.empty() && relay_ != setup.relay) {
-    throw StoreError(StoreErrorCode::kWrongRelay,
-                     fmt::format("{}: it is the ledger of {}, this relay is {}", path_, relay_, setup.relay));
+    throw StoreError(
+        StoreErrorCode::kWrongRelay,
+        fmt::format("{}: the ledger belongs to relay {}, but this relay is {}", path_, relay_, setup.relay));
   }
   records_.SetIdentity(relay_, ledger_id_);
 }
 
 std::int64_t Store::BeginRun(std::int64_t wall_us, std::int64_t period_start_s) {
-  return Guarded(path_, [&] {
+  return WithStoreErrors(path_, [&] {
     Transaction transaction(database_, Transaction::Kind::kWrite);
-    RecordUnattested(wall_us);
+    RecordPreviousCrash(wall_us);
     periods_.CloseAllExcept(period_start_s);
     Statement(database_, "INSERT INTO run(began_wall_us, last_wall_us, last_number) VALUES(?, ?, 0)")
         .Bind(wall_us)
@@ -100,7 +101,7 @@
 }
 
 bool Store::ResumeRun(std::int64_t run) {
-  return Guarded(path_, [&] {
+  return WithStoreErrors(path_, [&] {
     Statement query(database_, "SELECT 1 FROM run WHERE id = ? AND ended = 0");
     if (!query.Bind(run).Step()) return false;
     run_ = run;
@@ -108,10 +109,10 @@
   });
 }
 
-void Store::RecordUnattested(std::int64_t wall_us) {
+void Store::RecordPreviousCrash(std::int64_t wall_us) {
   Statement last(database_, "SELECT id, last_wall_us, ended FROM run ORDER BY id DESC LIMIT 1");
   if (!last.Step() || last.Int(2) != static_cast<std::int64_t>(RunEnd::kRunning)) return;
-  const std::int64_t last_run = last.Int(0), checkpoint_wall_us = last.Int(1);
+  const std::int64_t crashed_run = last.Int(0), checkpoint_wall_us = last.Int(1);
   wire::Record record;
   wire::Unattested& unattested = *record.mutable_unattested();
   unattested.set_from_wall_us(checkpoint_wall_us);
@@ -119,7 +120,7 @@
   unattested.set_checkpoint_ms(checkpoint_ms_);
   const std::int64_t max_span_us = std::max<std::int64_t>(0, wall_us - checkpoint_wall_us);
   Statement open(database_, "SELECT grp, open FROM run_open WHERE run = ? ORDER BY grp");
-  for (open.Bind(last_run); open.Step();) {
+  for (open.Bind(crashed_run); open.Step();) {
     wire::OpenConnections& connections = *unattested.add_open();
     connections.set_group(std::string(open.Text(0)));
     connections.set_open(static_cast<std::uint32_t>(open.Int(1)));
@@ -127,33 +128,35 @@
   }
   records_.Append(std::move(record));
   Statement(database_, "UPDATE run SET ended = ? WHERE id = ?")
-      .Bind(static_cast<std::int64_t>(RunEnd::kUnattested))
-      .Bind(last_run)
+      .Bind(static_cast<std::int64_t>(RunEnd::kCrashed))
+      .Bind(crashed_run)
       .Run();
-  DeleteOpenConnections(database_, last_run);
+  DeleteOpenConnections(database_, crashed_run);
 }
 
 void Store::Apply(const Posting& posting, const OpenCounts& open) {
-  Guarded(path_, [&] {
+  WithStoreErrors(path_, [&] {
     Transaction transaction(database_, Transaction::Kind::kWrite);
     if (IsApplied(posting.number)) return;
     periods_.CloseAllExcept(posting.period_start_s);
     if (!posting.groups.empty()) periods_.AddUsage(posting);
-    AppendNotices(posting);
+    AppendClockStepsAndUnrecorded(posting);
     if (posting.period_ended) periods_.CloseIfOpen(posting.period_start_s);
     SaveRunProgress(posting, open);
     transaction.Commit();
   });
 }
 
-// An earlier attempt's commit may have succeeded although it returned an error.
+// The commit of an earlier attempt may have succeeded although it returned an error.
 bool Store::IsApplied(std::uint64_t posting_number) {
   Statement last(database_, "SELECT last_number FROM run WHERE id = ?");
-  if (!last.Bind(run_).Step()) throw StoreError(StoreErrorCode::kCorrupt, path_ + ": the run is gone");
+  if (!last.Bind(run_).Step()) {
+    throw StoreError(StoreErrorCode::kCorrupt, fmt::format("{}: run {} is missing", path_, run_));
+  }
   return static_cast<std::uint64_t>(last.Int(0)) >= posting_number;
 }
 
-void Store::AppendNotices(const Posting& posting) {
+void Store::AppendClockStepsAndUnrecorded(const Posting& posting) {
   for (const ClockStep& step : posting.steps) {
     wire::Record record;
     record.mutable_clock_step()->set_from_wall_us(step.from_wall_us);
@@ -183,10 +186,10 @@
 }
 
 void Store::EndRun(std::int64_t wall_us) {
-  Guarded(path_, [&] {
+  WithStoreErrors(path_, [&] {
     Transaction transaction(database_, Transaction::Kind::kWrite);
     Statement(database_, "UPDATE run SET ended = ?, last_wall_us = ? WHERE id = ?")
-        .Bind(static_cast<std::int64_t>(RunEnd::kOrderly))
+        .Bind(static_cast<std::int64_t>(RunEnd::kClean))
         .Bind(wall_us)
         .Bind(run_)
         .Run();
@@ -196,9 +199,9 @@
 }
 
 std::uint64_t Store::EnterCorrection(const CorrectionRequest& request) {
-  return Guarded(path_, [&] {
+  return WithStoreErrors(path_, [&] {
     Transaction transaction(database_, Transaction::Kind::kWrite);
-    const std::int64_t period_s = CheckCorrection(request);
+    const std::int64_t period_s = ValidateCorrection(request);
     wire::Record record;
     wire::Correction& correction = *record.mutable_correction();
     correction.set_period_start_s(request.period_start_s);
@@ -217,8 +220,8 @@
   });
 }
 
-// Throws kRejected if the correction can't be entered; else returns the length of its period in seconds.
-std::int64_t Store::CheckCorrection(const CorrectionRequest& request) {
+// Returns the length of the correction's period in seconds. Throws kRejected if the correction is invalid.
+std::int64_t Store::ValidateCorrection(const CorrectionRequest& request) {
   if (periods_.IsOpen(request.period_start_s)) {
     throw StoreError(StoreErrorCode::kRejected,
                      fmt::format("the period {} is not closed yet: its use is still "
@@ -241,7 +244,7 @@
 }
 
 StoreState Store::State() {
-  return Guarded(path_, [&] {
+  return WithStoreErrors(path_, [&] {
     const Transaction transaction(database_, Transaction::Kind::kRead);
     StoreState state;
     state.relay = relay_;
@@ -255,7 +258,7 @@
 }
 
 std::vector<StoredRecord> Store::Records(std::uint64_t from_seq, std::size_t max_records) {
-  return Guarded(path_, [&] { return records_.Read(from_seq, max_records); });
+  return WithStoreErrors(path_, [&] { return records_.Read(from_seq, max_records); });
 }
 
 void Store::ForEachRecord(std::uint64_t from_seq, const std::function<void(const StoredRecord&)>& callback) {
@@ -269,11 +272,11 @@
 }
 
 std::vector<OpenUse> Store::OpenPeriods() {
-  return Guarded(path_, [&] { return periods_.OpenUsage(); });
+  return WithStoreErrors(path_, [&] { return periods_.OpenUsage(); });
 }
 
 bool Store::Acknowledge(std::uint64_t seq, std::string_view hash) {
-  return Guarded(path_, [&] {
+  return WithStoreErrors(path_, [&] {
     Transaction transaction(database_, Transaction::Kind::kWrite);
     if (seq > 0 && !records_.Contains(seq, hash)) return false;
     meta_.Set(MetaTable::kDeliveredSeq, std::to_string(seq));
@@ -283,7 +286,7 @@
 }
 
 std::vector<std::string> Store::Verify() {
-  return Guarded(path_, [&] { return VerifyDatabase(database_, path_); });
+  return WithStoreErrors(path_, [&] { return VerifyDatabase(database_, path_); });
 }
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/io/store_error.cpp
+++ b/src/ledger/io/store_error.cpp
@@ -7,9 +7,9 @@
 namespace stoatrun::ledger {
 namespace {
 
-constexpr int kPrimaryCodeMask = 0xff;  // SQLite's extended result codes hold the primary one in this byte.
+constexpr int kPrimaryCodeMask = 0xff;  // The low byte of an extended result code is the primary code.
 
-StoreErrorCode CodeOf(int sqlite_code) {
+StoreErrorCode ErrorCodeFromSqlite(int sqlite_code) {
   switch (sqlite_code & kPrimaryCodeMask) {
     case SQLITE_FULL:
       return StoreErrorCode::kFull;
@@ -37,7 +37,7 @@
 }
 
 StoreError ToStoreError(const SqlError& error, const std::string& path) {
-  return {CodeOf(error.code), fmt::format("{}: {} ({})", path, error.what(), error.code)};
+  return {ErrorCodeFromSqlite(error.code), fmt::format("{}: {} ({})", path, error.what(), error.code)};
 }
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/io/store_schema.cpp
+++ b/src/ledger/io/store_schema.cpp
@@ -10,9 +10,9 @@
 namespace stoatrun::ledger {
 namespace {
 
-// Step k migrates the schema from version k to k + 1. A new file goes through all of them, so that migration
-// is exercised with every new ledger.
-constexpr std::array<const char*, kSchema> kMigrations = {
+// Step k migrates the schema from version k to k + 1. A new file is created by running all steps, so that
+// every new ledger exercises the migrations.
+constexpr std::array<const char*, kSchemaVersion> kMigrations = {
     R"(CREATE TABLE meta(key TEXT PRIMARY KEY, value TEXT NOT NULL) WITHOUT ROWID;
        CREATE TABLE period(id INTEGER PRIMARY KEY, start_s INTEGER NOT NULL, supplement INTEGER NOT NULL,
                            length_s INTEGER NOT NULL, closed INTEGER NOT NULL DEFAULT 0,
@@ -33,7 +33,7 @@
     R"(ALTER TABLE cell ADD COLUMN begun INTEGER NOT NULL DEFAULT 0;
        CREATE INDEX record_period ON record(start_s, grp);)"};
 
-std::int64_t SchemaVersion(Database& database) {
+std::int64_t ReadSchemaVersion(Database& database) {
   Statement version(database, "PRAGMA user_version");
   version.Step();
   return version.Int(0);
@@ -42,17 +42,18 @@
 }  // namespace
 
 void MigrateSchema(Database& database, const std::string& path) {
-  if (SchemaVersion(database) == kSchema) return;
+  if (ReadSchemaVersion(database) == kSchemaVersion) return;
   Transaction transaction(database, Transaction::Kind::kWrite);
-  const std::int64_t from = SchemaVersion(database);  // Another process may have migrated it meanwhile.
-  if (from > kSchema) {
+  const std::int64_t from = ReadSchemaVersion(database);  // Read again: another process may have migrated it.
+  if (from > kSchemaVersion) {
     throw StoreError(StoreErrorCode::kNewerSchema,
-                     fmt::format("{}: its schema is {}, this program knows up to {}", path, from, kSchema));
+                     fmt::format("{}: schema version {} is newer than the supported version {}", path, from,
+                                 kSchemaVersion));
   }
   for (auto step = static_cast<std::size_t>(from); step < kMigrations.size(); ++step) {
     database.Execute(kMigrations[step]);
   }
-  database.Execute(fmt::format("PRAGMA user_version = {}", kSchema).c_str());
+  database.Execute(fmt::format("PRAGMA user_version = {}", kSchemaVersion).c_str());
   transaction.Commit();
 }
 
--- a/src/ledger/io/store_verifier.cpp
+++ b/src/ledger/io/store_verifier.cpp
@@ -11,33 +11,33 @@
 namespace stoatrun::ledger {
 namespace {
 
-// Checks one database and gathers what is wrong.
+// Checks one database and collects its faults.
 class Verifier {
  public:
   Verifier(Database& database, const std::string& path) : database_(database), path_(path), meta_(database) {}
 
   void CheckAll() {
-    // The first read takes the read lock, which FindInvalidPage relies on.
+    // The first read acquires the read lock that FindInvalidPage requires.
     const std::uint64_t head_seq = meta_.GetNumber(MetaTable::kHeadSeq);
     CheckPages();
     CheckSqlite();
     CheckChain(head_seq);
     CheckSums();
   }
-  void Report(std::string finding) { findings_.push_back(std::move(finding)); }
-  const std::vector<std::string>& Findings() const { return findings_; }
+  void AddFault(std::string fault) { faults_.push_back(std::move(fault)); }
+  const std::vector<std::string>& Faults() const { return faults_; }
 
  private:
   void CheckPages() {
     if (const auto page = FindInvalidPage(database_.native_handle())) {
-      Report(fmt::format("{}: page {} is damaged", path_, *page));
+      AddFault(fmt::format("{}: page {} does not match its checksum", path_, *page));
     }
   }
 
   void CheckSqlite() {
     Statement check(database_, "PRAGMA integrity_check");
     while (check.Step()) {
-      if (check.Text(0) != "ok") Report(fmt::format("{}: {}", path_, check.Text(0)));
+      if (check.Text(0) != "ok") AddFault(fmt::format("{}: {}", path_, check.Text(0)));
     }
   }
 
@@ -47,18 +47,18 @@
     Statement records(database_, "SELECT seq, hash, line FROM record ORDER BY seq");
     for (; records.Step(); ++expected) {
       const auto seq = static_cast<std::uint64_t>(records.Int(0));
-      if (seq != expected) Report(fmt::format("record {} is missing", expected));
+      if (seq != expected) AddFault(fmt::format("record {} is missing", expected));
       expected = seq;
       const auto parts = SplitLine(records.Text(2));
       if (!parts || parts->hash != records.Text(1)) {
-        Report(fmt::format("record {} does not agree with its hash", seq));
+        AddFault(fmt::format("record {} does not match its hash", seq));
       } else if (parts->prev != previous_hash) {
-        Report(fmt::format("record {} does not follow the one before it", seq));
+        AddFault(fmt::format("record {} is not chained to the record before it", seq));
       }
       previous_hash = records.Text(1);
     }
     if (expected - 1 != head_seq || previous_hash != meta_.Get(MetaTable::kHeadHash)) {
-      Report("the last record is not the one that the ledger names as its last");
+      AddFault("the last record does not match the stored head of the chain");
     }
   }
 
@@ -70,15 +70,16 @@
     while (sums.Step()) {
       const std::int64_t connection_time_us = sums.Int(1), class_us = sums.Int(2), group_us = sums.Int(3);
       if (connection_time_us == class_us && connection_time_us == group_us) continue;
-      Report(fmt::format("period {} is out of balance: lives {} us, rows {} us, groups {} us", sums.Int(0),
-                         connection_time_us, class_us, group_us));
+      AddFault(
+          fmt::format("period {} is out of balance: connection time {} us, by class {} us, by group {} us",
+                      sums.Int(0), connection_time_us, class_us, group_us));
     }
   }
 
   Database& database_;
   const std::string& path_;
   MetaTable meta_;
-  std::vector<std::string> findings_;
+  std::vector<std::string> faults_;
 };
 
 }  // namespace
@@ -89,9 +90,9 @@
   try {
     verifier.CheckAll();
   } catch (const SqlError& e) {
-    verifier.Report(fmt::format("{}: {}", path, e.what()));
+    verifier.AddFault(fmt::format("{}: {}", path, e.what()));
   }
-  return verifier.Findings();
+  return verifier.Faults();
 }
 
 }  // namespace stoatrun::ledger
--- a/src/ledger/io/store_verifier.h
+++ b/src/ledger/io/store_verifier.h
@@ -1,4 +1,4 @@
-// Verification of a ledger's database: pages, SQLite's own structures, the chain of records, the sums.
+// Verification of a ledger's database: pages, SQLite's own structures, the records' hash chain and the sums.
 #ifndef STOATRUN_LEDGER_IO_STORE_VERIFIER_H_
 #define STOATRUN_LEDGER_IO_STORE_VERIFIER_H_
 
@@ -9,9 +9,9 @@
 
 namespace stoatrun::ledger {
 
-// Checks everything inside one read transaction, so that no page changes meanwhile. Returns what is wrong as
-// sentences for the operator, each damage of the file with `path`; empty if nothing is. An error of SQLite
-// while checking is a finding; throws SqlError only if the transaction can't begin.
+// Runs all checks in one read transaction, so that no page changes meanwhile. Returns a description of each
+// fault for the operator; faults of the file itself include `path`. SQLite errors during the checks are
+// reported as faults; throws SqlError only if the transaction cannot be started.
 std::vector<std::string> VerifyDatabase(Database& database, const std::string& path);
 
 }  // namespace stoatrun::ledger
--- a/tests/ledger/store_test.cpp
+++ b/tests/ledger/store_test.cpp
@@ -269,8 +269,8 @@
   CHECK(fault(setup) == StoreErrorCode::kWrongRelay);
   setup.relay = "n0";
   {
-    Database database(Store::DatabasePath(folder.Path()), SQLITE_OPEN_READWRITE, CheckedVfs(nullptr));
-    database.Execute(fmt::format("PRAGMA user_version = {}", kSchema + 1).c_str());
+    Database database(Store::DatabasePath(folder.Path()), SQLITE_OPEN_READWRITE, CheckedVfsName(nullptr));
+    database.Execute(fmt::format("PRAGMA user_version = {}", kSchemaVersion + 1).c_str());
   }
   CHECK(fault(setup) == StoreErrorCode::kNewerSchema);
   setup.folder = "/nonexistent";
@@ -289,7 +289,7 @@
     store.Apply(MakePosting(1, kHour, 1'000'000, false), {});
   }
   {
-    Database database(Store::DatabasePath(folder.Path()), SQLITE_OPEN_READWRITE, CheckedVfs(nullptr));
+    Database database(Store::DatabasePath(folder.Path()), SQLITE_OPEN_READWRITE, CheckedVfsName(nullptr));
     database.Execute("DROP INDEX record_period; ALTER TABLE cell DROP COLUMN begun; PRAGMA user_version = 1");
   }
   Store store(MakeSetup(folder));
