--- a/src/ledger/io/export_client.cpp
+++ b/src/ledger/io/export_client.cpp
@@ -12,10 +12,10 @@
 namespace stoatrun::ledger {
 namespace {
 
-constexpr std::size_t kMaxResponseBody = 4096;    // An acknowledgement is short; more is not one.
-constexpr std::int64_t kMaxRetryAfterS = 86'400;  // Keeps the sum of times in range.
+constexpr std::size_t kMaxResponseBody = 4096;    // An acknowledgement is shorter.
+constexpr std::int64_t kMaxRetryAfterS = 86'400;  // Prevents overflow when added to a time.
 
-// Fills in the acknowledgement, if the body is one.
+// Sets the acknowledgement in `response` if the body contains one.
 void ParseAcknowledgement(const std::string& body, ReceiverResponse& response) {
   simdjson::dom::parser parser;
   simdjson::dom::element root;
@@ -55,19 +55,19 @@
       delivery_(setup.delivery),
       random_(setup.seed),
       attempt_timer_(loop.timers, [this] { ReadBatch(); }),
-      response_timer_(loop.timers, [this] { EndCall({}); }) {
+      response_timer_(loop.timers, [this] { FinishRequest({}); }) {
   http_parser_settings_init(&parser_settings_);
   parser_settings_.on_header_field = OnHeaderField;
   parser_settings_.on_header_value = OnHeaderValue;
   parser_settings_.on_body = OnBody;
   parser_settings_.on_message_complete = OnMessageComplete;
-  loop_.AddTurnEndHook([this] { calls_.Reclaim(); });
-  recorder_.OnState([this](const StoreState& state) { OnStoreState(state); });
+  loop_.AddTurnEndHook([this] { connections_.Reclaim(); });
+  recorder_.SetStateCallback([this](const StoreState& state) { OnStoreState(state); });
 }
 
 void ExportClient::OnStoreState(const StoreState& state) {
   state_ = state;
-  // After the first state, delivery knows better than one that was read before the last acknowledgement.
+  // A later state may have been read before the last acknowledgement; delivery_ is more recent then.
   const std::uint64_t delivered = has_state_ ? delivery_.Delivered() : state.delivered_seq;
   delivery_.UpdateState(loop_.Now(), state.head_seq, delivered);
   has_state_ = true;
@@ -81,13 +81,13 @@
 void ExportClient::ReadBatch() {
   const Delivery::Batch batch = delivery_.StartBatch();
   auto records = std::make_shared<std::vector<StoredRecord>>();
-  const bool posted = recorder_.WithStore(
+  const bool posted = recorder_.RunWithStore(
       [records, batch](Store& store) { *records = store.Records(batch.from, batch.to - batch.from + 1); },
       [this, records](bool done) {
         if (done && !records->empty()) return SendRequest(*records);
-        EndCall({});
+        FinishRequest({});
       });
-  if (!posted) EndCall({});
+  if (!posted) FinishRequest({});
 }
 
 std::string ExportClient::FormatRequest(const std::vector<StoredRecord>& records) const {
@@ -106,41 +106,41 @@
   request_ = FormatRequest(records);
   ++counts_.requests;
   counts_.records += records.size();
-  Call& call = calls_.Add(*this);
-  call_ = call.id;
+  RequestConnection& request_connection = connections_.Add(*this);
+  active_connection_ = request_connection.id;
   http_parser_init(&parser_, HTTP_RESPONSE);
   parser_.data = this;
   response_ = {};
-  // A connection that can't be started ends in the next turn of the loop, not within this call.
-  const bool started = call.connection.Connect(setup_.receiver);
+  // A failure to start connecting is handled in the next turn of the event loop, not inside this call.
+  const bool started = request_connection.connection.Connect(setup_.receiver);
   response_timer_.Set(loop_.Now() + (started ? setup_.response_timeout : Micros(1)));
 }
 
 void ExportClient::OnConnected(SlotId id) {
-  if (Call* call = calls_.Find(id)) call->connection.Write({request_});
+  if (RequestConnection* found = connections_.Find(id)) found->connection.Write({request_});
   request_ = {};
 }
 
 void ExportClient::OnData(SlotId id) {
-  Call* call = calls_.Find(id);
-  if (call == nullptr || id != call_) return;
-  const std::string_view input = call->connection.input();
+  RequestConnection* found = connections_.Find(id);
+  if (found == nullptr || id != active_connection_) return;
+  const std::string_view input = found->connection.input();
   const std::size_t size = input.size();
   const std::size_t parsed = http_parser_execute(&parser_, &parser_settings_, input.data(), size);
-  call->connection.Consume(size);
-  if (response_.complete) return EndCall(Response());
+  found->connection.Consume(size);
+  if (response_.complete) return FinishRequest(MakeReceiverResponse());
   const bool malformed = parsed != size || HTTP_PARSER_ERRNO(&parser_) != HPE_OK;
-  if (malformed || response_.body.size() > kMaxResponseBody) EndCall({});
+  if (malformed || response_.body.size() > kMaxResponseBody) FinishRequest({});
 }
 
-// A response without a length ends with its connection.
+// A response without a length ends when its connection is closed.
 void ExportClient::OnEnd(SlotId id, ConnectionEnd /*end*/) {
-  if (id != call_ || calls_.Find(id) == nullptr) return;
+  if (id != active_connection_ || connections_.Find(id) == nullptr) return;
   http_parser_execute(&parser_, &parser_settings_, nullptr, 0);
-  EndCall(response_.complete ? Response() : ReceiverResponse{});
+  FinishRequest(response_.complete ? MakeReceiverResponse() : ReceiverResponse{});
 }
 
-ReceiverResponse ExportClient::Response() const {
+ReceiverResponse ExportClient::MakeReceiverResponse() const {
   ReceiverResponse response;
   response.status = static_cast<int>(parser_.status_code);
   ParseAcknowledgement(response_.body, response);
@@ -148,34 +148,34 @@
   return response;
 }
 
-void ExportClient::EndCall(const ReceiverResponse& response) {
+void ExportClient::FinishRequest(const ReceiverResponse& response) {
   response_timer_.Cancel();
-  if (Call* call = calls_.Find(call_)) call->connection.Close();
-  calls_.Erase(call_);
-  call_ = {};
+  if (RequestConnection* found = connections_.Find(active_connection_)) found->connection.Close();
+  connections_.Erase(active_connection_);
+  active_connection_ = {};
   const Delivery::Verdict verdict = delivery_.OnResponse(loop_.Now(), response, NextJitter());
   if (verdict == Delivery::Verdict::kVerify) {
     return VerifyAcknowledgement(*response.acknowledged_seq, response.acknowledged_hash);
   }
-  OnAttemptEnded(verdict,
-                 response.status == 0 ? std::string("no answer") : fmt::format("status {}", response.status));
+  OnAttemptEnded(verdict, response.status == 0 ? std::string("no valid response")
+                                               : fmt::format("status {}", response.status));
 }
 
-// The store says whether the acknowledged record is its own, and notes the delivery durably before anything
-// further is sent.
+// Checks that the acknowledged record is in the store, and stores the acknowledgement durably before the next
+// request is sent.
 void ExportClient::VerifyAcknowledgement(std::uint64_t seq, const std::string& hash) {
-  auto is_ours = std::make_shared<bool>(false);
+  auto is_known = std::make_shared<bool>(false);
   const auto fail = [this](std::string_view reason) {
     OnAttemptEnded(delivery_.OnResponse(loop_.Now(), {}, NextJitter()), reason);
   };
-  const bool posted =
-      recorder_.WithStore([is_ours, seq, hash](Store& store) { *is_ours = store.Acknowledge(seq, hash); },
-                          [this, fail, is_ours, seq](bool done) {
-                            if (!done) return fail("the store did not keep the receipt");
-                            OnAttemptEnded(delivery_.OnVerified(loop_.Now(), seq, *is_ours, NextJitter()),
-                                           "the receiver holds another record");
-                          });
-  if (!posted) fail("the store's queue is full");
+  const bool posted = recorder_.RunWithStore(
+      [is_known, seq, hash](Store& store) { *is_known = store.Acknowledge(seq, hash); },
+      [this, fail, is_known, seq](bool done) {
+        if (!done) return fail("the store could not save the acknowledgement");
+        OnAttemptEnded(delivery_.OnVerified(loop_.Now(), seq, *is_known, NextJitter()),
+                       "the acknowledged record is not in this ledger");
+      });
+  if (!posted) fail("the queue of store jobs is full");
 }
 
 void ExportClient::OnAttemptEnded(Delivery::Verdict verdict, std::string_view reason) {
@@ -207,7 +207,8 @@
 }
 
 int ExportClient::OnHeaderField(http_parser* parser, const char* data, std::size_t size) {
-  // The name may come in pieces; no header's name ends like the only one that is looked for.
+  // Only the last piece of a name that arrives in several pieces is kept. A Retry-After header that is split
+  // so is ignored, and the usual backoff applies.
   static_cast<ExportClient*>(parser->data)->response_.header_name.assign(data, size);
   return 0;
 }
--- a/src/ledger/io/export_client.h
+++ b/src/ledger/io/export_client.h
@@ -1,14 +1,15 @@
-// Sends records to the billing receiver: HTTP/1.1 POST of record lines, when ledger/delivery.h decides.
+// Delivers records to the billing receiver as HTTP/1.1 POST requests. ledger/delivery.h decides what is sent
+// and when.
 //
-// The request: POST PATH, `Content-Type: application/x-ndjson`, `Idempotency-Key: RELAY-BOOK-FROM-TO-HASH`
-// (BOOK: the ledger's id; HASH: of the last line). The response, 200 or 409: {"seq":N,"hash":"..."}, the last
-// record of this ledger that the receiver holds durably. Anything else acknowledges nothing.
+// Request: POST PATH with `Content-Type: application/x-ndjson` and `Idempotency-Key: RELAY-BOOK-FROM-TO-HASH`
+// (BOOK: the ledger's id; HASH: the hash of the last line). Response: 200 or 409 with {"seq":N,"hash":"..."},
+// the last record of this ledger that the receiver has stored durably. Any other response acknowledges
+// nothing.
 //
-// Contract: at-least-once delivery in order; the store notes an acknowledgement durably before anything
-// further is sent. Errors of the receiver and of the store lead to retries with backoff and are logged and
-// counted.
+// Contract: at-least-once delivery in order. An acknowledgement is stored durably before the next request is
+// sent. Receiver and store errors are logged, counted and retried with backoff.
 //
-// Threading: of the event loop's thread; the store is read through the recorder's worker.
+// Threading: used on the event loop's thread; the store is accessed through the recorder's worker.
 #ifndef STOATRUN_LEDGER_IO_EXPORT_CLIENT_H_
 #define STOATRUN_LEDGER_IO_EXPORT_CLIENT_H_
 
@@ -33,29 +34,30 @@
 // Settings of an ExportClient.
 struct ExportClientSetup {
   Address receiver;
-  std::string host, path = "/";                        // Of the request's head.
-  Micros response_timeout = std::chrono::seconds(10);  // From connecting to the complete response.
+  std::string host, path = "/";                        // Of the HTTP request.
+  Micros response_timeout = std::chrono::seconds(10);  // From connect to the complete response.
   DeliverySetup delivery;
-  std::uint64_t seed = 0;  // Of the jitter.
+  std::uint64_t seed = 0;  // Of the backoff's jitter.
 };
 
 // Totals since the start.
 struct ExportClientCounters {
   std::uint64_t requests = 0, records = 0;
-  std::uint64_t failures = 0;       // Attempts without progress, of whatever kind.
-  std::uint64_t rejections = 0;     // The receiver did not accept the request.
-  std::uint64_t disagreements = 0;  // The receiver holds a record that this ledger never made.
+  std::uint64_t failures = 0;       // Attempts without progress, for any reason.
+  std::uint64_t rejections = 0;     // Requests that the receiver rejected.
+  std::uint64_t disagreements = 0;  // The receiver holds a record that this ledger never wrote.
 };
 
 // See the comment at the top of this file.
 class ExportClient : public TcpConnectionHandler {
  public:
-  // Sends the records of `recorder`, once it reports its first state. Both must outlive this object.
+  // Starts delivering when `recorder` reports its first state. `loop` and `recorder` must outlive this
+  // object.
   ExportClient(EventLoop& loop, UsageRecorder& recorder, const ExportClientSetup& setup);
 
   // Totals since the start.
   const ExportClientCounters& Counts() const { return counts_; }
-  // Records that are not delivered yet.
+  // The number of records not delivered yet.
   std::uint64_t Backlog() const { return delivery_.Backlog(); }
   // Adds the counters to a log record.
   void AddFields(LogLine& record) const;
@@ -65,13 +67,13 @@
   void OnEnd(SlotId id, ConnectionEnd end) override;
 
  private:
-  // The connection of one request.
-  struct Call {
-    Call(SlotId slot, ExportClient& client) : id(slot), connection(client.loop_, client, slot) {}
+  // A connection that carries one request.
+  struct RequestConnection {
+    RequestConnection(SlotId slot, ExportClient& client) : id(slot), connection(client.loop_, client, slot) {}
     SlotId id;
     TcpConnection connection;
   };
-  // What the parser has found of the response.
+  // The parts of the response that the parser has read so far.
   struct ParsedResponse {
     std::string header_name, body, retry_after;
     bool complete = false;
@@ -82,8 +84,9 @@
   void ReadBatch();
   void SendRequest(const std::vector<StoredRecord>& records);
   std::string FormatRequest(const std::vector<StoredRecord>& records) const;
-  ReceiverResponse Response() const;  // Of a complete one.
-  void EndCall(const ReceiverResponse& response);
+  // Requires a complete response.
+  ReceiverResponse MakeReceiverResponse() const;
+  void FinishRequest(const ReceiverResponse& response);
   void VerifyAcknowledgement(std::uint64_t seq, const std::string& hash);
   void OnAttemptEnded(Delivery::Verdict verdict, std::string_view reason);
   void LogFailure(Delivery::Verdict verdict, std::string_view reason);
@@ -101,8 +104,8 @@
   StoreState state_;
   bool has_state_ = false;
   Timer attempt_timer_, response_timer_;
-  SlotMap<Call> calls_;
-  SlotId call_;  // The one in flight.
+  SlotMap<RequestConnection> connections_;
+  SlotId active_connection_;  // Of the request in flight.
   std::string request_;
   ParsedResponse response_;
   http_parser parser_{};
--- a/src/ledger/io/export_file.cpp
+++ b/src/ledger/io/export_file.cpp
@@ -23,16 +23,17 @@
 
 constexpr std::size_t kWriteBufferSize = std::size_t{1} << 20U;
 constexpr std::size_t kReadBufferSize = std::size_t{1} << 18U;
-constexpr std::size_t kMaxLineSize = std::size_t{1} << 20U;  // A record's line is a few hundred bytes.
+constexpr std::size_t kMaxLineSize = std::size_t{1} << 20U;  // A record's line has a few hundred bytes.
 constexpr mode_t kFileMode = 0644;
 
-// Throws the error of the system call that just failed.
+// Throws the error in errno. Must directly follow the failed system call.
 [[noreturn]] void ThrowErrno(const std::string& path) {
-  throw ExportError(ExportErrorCode::kSystem,
-                    path + ": " + std::strerror(errno));  // NOLINT(concurrency-mt-unsafe): glibc's is safe.
+  throw ExportError(
+      ExportErrorCode::kSystem,
+      path + ": " + std::strerror(errno));  // NOLINT(concurrency-mt-unsafe): thread-safe in glibc.
 }
 
-// An open file or folder; every function throws ExportError kSystem.
+// An open file or folder. All functions throw ExportError kSystem.
 class File {
  public:
   File(const std::string& path, int flags)
@@ -64,7 +65,7 @@
   UniqueFd fd_;
 };
 
-// One relay's ledger.
+// Identifies one relay's ledger.
 struct LedgerKey {
   std::string relay, ledger_id;
 
@@ -73,7 +74,7 @@
   }
 };
 
-// One of the files of a ledger's export.
+// One file of a ledger's export.
 struct ExportPart {
   std::uint64_t first_seq = 0;
   std::string path;
@@ -83,10 +84,10 @@
   }
 };
 
-// One ledger's export.
+// All export files of one ledger.
 struct LedgerExport {
   LedgerKey ledger;
-  std::vector<ExportPart> parts;  // In order of their first records.
+  std::vector<ExportPart> parts;  // Ordered by first record.
 };
 
 std::string FirstLine(const std::string& path) {
@@ -102,7 +103,7 @@
   return text.substr(0, text.find('\n'));
 }
 
-// The files of `paths`, and the *.jsonl files of those that are folders.
+// Lists the files among `paths` and the *.jsonl files of the folders among them.
 std::set<std::string> ListFiles(const std::vector<std::string>& paths) {
   namespace fs = std::filesystem;
   std::set<std::string> files;
@@ -118,7 +119,7 @@
   return files;
 }
 
-// Sorts files by the ledger they are of. Those that are no exports go into the report.
+// Groups files by ledger. Files that are not exports are added to the report as faults.
 std::vector<LedgerExport> GroupByLedger(const std::set<std::string>& files, ReconcileReport& report) {
   std::map<LedgerKey, std::vector<ExportPart>> parts_by_ledger;
   for (const std::string& file : files) {
@@ -151,15 +152,17 @@
   }
 }
 
-// Reads each export on one of `threads` threads. Returns a report for each thread.
+// Distributes the exports over `threads` threads. Returns one report per thread.
 std::vector<ReconcileReport> ReadInParallel(const std::vector<LedgerExport>& exports, unsigned threads) {
-  std::atomic<std::size_t> next = 0;
+  std::atomic<std::size_t> next_index = 0;
   std::vector<ReconcileReport> reports(std::max(1U, threads));
   std::vector<std::thread> pool;
   pool.reserve(reports.size());
   for (ReconcileReport& report : reports) {
-    pool.emplace_back([&exports, &next, &report] {
-      for (std::size_t k = 0; (k = next++) < exports.size();) ReadExport(exports[k], report);
+    pool.emplace_back([&exports, &next_index, &report] {
+      for (std::size_t index = 0; (index = next_index++) < exports.size();) {
+        ReadExport(exports[index], report);
+      }
     });
   }
   for (std::thread& thread : pool) thread.join();
@@ -171,7 +174,7 @@
   store.ForEachRecord(trailer.from, [&](const StoredRecord& record) {
     if (record.seq != trailer.to + 1) {
       throw ExportError(ExportErrorCode::kMissingRecord,
-                        fmt::format("record {} is missing in the ledger", trailer.to + 1));
+                        fmt::format("record {} is missing from the ledger", trailer.to + 1));
     }
     buffer += record.line;
     trailer.to = record.seq;
@@ -198,7 +201,7 @@
     unlink(temporary.c_str());
     throw;
   }
-  // The folder's entry must be as durable as the file's bytes.
+  // Makes the directory entry as durable as the file's contents.
   const std::string folder = std::filesystem::path(path).parent_path();
   File(folder.empty() ? "." : folder, O_RDONLY | O_DIRECTORY).Sync();
   return trailer;
@@ -211,7 +214,7 @@
   for (;;) {
     if (size + simdjson::SIMDJSON_PADDING == buffer.size()) {
       if (size >= kMaxLineSize) {
-        throw ExportError(ExportErrorCode::kLineTooLong, path + ": a line of over 1 MiB");
+        throw ExportError(ExportErrorCode::kLineTooLong, path + ": line longer than 1 MiB");
       }
       buffer.resize(2 * buffer.size());
     }
--- a/src/ledger/io/usage_recorder.cpp
+++ b/src/ledger/io/usage_recorder.cpp
@@ -10,9 +10,10 @@
 using std::chrono::steady_clock;
 
 constexpr std::size_t kMaxQueuedJobs = 8;
-constexpr Micros kErrorLogInterval = std::chrono::minutes(1);  // A persistent error is logged no more often.
-constexpr Micros kMaxClockInterval =
-    std::chrono::seconds(1);  // A step of the clock is placed this precisely.
+// Minimum interval between log records of the same persistent error.
+constexpr Micros kErrorLogInterval = std::chrono::minutes(1);
+// Interval between readings of the wall clock; the time of a clock step is known with this precision.
+constexpr Micros kMaxClockInterval = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -74,8 +75,8 @@
   }
 }
 
-// Postings of one period are merged while they wait. A submitted one must not change any more: its number
-// stands for its contents.
+// Waiting postings of the same period are merged. A submitted posting must not change, because the store may
+// already have applied it under its number.
 void UsageRecorder::Enqueue(Posting posting) {
   Posting* last = backlog_.size() > submitted_ ? &backlog_.back() : nullptr;
   const bool same_period =
@@ -90,11 +91,11 @@
     return;
   }
   counts_.unrecorded_us += posting.UseUs();
-  const Posting bare = WithoutUsage(posting);
+  const Posting without_usage = WithoutUsage(posting);
   if (last != nullptr && last->groups.empty()) {
-    MergePosting(*last, bare);
+    MergePosting(*last, without_usage);
   } else {
-    backlog_.push_back(bare);
+    backlog_.push_back(without_usage);
   }
 }
 
@@ -104,42 +105,44 @@
   return cells;
 }
 
-// A full queue of the worker is like a disk that is away: everything stays in the backlog.
+// If the worker's queue is full, everything stays in the backlog, as if the store were unavailable.
 void UsageRecorder::SubmitBacklog(std::optional<std::int64_t> end_wall_us) {
-  if (job_pending_ || ended_) return;
-  for (std::size_t k = submitted_; k < backlog_.size(); ++k) backlog_[k].number = next_number_++;
+  if (job_pending_ || finished_) return;
+  for (std::size_t index = submitted_; index < backlog_.size(); ++index) {
+    backlog_[index].number = next_number_++;
+  }
   submitted_ = backlog_.size();
   const WriteJob job{
       setup_.store, {backlog_.begin(), backlog_.end()}, accounts_.OpenByGroup(), start_, end_wall_us};
-  job_pending_ = worker_.Post([this, disk = disk_, job]() -> BackgroundWorker::Reply {
-    const WriteResult result = Write(*disk, job);
+  job_pending_ = worker_.Post([this, state = worker_state_, job]() -> BackgroundWorker::Reply {
+    const WriteResult result = Write(*state, job);
     return [this, result] { OnWritten(result); };
   });
 }
 
-// The run continues if the disk went away and came back; a new file begins one.
-void UsageRecorder::OpenStore(Disk& disk, const WriteJob& job) {
-  disk.store.emplace(job.setup);
-  if (disk.run != 0 && disk.store->ResumeRun(disk.run)) return;
-  disk.run = disk.store->BeginRun(job.start.wall_us, job.start.period_start_s);
+// After a store failure the run is resumed if the file still has it; otherwise a new run begins.
+void UsageRecorder::OpenStore(WorkerState& state, const WriteJob& job) {
+  state.store.emplace(job.setup);
+  if (state.run != 0 && state.store->ResumeRun(state.run)) return;
+  state.run = state.store->BeginRun(job.start.wall_us, job.start.period_start_s);
 }
 
-UsageRecorder::WriteResult UsageRecorder::Write(Disk& disk, const WriteJob& job) {
+UsageRecorder::WriteResult UsageRecorder::Write(WorkerState& state, const WriteJob& job) {
   WriteResult result;
   try {
-    if (!disk.store) OpenStore(disk, job);
+    if (!state.store) OpenStore(state, job);
     for (const Posting& posting : job.postings) {
       result.next_uncertain = true;
-      disk.store->Apply(posting, job.open);
+      state.store->Apply(posting, job.open);
       result.next_uncertain = false;
       ++result.written;
     }
-    if (job.end_wall_us) disk.store->EndRun(*job.end_wall_us);
-    result.state = disk.store->State();
+    if (job.end_wall_us) state.store->EndRun(*job.end_wall_us);
+    result.state = state.store->State();
   } catch (const StoreError& e) {
     result.error = e.code;
     result.reason = e.what();
-    disk.store.reset();
+    state.store.reset();
   }
   return result;
 }
@@ -147,13 +150,13 @@
 void UsageRecorder::OnWritten(const WriteResult& result) {
   job_pending_ = false;
   backlog_.erase(backlog_.begin(), backlog_.begin() + static_cast<std::ptrdiff_t>(result.written));
-  // What the store has not seen may still be merged and numbered anew.
+  // Postings that the store has not received may still be merged and renumbered.
   submitted_ = result.next_uncertain ? 1 : 0;
   if (result.error) return LogStoreFailure(result);
   ++counts_.checkpoints;
   if (last_error_) LogLine(Level::kInfo, "ledger store is back,").Field("backlog_cells", BacklogCells());
   last_error_.reset();
-  if (on_state_) on_state_(result.state);
+  if (state_callback_) state_callback_(result.state);
 }
 
 void UsageRecorder::LogStoreFailure(const WriteResult& result) {
@@ -169,14 +172,14 @@
   last_error_ = result.error;
 }
 
-bool UsageRecorder::WithStore(std::function<void(Store&)> job, std::function<void(bool done)> reply) {
+bool UsageRecorder::RunWithStore(std::function<void(Store&)> job, std::function<void(bool done)> reply) {
   return worker_.Post(
-      [disk = disk_, job = std::move(job), reply = std::move(reply)]() -> BackgroundWorker::Reply {
+      [state = worker_state_, job = std::move(job), reply = std::move(reply)]() -> BackgroundWorker::Reply {
         bool done = false;
-        std::string reason = "there is no store";
+        std::string reason = "the store is not open";
         try {
-          if (disk->store) {
-            job(*disk->store);
+          if (state->store) {
+            job(*state->store);
             done = true;
           }
         } catch (const StoreError& e) {
@@ -191,9 +194,9 @@
 
 bool UsageRecorder::Finish(milliseconds timeout) {
   timer_.Cancel();
-  const auto begun = steady_clock::now();
+  const auto start = steady_clock::now();
   const auto remaining = [&] {
-    return timeout - std::chrono::duration_cast<milliseconds>(steady_clock::now() - begun);
+    return timeout - std::chrono::duration_cast<milliseconds>(steady_clock::now() - start);
   };
   bool worker_finished = worker_.Finish(timeout);
   if (worker_finished) {
@@ -201,7 +204,7 @@
     SubmitBacklog(accounts_.WallAt(loop_.Now()).count());
     worker_finished = worker_.Finish(std::max(remaining(), milliseconds(0)));
   }
-  ended_ = true;
+  finished_ = true;
   if (worker_finished && backlog_.empty()) return true;
   std::int64_t lost_us = 0;
   for (const Posting& posting : backlog_) lost_us += posting.UseUs() + posting.unrecorded_us;
--- a/src/ledger/io/usage_recorder.h
+++ b/src/ledger/io/usage_recorder.h
@@ -1,12 +1,14 @@
-// The ledger inside the relay: accounts for connections on the event loop and writes postings to the store on
-// a background worker; keeps them in memory, within a bound, while the disk does not take them.
+// Records the usage of the relay's connections: accounts for it on the event loop and writes postings to the
+// store on a background worker. Postings are buffered in memory, up to a limit, while the store is
+// unavailable.
 //
-// Contract: each posting is written exactly once, whatever errors the disk returns. While the disk is away
-// nothing is lost up to `max_backlog_cells`; beyond that, usage is counted as unrecorded: reported, never
-// billed. A crash loses at most the usage since the last checkpoint; the store records it as unattested.
+// Contract: each posting is written exactly once, whatever errors the disk returns. While the store is
+// unavailable, usage is buffered up to `max_backlog_cells`; usage beyond that is counted as unrecorded, which
+// is reported but never billed. A crash loses at most the usage since the last successful checkpoint; the
+// store records it as unattested.
 //
-// Threading: all functions are called on the event loop's thread and do not block, except Finish. The store
-// is touched by the worker's thread only.
+// Threading: all functions must be called on the event loop's thread. None blocks except Finish. The store is
+// accessed only on the worker's thread.
 #ifndef STOATRUN_LEDGER_IO_USAGE_RECORDER_H_
 #define STOATRUN_LEDGER_IO_USAGE_RECORDER_H_
 
@@ -33,8 +35,8 @@
 struct UsageRecorderSetup {
   AccountsSetup accounts;
   StoreSetup store;
-  Micros checkpoint = std::chrono::seconds(5);  // Interval at which usage is written.
-  std::size_t max_backlog_cells = 65536;  // In memory while the disk is away; a cell takes about 100 bytes.
+  Micros checkpoint = std::chrono::seconds(5);  // Interval between writes of usage.
+  std::size_t max_backlog_cells = 65536;        // Limit of the buffer; a cell takes about 100 bytes.
 };
 
 // Totals since the start.
@@ -42,7 +44,7 @@
   std::uint64_t begun = 0, ended = 0;  // Connections.
   std::uint64_t checkpoints = 0;       // Successful writes.
   std::uint64_t store_failures = 0, imbalances = 0, clock_steps = 0;
-  std::int64_t unrecorded_us = 0;  // Connection time dropped beyond the bound of memory.
+  std::int64_t unrecorded_us = 0;  // Connection time beyond the buffer's limit.
 };
 
 // See the comment at the top of this file.
@@ -50,9 +52,9 @@
  public:
   using WallClock = std::function<Micros()>;  // Unix time.
 
-  // Starts the checkpoints; the store is opened on the worker. `loop` must outlive this object.
+  // Starts the checkpoint timer. The store is opened on the worker. `loop` must outlive this object.
   UsageRecorder(EventLoop& loop, const UsageRecorderSetup& setup, WallClock wall);
-  // Without Finish it is as if the process were killed: what was not written is lost.
+  // Discards everything that was not written, as if the process were killed. Call Finish first to write it.
   ~UsageRecorder() override;
   UsageRecorder(const UsageRecorder&) = delete;
   UsageRecorder& operator=(const UsageRecorder&) = delete;
@@ -60,57 +62,59 @@
   UsageHandle Begin(std::string_view group, std::size_t class_index) override;
   void End(UsageHandle& handle) override;
 
-  // A planned end: writes everything and ends the run, waiting for the disk up to `timeout`. Returns false if
-  // the worker did not end in time; the process should then end without destroying this object. What could
-  // not be written is logged.
+  // Writes all usage and ends the run, for a graceful shutdown. Blocks up to `timeout`. Returns false if the
+  // worker did not finish in time; the process should then exit without destroying this object. Usage that
+  // could not be written is logged.
   bool Finish(std::chrono::milliseconds timeout);
 
-  // Runs `job` on the worker with the store, if it is open, then `reply` on the event loop with whether it
-  // ran without error. `job` may throw StoreError, which is logged. Returns false if the worker's queue is
-  // full; neither is run then.
-  bool WithStore(std::function<void(Store&)> job, std::function<void(bool done)> reply);
-  // Sets the function that is called on the event loop after each write, with the store's state.
-  void OnState(std::function<void(const StoreState&)> callback) { on_state_ = std::move(callback); }
+  // Runs `job` with the store on the worker, if the store is open, and then `reply` on the event loop; `done`
+  // says whether the job ran without error. `job` may throw StoreError, which is logged. Returns false if the
+  // worker's queue is full; neither function is called then.
+  bool RunWithStore(std::function<void(Store&)> job, std::function<void(bool done)> reply);
+  // Sets a callback that receives the store's state on the event loop after each successful write.
+  void SetStateCallback(std::function<void(const StoreState&)> callback) {
+    state_callback_ = std::move(callback);
+  }
 
-  // Compares both sums of the accounting now; logs and counts a difference. Returns whether they agree.
+  // Checks that the sums of the accounts agree; logs and counts a difference. Returns whether they agree.
   bool CheckBalance();
 
-  // Whether the worker has nothing to do and no reply is outstanding.
-  bool Idle() const { return worker_.IsIdle(); }
-  // Whether the worker's thread is not running a job. For tests.
-  bool DiskRests() const { return worker_.HasNoJobs(); }
+  // Whether the worker has no jobs and no replies are pending.
+  bool IsIdle() const { return worker_.IsIdle(); }
+  // Whether the worker has no jobs; replies may be pending. For tests.
+  bool HasNoStoreJobs() const { return worker_.HasNoJobs(); }
   // Totals since the start.
   const UsageRecorderCounters& Counts() const { return counts_; }
-  // The size of the postings that are not written yet.
+  // The size, in cells, of the postings that are not written yet.
   std::size_t BacklogCells() const;
   // Adds the counters to a log record.
   void AddFields(LogLine& record) const;
 
  private:
-  // Only the worker's thread touches it.
-  struct Disk {
+  // Accessed only on the worker's thread.
+  struct WorkerState {
     std::optional<Store> store;
-    std::int64_t run = 0;  // 0: not begun.
+    std::int64_t run = 0;  // 0: no run was begun.
   };
   // When the recorder started.
   struct StartTime {
     std::int64_t wall_us = 0, period_start_s = 0;
   };
-  // What the worker is to write, copied.
+  // A copy of everything that a write on the worker needs.
   struct WriteJob {
     StoreSetup setup;
     std::vector<Posting> postings;
     OpenCounts open;
     StartTime start;
-    std::optional<std::int64_t> end_wall_us;  // Set: the run ends after the postings.
+    std::optional<std::int64_t> end_wall_us;  // If set, the run is ended after the postings.
   };
-  // What came of it.
+  // The outcome of a WriteJob.
   struct WriteResult {
     std::optional<StoreErrorCode> error;
     std::string reason;
     StoreState state;
-    std::size_t written = 0;      // Postings from the front of the backlog.
-    bool next_uncertain = false;  // The one after them may have been written, too, in spite of the error.
+    std::size_t written = 0;      // Number of postings, from the front of the backlog.
+    bool next_uncertain = false;  // The posting after them may have been committed in spite of the error.
   };
 
   void OnTimer();
@@ -119,8 +123,8 @@
   void SubmitBacklog(std::optional<std::int64_t> end_wall_us);
   void OnWritten(const WriteResult& result);
   void LogStoreFailure(const WriteResult& result);
-  static void OpenStore(Disk& disk, const WriteJob& job);
-  static WriteResult Write(Disk& disk, const WriteJob& job);
+  static void OpenStore(WorkerState& state, const WriteJob& job);
+  static WriteResult Write(WorkerState& state, const WriteJob& job);
 
   EventLoop& loop_;
   const UsageRecorderSetup setup_;
@@ -128,17 +132,17 @@
   Accounts accounts_;
   const StartTime start_;
   std::deque<Posting> backlog_;
-  std::size_t submitted_ = 0;  // From the front: numbered, and nothing is merged into them any more.
-  bool job_pending_ = false;   // The worker has a job.
-  bool ended_ = false;
+  std::size_t submitted_ = 0;  // Postings at the front that are numbered and must not change.
+  bool job_pending_ = false;   // A write is queued or running.
+  bool finished_ = false;
   std::uint64_t next_number_ = 1;
   UsageRecorderCounters counts_;
   std::optional<StoreErrorCode> last_error_;
   Micros error_logged_at_{0}, next_checkpoint_{0};
-  std::function<void(const StoreState&)> on_state_;
-  std::shared_ptr<Disk> disk_ = std::make_shared<Disk>();
+  std::function<void(const StoreState&)> state_callback_;
+  std::shared_ptr<WorkerState> worker_state_ = std::make_shared<WorkerState>();
   Timer timer_;
-  BackgroundWorker worker_;  // Last: its thread ends before what it uses.
+  BackgroundWorker worker_;  // Declared last: its thread stops before the members it uses are destroyed.
 };
 
 }  // namespace stoatrun::ledger
--- a/tests/ledger/export_client_test.cpp
+++ b/tests/ledger/export_client_test.cpp
@@ -87,7 +87,7 @@
     relay.Advance(seconds(1));  // The period closes: its records are made, sent, acknowledged.
     for (int k = 0; k < turns; ++k) {
       relay.Turn(&receiver);
-      while (!relay.recorder->DiskRests()) std::this_thread::yield();
+      while (!relay.recorder->HasNoStoreJobs()) std::this_thread::yield();
     }
     relay.Kill();
     receiver.Poll();  // What was sent has arrived, though nobody waits for the response.
--- a/tests/ledger/recorder_fixture.cpp
+++ b/tests/ledger/recorder_fixture.cpp
@@ -58,7 +58,7 @@
   const auto deadline = steady_clock::now() + seconds(10);
   for (int quiet = 0; quiet < 20; ++quiet) {
     Turn(receiver);
-    while (!recorder->Idle()) {
+    while (!recorder->IsIdle()) {
       quiet = 0;
       REQUIRE(steady_clock::now() < deadline);
       Turn(receiver);
--- a/tests/ledger/usage_recorder_test.cpp
+++ b/tests/ledger/usage_recorder_test.cpp
@@ -113,7 +113,7 @@
   setup.store = {relay.Folder(), "n0", "other", disk.Vfs(), true, 1000};
   EventLoop loop(Clock::Mode::kManual);
   UsageRecorder second(loop, setup, [] { return kWallStart; });
-  while (!second.Idle()) loop.Poll();
+  while (!second.IsIdle()) loop.Poll();
   loop.Poll();
   CHECK(second.Counts().store_failures == 1);
   UsageHandle handle = second.Begin("wetland", 0);
