--- a/tests/ledger/export_client_test.cpp
+++ b/tests/ledger/export_client_test.cpp
@@ -1,4 +1,4 @@
-// Delivery to the billing receiver: failing receivers, killed relays.
+// Delivery to the billing receiver, with failing receivers and killed relays.
 #include "ledger/io/export_client.h"
 
 #include <catch2/catch.hpp>
@@ -17,29 +17,29 @@
 using std::chrono::seconds;
 using Reply = Receiver::Reply;
 
-TEST_CASE("whatever the receiver does, each record reaches it once and in order") {
+TEST_CASE("each record is stored once and in order despite receiver failures") {
   Receiver receiver;
   InMemoryDisk disk("receiver");
   RecorderFixture relay(&disk, "n0", &receiver);
   using Replies = std::vector<Reply>;
-  const auto replies =
-      GENERATE(Replies{Reply::kServerError, Reply::kServerError}, Replies{Reply::kCutBeforeReading},
-               Replies{Reply::kCutAfterStoring, Reply::kCutAfterStoring}, Replies{Reply::kStoreSilently},
-               Replies{Reply::kAcknowledgeTwice, Reply::kAcknowledgeTwice},
-               Replies{Reply::kNoAcknowledgement, Reply::kNoAcknowledgement}, Replies{Reply::kConflict},
-               Replies{Reply::kReject}, Replies{Reply::kTooLarge, Reply::kTooLarge},
-               Replies{Reply::kRetryAfter}, Replies{Reply::kAcknowledge, Reply::kLoseLast},
-               Replies{Reply::kForgedHash}, Replies{Reply::kUnknownSeq},
-               Replies{Reply::kAcknowledge, Reply::kCutAfterStoring, Reply::kStoreSilently, Reply::kLoseLast,
-                       Reply::kServerError, Reply::kAcknowledgeTwice});
-  for (const Reply reply : replies) receiver.Script({reply});
+  const auto replies = GENERATE(
+      Replies{Reply::kServerError, Reply::kServerError}, Replies{Reply::kCloseBeforeReading},
+      Replies{Reply::kCloseAfterStoring, Reply::kCloseAfterStoring}, Replies{Reply::kStoreWithoutResponse},
+      Replies{Reply::kDuplicateResponse, Reply::kDuplicateResponse},
+      Replies{Reply::kNoAcknowledgement, Reply::kNoAcknowledgement}, Replies{Reply::kConflict},
+      Replies{Reply::kReject}, Replies{Reply::kTooLarge, Reply::kTooLarge}, Replies{Reply::kRetryAfter},
+      Replies{Reply::kAcknowledge, Reply::kLoseLastRecord}, Replies{Reply::kForgedHash},
+      Replies{Reply::kUnknownSeq},
+      Replies{Reply::kAcknowledge, Reply::kCloseAfterStoring, Reply::kStoreWithoutResponse,
+              Reply::kLoseLastRecord, Reply::kServerError, Reply::kDuplicateResponse});
+  for (const Reply reply : replies) receiver.QueueReplies({reply});
   UsageHandle first = relay.recorder->Begin("wetland", 0);
   UsageHandle second = relay.recorder->Begin("raptor", 0);
   relay.Wait(seconds(250), &receiver);
   relay.recorder->End(first);
   relay.recorder->End(second);
   relay.Wait(seconds(200), &receiver);
-  CHECK(receiver.RemainingScript() == 0);
+  CHECK(receiver.RemainingReplies() == 0);
   CHECK(receiver.ContentConflicts() == 0);
   Store store = relay.Reader();
   const StoreState state = store.State();
@@ -57,22 +57,22 @@
 
 TEST_CASE("a receiver that is down for hours is retried at a bounded rate and then gets everything") {
   Receiver receiver;
-  receiver.Down();
+  receiver.Stop();
   InMemoryDisk disk("hours");
   RecorderFixture relay(&disk, "n0", &receiver);
   UsageHandle handle = relay.recorder->Begin("wetland", 0);
   relay.Wait(seconds(1800), &receiver);
   const std::uint64_t attempts = relay.export_client->Counts().requests;
   CHECK(attempts >= 1800 / 60);
-  CHECK(attempts <= 1800 / 30 + 8);  // Backoffs of half a minute or more, except the first few.
-  receiver.Up();
+  CHECK(attempts <= 1800 / 30 + 8);  // Backoffs are 30 s or longer, except for the first few.
+  receiver.Start();
   relay.Wait(seconds(90), &receiver);
   relay.recorder->End(handle);
   CHECK(receiver.Lines().size() >= 30);
   CHECK(relay.export_client->Backlog() <= 1);
 }
 
-TEST_CASE("killed at any turn of an export, the relay delivers each record once") {
+TEST_CASE("a relay killed at any event loop turn of a delivery delivers each record once") {
   for (int turns = 0; turns < 40; ++turns) {
     INFO("killed after " << turns << " turns");
     Receiver receiver;
@@ -84,13 +84,13 @@
     relay.recorder->End(first);
     relay.recorder->End(second);
     relay.Wait(milliseconds(500), &receiver);
-    relay.Advance(seconds(1));  // The period closes: its records are made, sent, acknowledged.
+    relay.Advance(seconds(1));  // The period closes: its records are appended, sent and acknowledged.
     for (int k = 0; k < turns; ++k) {
-      relay.Turn(&receiver);
+      relay.PollOnce(&receiver);
       while (!relay.recorder->HasNoStoreJobs()) std::this_thread::yield();
     }
     relay.Kill();
-    receiver.Poll();  // What was sent has arrived, though nobody waits for the response.
+    receiver.Poll();  // The request arrives although the client is gone.
     relay.Start();
     relay.Wait(seconds(70), &receiver);
     CHECK(receiver.ContentConflicts() == 0);
--- a/tests/ledger/ledger_crash_test.cpp
+++ b/tests/ledger/ledger_crash_test.cpp
@@ -1,5 +1,5 @@
-// End to end: what clients were served equals what the exports of their relays add up to, also when relays
-// are killed at random.
+// End to end: the usage of clients equals the sum of their relays' exports, even if relays are killed at
+// random.
 #include <algorithm>
 #include <array>
 #include <catch2/catch.hpp>
@@ -22,8 +22,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Relays that share clients and are killed at random while they post and export. Counts what the clients were
-// served, independently of the ledgers.
+// Relays that are killed at random while they write postings and deliver records. Counts the clients'
+// connection time independently of the ledgers.
 class RelayFleet {
  public:
   static constexpr std::size_t kRelays = 3;
@@ -36,7 +36,7 @@
     }
   }
 
-  // One random event, then up to a second of time.
+  // Performs a random event, then advances the clock by up to a second.
   void Step() {
     const std::size_t relay = random_() % kRelays;
     const std::uint64_t event = random_() % 20;
@@ -51,7 +51,7 @@
     for (std::size_t k = 0; k < kRelays; ++k) relays_[k]->Wait(span, &receivers_.at(k));
   }
 
-  // Ends all connections, closes the open periods and writes every relay's export to `folder`.
+  // Ends all connections, closes the open periods and writes each relay's export to `folder`.
   void FinishAndExport(const std::string& folder) {
     for (const Client& client : clients_) served_us_ += ServedUs(client);
     for (std::size_t index = 0; index < kRelays; ++index) {
@@ -74,7 +74,7 @@
   int Kills() const { return kills_; }
   int Unattested() const { return unattested_; }
   std::int64_t ServedUs() const { return served_us_; }
-  // The most usage that the kills may have lost.
+  // Upper bound of the usage that the kills may have lost.
   std::int64_t MaxLossUs() const { return max_loss_us_; }
 
  private:
@@ -105,15 +105,16 @@
     RecorderFixture& fixture = *relays_[relay];
     InMemoryDisk& disk = *disks_[relay];
     ++kills_;
-    const auto is_here = [relay](const Client& client) { return client.relay == relay; };
+    const auto is_on_relay = [relay](const Client& client) { return client.relay == relay; };
     for (const Client& client : clients_) {
-      if (is_here(client)) served_us_ += ServedUs(client);
+      if (is_on_relay(client)) served_us_ += ServedUs(client);
     }
-    const auto open = std::count_if(clients_.begin(), clients_.end(), is_here);
-    max_loss_us_ += (open + 20) * 1'500'000;  // The last checkpoint is at most a second and a turn old.
-    std::erase_if(clients_, is_here);
-    if (random_() % 2 == 0) receivers_.at(relay).Script({Receiver::Reply::kCutAfterStoring});
-    if (random_() % 2 == 0) {  // The power fails, too, a few calls later.
+    const auto open = std::count_if(clients_.begin(), clients_.end(), is_on_relay);
+    // The last checkpoint is at most 1 s and one step of 500 ms old.
+    max_loss_us_ += (open + 20) * 1'500'000;
+    std::erase_if(clients_, is_on_relay);
+    if (random_() % 2 == 0) receivers_.at(relay).QueueReplies({Receiver::Reply::kCloseAfterStoring});
+    if (random_() % 2 == 0) {  // The power fails as well, a few calls later.
       disk.LosePowerAt(1 + static_cast<int>(random_() % 20));
       fixture.Wait(milliseconds(500), &receivers_.at(relay));
     }
@@ -131,7 +132,7 @@
   int kills_ = 0, unattested_ = 0;
 };
 
-TEST_CASE("the summed ledgers of relays killed at random equal what was served, but for what is unattested") {
+TEST_CASE("the ledgers of relays killed at random add up to the usage served, except what is unattested") {
   const std::uint64_t seed = GENERATE(1, 2, 3);
   RelayFleet fleet(seed);
   for (int step = 0; step < 400; ++step) fleet.Step();
@@ -149,10 +150,10 @@
   CHECK(fleet.ServedUs() - exported_us < fleet.ServedUs() / 5);
 }
 
-// Without kills there is no tolerance at all.
-TEST_CASE("the summed ledgers of relays restarted in order equal what was served, to the microsecond") {
+// Without kills, no usage may be lost.
+TEST_CASE("the ledgers of gracefully restarted relays add up to the usage served, to the microsecond") {
   std::mt19937_64 random(11);
-  InMemoryDisk disk("orderly");
+  InMemoryDisk disk("graceful");
   RecorderFixture relay(&disk);
   std::int64_t served_us = 0;
   for (int run = 0; run < 5; ++run) {
@@ -174,7 +175,7 @@
     relay.Kill();
     relay.monotonic += seconds(20);
     relay.Start();
-    relay.Settle();
+    relay.PollUntilIdle();
   }
   CHECK(relay.ReadTotals().use_us == served_us);
   CHECK(relay.ReadTotals().unattested == 0);
--- a/tests/ledger/recorder_fixture.cpp
+++ b/tests/ledger/recorder_fixture.cpp
@@ -19,7 +19,7 @@
 
 RecorderFixture::RecorderFixture(InMemoryDisk* disk, std::string relay, const Receiver* receiver)
     : disk_(disk), relay_(std::move(relay)), receiver_(receiver) {
-  SetLogLevel(static_cast<Level>(4));  // Above all levels: the tests provoke errors.
+  SetLogLevel(static_cast<Level>(4));  // Above all levels: the tests cause errors on purpose.
   Start();
 }
 
@@ -49,19 +49,19 @@
   loop.reset();
 }
 
-void RecorderFixture::Turn(Receiver* receiver) {
+void RecorderFixture::PollOnce(Receiver* receiver) {
   loop->Poll();
   if (receiver != nullptr) receiver->Poll();
 }
 
-void RecorderFixture::Settle(Receiver* receiver) {
+void RecorderFixture::PollUntilIdle(Receiver* receiver) {
   const auto deadline = steady_clock::now() + seconds(10);
-  for (int quiet = 0; quiet < 20; ++quiet) {
-    Turn(receiver);
+  for (int idle_polls = 0; idle_polls < 20; ++idle_polls) {
+    PollOnce(receiver);
     while (!recorder->IsIdle()) {
-      quiet = 0;
+      idle_polls = 0;
       REQUIRE(steady_clock::now() < deadline);
-      Turn(receiver);
+      PollOnce(receiver);
     }
   }
 }
@@ -69,7 +69,7 @@
 void RecorderFixture::Wait(Micros span, Receiver* receiver) {
   for (; span > Micros(0); span -= milliseconds(500)) {
     Advance(std::min<Micros>(span, milliseconds(500)));
-    Settle(receiver);
+    PollUntilIdle(receiver);
   }
 }
 
--- a/tests/ledger/recorder_fixture.h
+++ b/tests/ledger/recorder_fixture.h
@@ -1,4 +1,4 @@
-// One relay's ledger under a manual clock: a UsageRecorder and, with a receiver, an ExportClient.
+// A relay's ledger under a manual clock: a UsageRecorder and, if there is a receiver, an ExportClient.
 #ifndef STOATRUN_TESTS_LEDGER_RECORDER_FIXTURE_H_
 #define STOATRUN_TESTS_LEDGER_RECORDER_FIXTURE_H_
 
@@ -20,7 +20,7 @@
 
 class RecorderFixture {
  public:
-  // Starts a relay with a folder of its own. `disk`: null for the system's; `receiver`: null for no exports.
+  // Starts a relay with its own folder. `disk`: null for the file system; `receiver`: null for no deliveries.
   explicit RecorderFixture(standin::InMemoryDisk* disk, std::string relay = "n0",
                            const standin::Receiver* receiver = nullptr);
   ~RecorderFixture();
@@ -28,24 +28,25 @@
   RecorderFixture& operator=(const RecorderFixture&) = delete;
 
   void Start();
-  // As SIGKILL: this process writes nothing more to the disk.
+  // Like SIGKILL: nothing more is written to the disk.
   void Kill();
-  // One turn of the event loop and of the receiver.
-  void Turn(standin::Receiver* receiver = nullptr);
-  // Turns until the disk has answered and the sockets are quiet.
-  void Settle(standin::Receiver* receiver = nullptr);
-  // Advances the clock in steps of half a second at most and settles after each.
+  // Polls the event loop and the receiver once.
+  void PollOnce(standin::Receiver* receiver = nullptr);
+  // Polls until the recorder is idle and has stayed so for 20 polls, so that messages on sockets are handled,
+  // too.
+  void PollUntilIdle(standin::Receiver* receiver = nullptr);
+  // Advances the clock in steps of at most 500 ms and calls PollUntilIdle after each.
   void Wait(Micros span, standin::Receiver* receiver = nullptr);
-  // Advances the clock only.
+  // Advances the clock without polling.
   void Advance(Micros span);
 
-  // Another connection to the store, as of a command line program.
+  // Opens another connection to the store, as a command line program does.
   Store Reader();
-  // Everything in the store.
+  // Sums over everything in the store.
   struct Totals {
-    std::int64_t use_us = 0, within_us = 0;  // In records and in open periods.
+    std::int64_t use_us = 0, within_us = 0;  // In records and open periods.
     std::int64_t unrecorded_us = 0;
-    int unattested = 0, clock_steps = 0;  // Records; unrecorded usage is not counted as unattested.
+    int unattested = 0, clock_steps = 0;  // Counts of records; unrecorded usage is not in `unattested`.
   };
   Totals ReadTotals();
   const std::string& Folder() const { return folder_.Path(); }
--- a/tests/ledger/store_test.cpp
+++ b/tests/ledger/store_test.cpp
@@ -1,4 +1,4 @@
-// The store under loss of power, errors and corruption.
+// The store under power loss, I/O errors and corruption.
 #include "ledger/io/store.h"
 
 #include <fmt/format.h>
@@ -41,7 +41,7 @@
   return posting;
 }
 
-// All usage in the store: in records and in periods that are not closed.
+// All usage in the store, in records and in open periods.
 std::int64_t StoredUse(Store& store) {
   std::int64_t sum = 0;
   store.ForEachRecord(1, [&](const StoredRecord& stored) {
@@ -53,12 +53,12 @@
   return sum;
 }
 
-// A run of a relay in steps, each of which may be cut off anywhere.
+// A run of a relay, in steps that may each be interrupted at any call.
 struct Scenario {
   const TemporaryFolder& folder;
   InMemoryDisk& disk;
   std::optional<Store> store;
-  std::int64_t applied_us = 0, pending_us = 0;  // Applied for sure; perhaps applied.
+  std::int64_t applied_us = 0, pending_us = 0;  // Certainly applied; possibly applied.
   std::size_t completed = 0;
   std::uint64_t number = 0;
 
@@ -76,7 +76,7 @@
             [this] { Post(kHour, 1'000'000, false); },
             [this] { Post(kHour, 2'000'001, true); },
             [this] { Post(kHour + 3600, 500, false, true); },
-            [this] { Post(kHour, 77, false); },  // The clock was stepped back into a period that is closed.
+            [this] { Post(kHour, 77, false); },  // The clock was stepped back into a closed period.
             [this] { Post(kHour + 3600, 30'000'000, true); },
             [this] {
               store->EnterCorrection({"coast", kHour, -30, "double count", "ann", "ref-1", 5});
@@ -93,9 +93,9 @@
   }
 };
 
-// A scenario without faults: how many calls it makes that change something, and the usage it applies.
+// The number of modifying calls and the usage applied in a scenario without faults.
 struct Baseline {
-  int calls = 0;
+  int change_count = 0;
   std::int64_t applied_us = 0;
 };
 
@@ -103,11 +103,11 @@
   InMemoryDisk disk(disk_name);
   Scenario scenario{folder, disk, {}};
   scenario.Run();
-  return {disk.Changes(), scenario.applied_us};
+  return {disk.ChangeCount(), scenario.applied_us};
 }
 
-// Requires that the records are numbered without gaps and chained. Returns how many are unattested.
-int CheckChain(Store& store) {
+// Requires that the records are numbered without gaps and chained. Returns the number of unattested records.
+int CheckChainAndCountUnattested(Store& store) {
   int unattested = 0;
   std::string previous_hash = FirstHash();
   std::uint64_t expected = 0;
@@ -123,20 +123,20 @@
   return unattested;
 }
 
-// Opens the store of a scenario that lost power, and requires that it is consistent and goes on.
+// Opens the store of a scenario that lost power and requires that it is consistent and usable.
 void CheckRecovery(const Scenario& scenario) {
   Store store(MakeSetup(scenario.folder, scenario.disk.Vfs()));
   const std::int64_t stored_us = StoredUse(store);
   const bool atomic =
       stored_us == scenario.applied_us || stored_us == scenario.applied_us + scenario.pending_us;
   REQUIRE(atomic);
-  // The next run goes on from there, and what the lost one left unattested is recorded once.
+  // The next run continues from there, and the interrupted run is recorded as unattested once.
   store.BeginRun((kHour + 9000) * 1'000'000, kHour + 7200);
   store.Apply(MakePosting(1, kHour + 7200, 1000, true), {});
   store.EndRun((kHour + 9001) * 1'000'000);
   REQUIRE(StoredUse(store) == stored_us + 2000);
-  const int unattested = CheckChain(store);
-  // In the first and the last step the run may not have begun, or have ended in order.
+  const int unattested = CheckChainAndCountUnattested(store);
+  // In the first two steps the run may not have begun; in the last step it may have ended cleanly.
   const bool run_was_open = scenario.completed >= 2 && scenario.completed + 1 < Scenario::StepCount();
   REQUIRE(unattested <= 1);
   REQUIRE(unattested >= (run_was_open ? 1 : 0));
@@ -144,9 +144,9 @@
 
 TEST_CASE("after a power loss at any call each posting is applied completely or not at all") {
   const TemporaryFolder folder;
-  const int calls = MeasureBaseline(folder, "count").calls;
-  REQUIRE(calls > 100);
-  for (int n = 1; n <= calls; ++n) {
+  const int change_count = MeasureBaseline(folder, "count").change_count;
+  REQUIRE(change_count > 100);
+  for (int n = 1; n <= change_count; ++n) {
     for (const std::uint64_t seed : {1, 2, 3}) {
       INFO("call " << n << " seed " << seed);
       InMemoryDisk disk(fmt::format("power-{}-{}", n, seed));
@@ -166,7 +166,7 @@
   }
 }
 
-// Runs a scenario on a disk that fails once: opens the store anew after the error and retries the step.
+// Runs a scenario on a disk that fails once: reopens the store after the error and retries the step.
 void RunWithOneError(Scenario& scenario) {
   std::int64_t run = 0;
   int errors = 0;
@@ -198,7 +198,7 @@
 TEST_CASE("an error at any call is reported, and a retried posting is applied once") {
   const TemporaryFolder folder;
   const Baseline baseline = MeasureBaseline(folder, "errors");
-  for (int n = 1; n <= baseline.calls; ++n) {
+  for (int n = 1; n <= baseline.change_count; ++n) {
     for (const int code : {SQLITE_FULL, SQLITE_IOERR_WRITE, SQLITE_IOERR_FSYNC}) {
       INFO("call " << n << " code " << code);
       InMemoryDisk disk(fmt::format("error-{}-{}", n, code));
@@ -231,7 +231,7 @@
     bytes[at] = static_cast<char>(bytes[at] ^ (1 << (at % 8)));
     if (valid) FAIL("byte " << at);
   }
-  // Through the store: detected by Verify, or because the file can't be opened at all.
+  // Through the store, corruption is detected by Verify or because the file can't be opened.
   for (std::size_t at = 5; at < bytes.size(); at += 1511) {
     std::string broken = bytes;
     broken[at] = static_cast<char>(broken[at] ^ 0x10);
@@ -277,10 +277,10 @@
   CHECK(fault(setup) == StoreErrorCode::kReadOnly);
   const TemporaryFolder fresh;
   CHECK(fault({fresh.Path(), "", "", nullptr, false, 0}) ==
-        StoreErrorCode::kReadOnly);  // Nothing to read there.
+        StoreErrorCode::kReadOnly);  // The folder has no ledger.
 }
 
-// The ledger of an earlier release: its schema was 1, without the count of connections begun.
+// Schema version 1 of an earlier release had no count of connections begun.
 TEST_CASE("an older schema is migrated and keeps its data") {
   const TemporaryFolder folder;
   {
@@ -300,7 +300,7 @@
   CHECK(store.Verify().empty());
 }
 
-TEST_CASE("corrections are records of their own and rejected where there is nothing to correct") {
+TEST_CASE("corrections are appended as records and rejected if there is nothing to correct") {
   const TemporaryFolder folder;
   Store store(MakeSetup(folder));
   store.BeginRun(kHour * 1'000'000, kHour);
@@ -317,11 +317,11 @@
   const std::uint64_t first = store.EnterCorrection({"wetland", kHour, 60, "outage", "ann", "", 1});
   const std::uint64_t second = store.EnterCorrection({"wetland", kHour, 60, "outage", "ann", "", 2});
   CHECK(second == first + 1);
-  const auto entry = [&](std::uint64_t seq) {
+  const auto correction = [&](std::uint64_t seq) {
     return ParseRecord(SplitLine(store.Records(seq, 1).at(0).line)->record)->correction();
   };
-  CHECK(entry(first).original_seq() == 2);
-  CHECK(entry(store.EnterCorrection({"owls", kHour, 5, "late", "bob", "", 3})).original_seq() == 0);
+  CHECK(correction(first).original_seq() == 2);
+  CHECK(correction(store.EnterCorrection({"owls", kHour, 5, "late", "bob", "", 3})).original_seq() == 0);
   CHECK_THAT(rejection({"wetland", kHour + 3600, 1, "x", "ann", "", 4}), Catch::Contains("not closed"));
   CHECK_THAT(rejection({"wetland", kHour + 1, 1, "x", "ann", "", 4}), Catch::Contains("no period starts at"));
   store.EnterCorrection({"wetland", kHour, 1, "x", "ann", "r1", 4});
--- a/tests/ledger/temporary_folder.h
+++ b/tests/ledger/temporary_folder.h
@@ -1,4 +1,4 @@
-// A folder of its own for a test, removed with all that it holds.
+// A temporary folder for a test, removed with its contents on destruction.
 #ifndef STOATRUN_TESTS_LEDGER_TEMPORARY_FOLDER_H_
 #define STOATRUN_TESTS_LEDGER_TEMPORARY_FOLDER_H_
 
--- a/tests/ledger/usage_recorder_test.cpp
+++ b/tests/ledger/usage_recorder_test.cpp
@@ -1,4 +1,4 @@
-// The ledger inside the relay: failing disks, killed relays, a stepped clock.
+// The usage recorder with failing disks, killed relays and a stepped clock.
 #include "ledger/io/usage_recorder.h"
 
 #include <catch2/catch.hpp>
@@ -15,7 +15,7 @@
 using std::chrono::seconds;
 using std::chrono::steady_clock;
 
-TEST_CASE("a disk that fails and recovers gets all usage of the meantime") {
+TEST_CASE("all usage during a disk failure is written when the disk recovers") {
   const int code = GENERATE(SQLITE_FULL, SQLITE_IOERR_WRITE, SQLITE_READONLY);
   InMemoryDisk disk("recorder-" + std::to_string(code));
   RecorderFixture relay(&disk);
@@ -24,7 +24,7 @@
   CHECK(relay.recorder->Counts().store_failures == 0);
   disk.FailAllWith(code);
   UsageHandle second = relay.recorder->Begin("wetland", 0);
-  relay.Wait(seconds(130));  // Over two boundaries of periods.
+  relay.Wait(seconds(130));  // Crosses two period boundaries.
   CHECK(relay.recorder->Counts().store_failures > 10);
   relay.recorder->End(first);
   disk.FailAllWith(SQLITE_OK);
@@ -38,7 +38,7 @@
   CHECK(totals.unattested == 0);
 }
 
-TEST_CASE("beyond the bound of memory usage is reported as unrecorded, never dropped and never billed") {
+TEST_CASE("usage beyond the buffer limit is reported as unrecorded, never dropped and never billed") {
   InMemoryDisk disk("bound");
   RecorderFixture relay(&disk);
   relay.Kill();
@@ -58,28 +58,28 @@
   CHECK(totals.use_us + totals.unrecorded_us == 1'200'000'000);
 }
 
-TEST_CASE("a disk whose sync hangs blocks neither the event loop nor a planned end") {
+TEST_CASE("a disk whose sync hangs blocks neither the event loop nor a graceful shutdown") {
   InMemoryDisk disk("stall");
   RecorderFixture relay(&disk);
-  relay.Settle();
-  disk.Stall();
+  relay.PollUntilIdle();
+  disk.BlockSyncs();
   UsageHandle handle = relay.recorder->Begin("wetland", 0);
   for (int k = 0; k < 50; ++k) {
     relay.Advance(seconds(1));
-    const auto begun = steady_clock::now();
-    relay.Turn();
-    CHECK(steady_clock::now() - begun < seconds(1));
+    const auto start = steady_clock::now();
+    relay.PollOnce();
+    CHECK(steady_clock::now() - start < seconds(1));
   }
   relay.recorder->End(handle);
   SECTION("it recovers") {
-    disk.Release();
-    relay.Settle();
+    disk.UnblockSyncs();
+    relay.PollUntilIdle();
     REQUIRE(relay.recorder->Finish(seconds(5)));
     CHECK(relay.ReadTotals().use_us == 50'000'000);
   }
-  SECTION("it does not") {
+  SECTION("it does not recover") {
     CHECK_FALSE(relay.recorder->Finish(milliseconds(50)));
-    disk.Release();  // The thread that was abandoned must end before its disk does.
+    disk.UnblockSyncs();  // The abandoned thread must end before the disk is destroyed.
     std::this_thread::sleep_for(milliseconds(200));
   }
 }
@@ -92,7 +92,7 @@
   relay.Kill();
   relay.monotonic += seconds(3);
   relay.Start();
-  relay.Settle();
+  relay.PollUntilIdle();
   const RecorderFixture::Totals totals = relay.ReadTotals();
   CHECK(totals.unattested == 1);
   CHECK(totals.use_us >= 9'500'000);
@@ -104,7 +104,7 @@
   CHECK(unattested.open(0).bound_us() == 13'500'000 - totals.use_us);
 }
 
-TEST_CASE("a second relay on a folder reports it and goes on without a store") {
+TEST_CASE("a second relay on a folder reports an error and continues without a store") {
   InMemoryDisk disk("shared");
   RecorderFixture relay(&disk);
   relay.Wait(seconds(2));
@@ -121,7 +121,7 @@
   CHECK(second.Counts().ended == 1);
 }
 
-TEST_CASE("a stepped clock under a recorder loses no usage and is recorded") {
+TEST_CASE("clock steps lose no usage and are recorded") {
   InMemoryDisk disk("steps");
   RecorderFixture relay(&disk);
   UsageHandle handle = relay.recorder->Begin("wetland", 0);
--- a/tests/standin/in_memory_disk.cpp
+++ b/tests/standin/in_memory_disk.cpp
@@ -8,9 +8,9 @@
 namespace stoatrun::standin {
 namespace {
 
-constexpr std::size_t kSector = 512;  // What a disk writes completely or not at all.
+constexpr std::size_t kSectorSize = 512;  // Sectors are written atomically.
 
-// What SQLite sees as its file.
+// SQLite's handle of an open file.
 struct OpenFile {
   sqlite3_file file;
   InMemoryDisk* disk;
@@ -26,7 +26,7 @@
 }
 
 int Read(sqlite3_file* file, void* data, int amount, sqlite3_int64 offset) {
-  if (AsOpenFile(file)->disk->Lost()) return SQLITE_IOERR_READ;
+  if (AsOpenFile(file)->disk->HasLostPower()) return SQLITE_IOERR_READ;
   const std::string& current = ContentOf(file).current;
   const auto at = std::min(static_cast<std::size_t>(offset), current.size());
   const std::size_t n = std::min(static_cast<std::size_t>(amount), current.size() - at);
@@ -40,7 +40,7 @@
   const int code = AsOpenFile(file)->disk->CountChange(&partial);
   if (code != SQLITE_OK && !partial) return code;
   InMemoryDisk::Content& content = ContentOf(file);
-  if (partial && !change.truncate) {  // A prefix reached the disk.
+  if (partial && !change.truncate) {  // Only a prefix reached the disk.
     change.bytes.resize(AsOpenFile(file)->disk->random() % (change.bytes.size() + 1));
   }
   content.Apply(change, content.current);
@@ -54,24 +54,40 @@
 }
 int Truncate(sqlite3_file* file, sqlite3_int64 size) { return Change(file, {size, {}, true}); }
 int Sync(sqlite3_file* file, int /*flags*/) { return AsOpenFile(file)->disk->Sync(ContentOf(file)); }
-int Size(sqlite3_file* file, sqlite3_int64* size) {
+int FileSize(sqlite3_file* file, sqlite3_int64* size) {
   *size = static_cast<sqlite3_int64>(ContentOf(file).current.size());
   return SQLITE_OK;
 }
-int Lock(sqlite3_file* /*file*/, int /*level*/) { return SQLITE_OK; }  // One connection at a time.
-int Reserved(sqlite3_file* /*file*/, int* out) {
+int Lock(sqlite3_file* /*file*/, int /*level*/) { return SQLITE_OK; }  // Tests use one connection at a time.
+int CheckReservedLock(sqlite3_file* /*file*/, int* out) {
   *out = 0;
   return SQLITE_OK;
 }
-int Control(sqlite3_file* /*file*/, int /*op*/, void* /*arg*/) { return SQLITE_NOTFOUND; }
-int Sector(sqlite3_file* /*file*/) { return static_cast<int>(kSector); }
-int Traits(sqlite3_file* /*file*/) { return 0; }
+int FileControl(sqlite3_file* /*file*/, int /*op*/, void* /*arg*/) { return SQLITE_NOTFOUND; }
+int SectorSize(sqlite3_file* /*file*/) { return static_cast<int>(kSectorSize); }
+int DeviceCharacteristics(sqlite3_file* /*file*/) { return 0; }
 
 constexpr sqlite3_io_methods kMethods = {
-    1,      Close,   Read,    Write,    Truncate, ::stoatrun::standin::Sync,
-    Size,   Lock,    Lock,    Reserved, Control,  Sector,
-    Traits, nullptr, nullptr, nullptr,  nullptr,  nullptr,
-    nullptr};
+    .iVersion = 1,
+    .xClose = Close,
+    .xRead = Read,
+    .xWrite = Write,
+    .xTruncate = Truncate,
+    .xSync = ::stoatrun::standin::Sync,
+    .xFileSize = FileSize,
+    .xLock = Lock,
+    .xUnlock = Lock,
+    .xCheckReservedLock = CheckReservedLock,
+    .xFileControl = FileControl,
+    .xSectorSize = SectorSize,
+    .xDeviceCharacteristics = DeviceCharacteristics,
+    .xShmMap = nullptr,
+    .xShmLock = nullptr,
+    .xShmBarrier = nullptr,
+    .xShmUnmap = nullptr,
+    .xFetch = nullptr,
+    .xUnfetch = nullptr,
+};
 
 InMemoryDisk& DiskOf(sqlite3_vfs* vfs) { return *static_cast<InMemoryDisk*>(vfs->pAppData); }
 
@@ -80,7 +96,7 @@
   file->pMethods = nullptr;
   const std::string key = name != nullptr ? name : "";
   auto it = disk.files.find(key);
-  if (disk.Lost()) return SQLITE_CANTOPEN;
+  if (disk.HasLostPower()) return SQLITE_CANTOPEN;
   if (it == disk.files.end()) {
     if ((flags & SQLITE_OPEN_CREATE) == 0) return SQLITE_CANTOPEN;
     if (const int code = disk.CountChange(); code != SQLITE_OK) return code;
@@ -94,7 +110,8 @@
   return SQLITE_OK;
 }
 
-// The deletion of a synced journal is the moment of a commit; the store asks for the folder's sync with it.
+// Deleting the synced journal commits a transaction. The deletion counts as durable at once, since the store
+// has SQLite sync the folder with it (PRAGMA synchronous = EXTRA).
 int Delete(sqlite3_vfs* vfs, const char* name, int /*sync_folder*/) {
   InMemoryDisk& disk = DiskOf(vfs);
   if (!disk.files.contains(name)) return SQLITE_IOERR_DELETE_NOENT;
@@ -106,10 +123,10 @@
 
 int Access(sqlite3_vfs* vfs, const char* name, int /*flags*/, int* out) {
   *out = DiskOf(vfs).files.contains(name) ? 1 : 0;
-  return DiskOf(vfs).Lost() ? SQLITE_IOERR_ACCESS : SQLITE_OK;
+  return DiskOf(vfs).HasLostPower() ? SQLITE_IOERR_ACCESS : SQLITE_OK;
 }
 
-int FullPath(sqlite3_vfs* /*vfs*/, const char* name, int size, char* out) {
+int FullPathname(sqlite3_vfs* /*vfs*/, const char* name, int size, char* out) {
   sqlite3_snprintf(size, out, "%s", name);
   return SQLITE_OK;
 }
@@ -122,16 +139,16 @@
   *out = 2'460'000.0;
   return SQLITE_OK;
 }
-int LastError(sqlite3_vfs* /*vfs*/, int /*size*/, char* /*out*/) { return SQLITE_OK; }
+int GetLastError(sqlite3_vfs* /*vfs*/, int /*size*/, char* /*out*/) { return SQLITE_OK; }
 
 }  // namespace
 
-struct InMemoryDisk::Registration {
+struct InMemoryDisk::VfsRegistration {
   sqlite3_vfs vfs{};
 };
 
 InMemoryDisk::InMemoryDisk(std::string name)
-    : name_(std::move(name)), registration_(std::make_unique<Registration>()) {
+    : name_(std::move(name)), registration_(std::make_unique<VfsRegistration>()) {
   sqlite3_vfs& vfs = registration_->vfs;
   vfs.iVersion = 1;
   vfs.szOsFile = sizeof(OpenFile);
@@ -141,11 +158,11 @@
   vfs.xOpen = Open;
   vfs.xDelete = Delete;
   vfs.xAccess = Access;
-  vfs.xFullPathname = FullPath;
+  vfs.xFullPathname = FullPathname;
   vfs.xRandomness = Randomness;
   vfs.xSleep = ::stoatrun::standin::Sleep;
   vfs.xCurrentTime = CurrentTime;
-  vfs.xGetLastError = LastError;
+  vfs.xGetLastError = GetLastError;
   sqlite3_vfs_register(&vfs, 0);
 }
 
@@ -162,21 +179,21 @@
 }
 
 int InMemoryDisk::CountChange(bool* partial) {
-  if (lost_) return SQLITE_IOERR;
-  ++changes_;
-  if (changes_ == power_loss_at_) {
-    lost_ = true;
+  if (power_lost_) return SQLITE_IOERR;
+  ++change_count_;
+  if (change_count_ == power_loss_at_) {
+    power_lost_ = true;
     if (partial != nullptr) *partial = true;
     return SQLITE_IOERR;
   }
-  if (changes_ == fail_at_) return fail_code_;
-  return failure_code_;
+  if (change_count_ == one_time_fail_at_) return one_time_fail_code_;
+  return persistent_fail_code_;
 }
 
 int InMemoryDisk::Sync(Content& content) {
   {
     std::unique_lock lock(mutex_);
-    released_.wait(lock, [this] { return !stalled_; });
+    syncs_unblocked_.wait(lock, [this] { return !syncs_blocked_; });
   }
   if (const int code = CountChange(); code != SQLITE_OK) return code;
   content.synced = content.current;
@@ -186,8 +203,8 @@
 
 void InMemoryDisk::PowerOn(std::uint64_t seed) {
   random.seed(seed);
-  lost_ = false;
-  power_loss_at_ = fail_at_ = 0;
+  power_lost_ = false;
+  power_loss_at_ = one_time_fail_at_ = 0;
   for (auto& [name, content] : files) {
     auto after = std::make_shared<Content>();
     after->synced = content->synced;
@@ -196,10 +213,11 @@
         if (random() % 2 == 0) content->Apply(change, after->synced);
         continue;
       }
-      for (std::size_t at = 0; at < change.bytes.size(); at += kSector) {  // Each sector for itself.
+      // Each sector is kept or lost on its own.
+      for (std::size_t at = 0; at < change.bytes.size(); at += kSectorSize) {
         if (random() % 2 == 0) continue;
         content->Apply(
-            {change.offset + static_cast<sqlite3_int64>(at), change.bytes.substr(at, kSector), false},
+            {change.offset + static_cast<sqlite3_int64>(at), change.bytes.substr(at, kSectorSize), false},
             after->synced);
       }
     }
@@ -208,17 +226,17 @@
   }
 }
 
-void InMemoryDisk::Stall() {
+void InMemoryDisk::BlockSyncs() {
   const std::scoped_lock lock(mutex_);
-  stalled_ = true;
+  syncs_blocked_ = true;
 }
 
-void InMemoryDisk::Release() {
+void InMemoryDisk::UnblockSyncs() {
   {
     const std::scoped_lock lock(mutex_);
-    stalled_ = false;
+    syncs_blocked_ = false;
   }
-  released_.notify_all();
+  syncs_unblocked_.notify_all();
 }
 
 }  // namespace stoatrun::standin
--- a/tests/standin/in_memory_disk.h
+++ b/tests/standin/in_memory_disk.h
@@ -1,6 +1,6 @@
-// A disk in memory for SQLite, with the faults of real ones: it loses power at the n-th call that changes
-// anything, tears what was not synced, runs full, rejects changes, stalls. Deterministic: the same seed tears
-// the same way.
+// An in-memory disk for SQLite with fault injection: it can lose power at the n-th call that modifies data,
+// tear writes that were not synced, fail writes (disk full, I/O error, read-only) and block syncs.
+// Deterministic: the same seed tears the same writes.
 #ifndef STOATRUN_TESTS_STANDIN_IN_MEMORY_DISK_H_
 #define STOATRUN_TESTS_STANDIN_IN_MEMORY_DISK_H_
 
@@ -19,7 +19,7 @@
 
 class InMemoryDisk {
  public:
-  // Registers a SQLite VFS of that name; one disk of a name at a time.
+  // Registers a SQLite VFS of this name. Only one disk of a name may exist at a time.
   explicit InMemoryDisk(std::string name);
   ~InMemoryDisk();
   InMemoryDisk(const InMemoryDisk&) = delete;
@@ -27,27 +27,26 @@
 
   const char* Vfs() const { return name_.c_str(); }
 
-  // Calls that change something, so far.
-  int Changes() const { return changes_; }
-  // At the n-th further change the power fails: that change happens in part or not at all, and all calls fail
-  // until PowerOn.
-  void LosePowerAt(int n) { power_loss_at_ = changes_ + n; }
-  // The n-th further change fails once with this code and does nothing.
+  // The number of modifying calls so far.
+  int ChangeCount() const { return change_count_; }
+  // Loses power at the n-th change from now: that change is applied partially or not at all, and all calls
+  // fail until PowerOn.
+  void LosePowerAt(int n) { power_loss_at_ = change_count_ + n; }
+  // Makes the n-th change from now fail with this code, without any effect.
   void FailOnceAt(int n, int code) {
-    fail_at_ = changes_ + n;
-    fail_code_ = code;
+    one_time_fail_at_ = change_count_ + n;
+    one_time_fail_code_ = code;
   }
-  // Whether the power has failed.
-  bool Lost() const { return lost_; }
-  // Changes that were not synced are there in part, as the seed says.
+  bool HasLostPower() const { return power_lost_; }
+  // Restores power. A random part of the changes that were not synced, chosen by `seed`, is kept.
   void PowerOn(std::uint64_t seed);
-  // Every change fails with this code until set to SQLITE_OK.
-  void FailAllWith(int code) { failure_code_ = code; }
-  // Syncs block until Release.
-  void Stall();
-  void Release();
+  // Makes every change fail with this code, until called with SQLITE_OK.
+  void FailAllWith(int code) { persistent_fail_code_ = code; }
+  // Makes syncs block until UnblockSyncs.
+  void BlockSyncs();
+  void UnblockSyncs();
 
-  // The rest is for the VFS functions.
+  // The remaining members are for the VFS functions.
 
   // A change that is not synced yet.
   struct Change {
@@ -60,21 +59,22 @@
     std::vector<Change> unsynced;
     void Apply(const Change& change, std::string& target) const;
   };
-  // Counts a change. Returns SQLITE_OK, or what the call must return instead. `partial` is set if the change
-  // happens in part before the power fails.
+  // Counts a change. Returns SQLITE_OK or the error that the call must return. Sets `partial` if the power
+  // fails during the change, which may then be applied partially.
   int CountChange(bool* partial = nullptr);
   int Sync(Content& content);
   std::map<std::string, std::shared_ptr<Content>> files;
   std::mt19937_64 random{1};
 
  private:
-  struct Registration;
+  struct VfsRegistration;
   std::string name_;
-  std::unique_ptr<Registration> registration_;
-  int changes_ = 0, power_loss_at_ = 0, fail_at_ = 0, fail_code_ = 0, failure_code_ = 0;
-  bool lost_ = false, stalled_ = false;
+  std::unique_ptr<VfsRegistration> registration_;
+  int change_count_ = 0, power_loss_at_ = 0, one_time_fail_at_ = 0, one_time_fail_code_ = 0,
+      persistent_fail_code_ = 0;
+  bool power_lost_ = false, syncs_blocked_ = false;
   std::mutex mutex_;
-  std::condition_variable released_;
+  std::condition_variable syncs_unblocked_;
 };
 
 }  // namespace stoatrun::standin
--- a/tests/standin/receiver.cpp
+++ b/tests/standin/receiver.cpp
@@ -13,7 +13,7 @@
 namespace stoatrun::standin {
 namespace {
 
-constexpr std::string_view kHeadEnd = "\r\n\r\n";
+constexpr std::string_view kHeaderEnd = "\r\n\r\n";
 
 std::optional<std::string> Header(const std::string& input, const std::string& name) {
   const std::size_t at = input.find("\r\n" + name + ": ");
@@ -38,14 +38,14 @@
 
 }  // namespace
 
-Receiver::Receiver() { Up(); }
+Receiver::Receiver() { Start(); }
 
 Receiver::~Receiver() {
-  Down();
-  for (auto& peer : peers_) Close(peer->fd);
+  Stop();
+  for (auto& connection : connections_) Close(connection->fd);
 }
 
-void Receiver::Up() {
+void Receiver::Start() {
   fd_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
   const int enabled = 1;
   setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
@@ -55,37 +55,37 @@
   address.sin_port = htons(static_cast<std::uint16_t>(port_));
   socklen_t size = sizeof address;
   if (bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0 || listen(fd_, 16) != 0) {
-    throw std::runtime_error("the receiver's port is not available");
+    throw std::runtime_error("cannot listen on the receiver's port");
   }
   getsockname(fd_, reinterpret_cast<sockaddr*>(&address), &size);
   port_ = ntohs(address.sin_port);
 }
 
-void Receiver::Down() { Close(fd_); }
+void Receiver::Stop() { Close(fd_); }
 
 void Receiver::Poll() {
   Accept();
-  for (auto& peer : peers_) Read(*peer);
-  std::erase_if(peers_, [](const auto& peer) { return peer->fd < 0; });
+  for (auto& connection : connections_) Read(*connection);
+  std::erase_if(connections_, [](const auto& connection) { return connection->fd < 0; });
 }
 
 void Receiver::Accept() {
   for (int fd = 0; fd_ >= 0 && (fd = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK)) >= 0;) {
-    peers_.push_back(std::make_unique<Peer>());
-    peers_.back()->fd = fd;
+    connections_.push_back(std::make_unique<Connection>());
+    connections_.back()->fd = fd;
   }
 }
 
-void Receiver::Read(Peer& peer) {
+void Receiver::Read(Connection& connection) {
   std::array<char, 16384> buffer{};
   ssize_t bytes = 0;
-  while (peer.fd >= 0 && (bytes = recv(peer.fd, buffer.data(), buffer.size(), 0)) > 0) {
-    peer.input.append(buffer.data(), static_cast<std::size_t>(bytes));
+  while (connection.fd >= 0 && (bytes = recv(connection.fd, buffer.data(), buffer.size(), 0)) > 0) {
+    connection.input.append(buffer.data(), static_cast<std::size_t>(bytes));
   }
-  if (peer.fd >= 0 && bytes == 0) {
-    Close(peer.fd);
-  } else if (!peer.answered) {
-    Serve(peer);
+  if (connection.fd >= 0 && bytes == 0) {
+    Close(connection.fd);
+  } else if (!connection.answered) {
+    HandleRequest(connection);
   }
 }
 
@@ -102,7 +102,7 @@
     at = end;
     const auto parts = ledger::SplitLine(line);
     const auto record = parts ? ledger::ParseRecord(parts->record) : std::nullopt;
-    if (!record) throw std::runtime_error("the receiver was sent what is no record: " + line);
+    if (!record) throw std::runtime_error("the receiver was sent an invalid record: " + line);
     if (record->seq() <= hashes_.size()) {
       if (hashes_[record->seq() - 1] != parts->hash) ++content_conflicts_;
       continue;
@@ -118,42 +118,44 @@
   if (!inserted && it->second != body) ++content_conflicts_;
 }
 
-void Receiver::Serve(Peer& peer) {
-  const std::size_t head_end = peer.input.find(kHeadEnd);
-  if (head_end == std::string::npos) return;
-  const std::size_t body_at = head_end + kHeadEnd.size();
-  const std::size_t body_size = std::stoul(Header(peer.input, "Content-Length").value());
-  const Reply reply = script_.empty() ? Reply::kAcknowledge : script_.front();
-  const bool complete = peer.input.size() >= body_at + body_size;
-  if (!complete && reply != Reply::kCutBeforeReading) return;
-  if (!script_.empty()) script_.pop_front();
-  peer.answered = true;
-  const std::string body = peer.input.substr(body_at, body_size);
-  const std::string key = Header(peer.input, "Idempotency-Key").value();
-  if (reply == Reply::kCutBeforeReading) {
+void Receiver::HandleRequest(Connection& connection) {
+  const std::size_t header_end = connection.input.find(kHeaderEnd);
+  if (header_end == std::string::npos) return;
+  const std::size_t body_at = header_end + kHeaderEnd.size();
+  const std::size_t body_size = std::stoul(Header(connection.input, "Content-Length").value());
+  const Reply reply = queued_replies_.empty() ? Reply::kAcknowledge : queued_replies_.front();
+  const bool complete = connection.input.size() >= body_at + body_size;
+  if (!complete && reply != Reply::kCloseBeforeReading) return;
+  if (!queued_replies_.empty()) queued_replies_.pop_front();
+  connection.answered = true;
+  const std::string body = connection.input.substr(body_at, body_size);
+  const std::string key = Header(connection.input, "Idempotency-Key").value();
+  if (reply == Reply::kCloseBeforeReading) {
     body_by_key_.erase(key);
-    return Close(peer.fd);
+    return Close(connection.fd);
   }
   CheckIdempotency(key, body);
-  const auto response = Respond(peer, reply, body);
-  if (response && send(peer.fd, response->data(), response->size(), MSG_NOSIGNAL) < 0) Close(peer.fd);
+  const auto response = Respond(connection, reply, body);
+  if (response && send(connection.fd, response->data(), response->size(), MSG_NOSIGNAL) < 0) {
+    Close(connection.fd);
+  }
 }
 
-std::optional<std::string> Receiver::Respond(Peer& peer, Reply reply, const std::string& body) {
+std::optional<std::string> Receiver::Respond(Connection& connection, Reply reply, const std::string& body) {
   switch (reply) {
     case Reply::kAcknowledge:
       Store(body);
       return HttpResponse(200, Acknowledgement());
-    case Reply::kAcknowledgeTwice:
+    case Reply::kDuplicateResponse:
       Store(body);
       return HttpResponse(200, Acknowledgement()) + HttpResponse(200, Acknowledgement());
-    case Reply::kCutBeforeReading:
+    case Reply::kCloseBeforeReading:
       break;
-    case Reply::kCutAfterStoring:
+    case Reply::kCloseAfterStoring:
       Store(body);
-      Close(peer.fd);
+      Close(connection.fd);
       break;
-    case Reply::kStoreSilently:
+    case Reply::kStoreWithoutResponse:
       Store(body);
       break;
     case Reply::kServerError:
@@ -172,7 +174,7 @@
       return HttpResponse(200, ForgedAcknowledgement(1));
     case Reply::kUnknownSeq:
       return HttpResponse(200, ForgedAcknowledgement(1'000'000));
-    case Reply::kLoseLast:
+    case Reply::kLoseLastRecord:
       hashes_.pop_back();
       lines_.pop_back();
       return HttpResponse(409, Acknowledgement());
