--- a/fault_injection/history/check_state.h
+++ b/fault_injection/history/check_state.h
@@ -1,4 +1,5 @@
-// What the checkers of the single bounds share: the time in the history, its tolerances, and the findings.
+// State that the checkers of the individual bounds share: the current time in the history, its tolerances,
+// and the findings.
 #ifndef STOATRUN_FAULT_INJECTION_HISTORY_CHECK_STATE_H_
 #define STOATRUN_FAULT_INJECTION_HISTORY_CHECK_STATE_H_
 
@@ -14,23 +15,22 @@
 
 using Record = simdjson::dom::element;
 
-// A piece of gossip reaches all relays that can be reached within this time, and a relay that has just
-// started.
-inline constexpr std::int64_t kGossipSpreadUs = 5'000'000;
+// Gossip reaches every reachable relay within this time, including one that has just started.
+inline constexpr std::int64_t kGossipPropagationUs = 5'000'000;
 
-// One for a history; the checkers hold references to it.
+// One instance per history; the checkers hold references to it.
 struct CheckState {
-  std::int64_t now_us = 0;     // Of the latest record; never falls.
-  std::int64_t record_us = 0;  // Of the present record, as it is written.
-  std::int64_t slack_us = 0;   // An event may be recorded so much later than it happened.
-  // Until then two processes may run under one name: what the name owns may be used twice.
+  std::int64_t now_us = 0;          // The latest time of any record so far; never decreases.
+  std::int64_t record_time_us = 0;  // The current record's own time stamp.
+  std::int64_t slack_us = 0;        // The longest delay between an event and its record.
+  // Until this time two processes may run under one name, each using the quota units that the name owns.
   std::int64_t duplicates_until_us = 0;
   Findings findings;
 
-  // Whether bounds are relaxed for duplicates.
-  bool DuplicatesRun() const { return now_us < duplicates_until_us; }
+  // Whether bounds are relaxed because two processes may run under one name.
+  bool DuplicatesMayRun() const { return now_us < duplicates_until_us; }
 
-  // At the present time.
+  // Records a violation at the current time; beyond kMaxViolations it is only counted.
   void AddViolation(Bound bound, std::string what) {
     if (findings.violations.size() >= kMaxViolations) {
       ++findings.further_violations;
--- a/fault_injection/history/count_checker.cpp
+++ b/fault_injection/history/count_checker.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint64_t kNoUpperBound = std::numeric_limits<std::uint64_t>::max();
-// The names of the counts in records, in the order of the enum.
+// Field names in records, in the order of `Count`.
 constexpr std::array<const char*, kCounts> kCountNames{"taken", "served", "refused", "failed", "open"};
 
 constexpr std::size_t IndexOf(Count count) { return static_cast<std::size_t>(count); }
@@ -39,22 +39,22 @@
   const std::int64_t lost = relay.counts[IndexOf(Count::kOpen)].Last();
   relay.counts[IndexOf(Count::kFailed)].Add(state_.now_us, lost);
   relay.counts[IndexOf(Count::kOpen)].Set(state_.now_us, 0);
-  Values& at_end = relay.counts_at_run_end.emplace_back();
-  for (std::size_t count = 0; count < kCounts; ++count) at_end[count] = relay.counts[count].Last();
+  Values& final_counts = relay.counts_at_run_end.emplace_back();
+  for (std::size_t count = 0; count < kCounts; ++count) final_counts[count] = relay.counts[count].Last();
 }
 
 void CountChecker::OnFirstContact(const std::string& relay, const std::string& sender_name) {
   Relay& sender = relays_[sender_name];
-  sender.contacts.push_back({relay, relays_[relay].runs, sender.runs, state_.record_us});
+  sender.contacts.push_back({relay, relays_[relay].runs, sender.runs, state_.record_time_us});
 }
 
 void CountChecker::OnUncertain(const std::string& relay, std::int64_t connections) {
   relays_[relay].uncertain += connections;
 }
 
-void CountChecker::OnConnectionTaken(const std::string& relay_name) {
+void CountChecker::OnConnectionAccepted(const std::string& relay_name) {
   Relay& relay = relays_[relay_name];
-  relay.Change(Count::kTaken, state_.now_us, 1);
+  relay.Change(Count::kAccepted, state_.now_us, 1);
   relay.Change(Count::kOpen, state_.now_us, 1);
 }
 
@@ -63,34 +63,34 @@
   relay.Change(CountOfOutcome(outcome), state_.now_us, 1);
   relay.Change(Count::kOpen, state_.now_us, -1);
   if (relay.counts[IndexOf(Count::kOpen)].Last() < 0) {
-    state_.AddViolation(Bound::kFormat, relay_name + " ends more than it took");
+    state_.AddViolation(Bound::kFormat, relay_name + ": more connections ended than were accepted");
   }
 }
 
 void CountChecker::OnCountsReported(const std::string& relay_name, const Record& record) {
   ++state_.findings.count_reports;
-  Values said{};
+  Values reported{};
   for (std::size_t count = 0; count < kCounts; ++count) {
-    said[count] = IntegerField(record, kCountNames[count]);
+    reported[count] = IntegerField(record, kCountNames[count]);
   }
-  const auto [taken, served, rejected, failed, open] = said;
-  if (taken != served + rejected + failed + open) {
+  const auto [accepted, served, rejected, failed, open] = reported;
+  if (accepted != served + rejected + failed + open) {
     state_.AddViolation(Bound::kCounts,
                         fmt::format("{}: taken {} is not served {} + refused {} + failed {} + open {}",
-                                    relay_name, taken, served, rejected, failed, open));
+                                    relay_name, accepted, served, rejected, failed, open));
   }
   if (state_.slack_us != 0) return;
-  const Values& seen = relays_[relay_name].run_counts;
+  const Values& expected = relays_[relay_name].run_counts;
   for (std::size_t count = 0; count < kCounts; ++count) {
-    if (said[count] == seen[count]) continue;
-    state_.AddViolation(Bound::kCounts, fmt::format("{}: says {} {}, has {}", relay_name, said[count],
-                                                    kCountNames[count], seen[count]));
+    if (reported[count] == expected[count]) continue;
+    state_.AddViolation(Bound::kCounts, fmt::format("{}: reported {} {}, expected {}", relay_name,
+                                                    reported[count], kCountNames[count], expected[count]));
   }
 }
 
 void CountChecker::OnTotalsReported(const std::string& relay, const Record& record) {
   ++state_.findings.total_reports;
-  if (state_.DuplicatesRun()) return;
+  if (state_.DuplicatesMayRun()) return;
   Totals totals;
   totals.at_us = state_.now_us;
   totals.oldest_us = IntegerField(record, "oldest_us") + state_.slack_us;
@@ -123,30 +123,31 @@
   findings.mean_total_age_us = age_sum_us_ / static_cast<std::int64_t>(bounded);
 }
 
-CountChecker::Values CountChecker::UnknownTo(const std::string& reporter, const Relay& relay) const {
+CountChecker::Values CountChecker::CountsUnknownTo(const std::string& reporter, const Relay& relay) const {
   if (relay.runs < 2) return {};
-  // Who heard of a run knows that it, and any after it, may have counted something.
+  // A receiver of a run's datagram knows that this run, and any later one, may have counted connections.
   std::size_t first_known = relay.runs;
   for (const Contact& contact : relay.contacts) {
-    const Relay& listener = relays_.at(contact.listener);
-    const bool still_runs = listener.up && listener.runs == contact.listener_run;
+    const Relay& receiver = relays_.at(contact.receiver);
+    const bool still_running = receiver.up && receiver.runs == contact.receiver_run;
     const bool reporter_knows =
-        contact.listener == reporter || contact.at_us <= state_.now_us - kGossipSpreadUs;
-    if (still_runs && reporter_knows) first_known = std::min(first_known, contact.run);
+        contact.receiver == reporter || contact.at_us <= state_.now_us - kGossipPropagationUs;
+    if (still_running && reporter_knows) first_known = std::min(first_known, contact.run);
   }
-  // Runs count from 1: the last one that nobody knows of is the one before.
+  // Runs are numbered from 1; the last unknown run is the one before `first_known`.
   if (first_known < 2 || first_known - 2 >= relay.counts_at_run_end.size()) return {};
   return relay.counts_at_run_end[first_known - 2];
 }
 
-// With slack, an event may be recorded later than the relays know of it.
+// With slack, relays may know of an event before it is recorded; so the range extends into the time after the
+// report.
 TimeSeries::Range CountChecker::FleetRange(const Totals& totals, std::size_t count) const {
   TimeSeries::Range fleet;
   for (const auto& [name, relay] : relays_) {
     const auto range =
         relay.counts[count].RangeBetween(totals.at_us - totals.oldest_us, totals.at_us + state_.slack_us);
     if (!relay.removed) {
-      const std::int64_t unknown = UnknownTo(totals.reporter, relay)[count];
+      const std::int64_t unknown = CountsUnknownTo(totals.reporter, relay)[count];
       fleet.min += std::max<std::int64_t>(0, range.min - unknown - relay.uncertain);
     }
     fleet.max += range.max + relay.uncertain;
@@ -163,7 +164,7 @@
     if (low > static_cast<std::uint64_t>(fleet.max) || high < static_cast<std::uint64_t>(fleet.min)) {
       state_.AddViolation(
           Bound::kFleetTotals,
-          fmt::format("{} says {} {} to {}, oldest part {} us: it was {} to {}", totals.reporter,
+          fmt::format("{} reported {} in [{}, {}], oldest part {} us; expected [{}, {}]", totals.reporter,
                       kCountNames[count], low, high, totals.oldest_us, fleet.min, fleet.max));
     }
   }
--- a/fault_injection/history/ejection_checker.cpp
+++ b/fault_injection/history/ejection_checker.cpp
@@ -12,7 +12,7 @@
 }
 
 void EjectionChecker::OnFailureClaimed(const std::string& relay, const std::string& server) {
-  failures_us_[server][relay] = state_.record_us;
+  failures_us_[server][relay] = state_.record_time_us;
 }
 
 void EjectionChecker::OnServerRestarted(const std::string& server) {
@@ -29,8 +29,8 @@
   }
   const std::int64_t listed = IntegerField(record, "of");
   if (static_cast<double>(ejected.size()) > limits_.max_ejected_fraction * static_cast<double>(listed)) {
-    state_.AddViolation(Bound::kEjection, fmt::format("{} avoids {} of {} servers on hearsay", relay_name,
-                                                      ejected.size(), listed));
+    state_.AddViolation(Bound::kEjection, fmt::format("{} ejected {} of {} servers on remote evidence",
+                                                      relay_name, ejected.size(), listed));
   }
   Relay& relay = relays_[relay_name];
   std::erase_if(relay.ejected_since_us, [&](const auto& entry) { return !ejected.contains(entry.first); });
@@ -45,20 +45,21 @@
   std::int64_t& since_us = relay.ejected_since_us.try_emplace(server, state_.now_us).first->second;
   const std::int64_t duration_us = state_.now_us - since_us;
   if (duration_us <= limits_.ejection_us + state_.slack_us) return;
-  state_.AddViolation(Bound::kEjection,
-                      fmt::format("{} avoids {} on hearsay for {} us", relay_name, server, duration_us));
+  state_.AddViolation(Bound::kEjection, fmt::format("{} has ejected {} on remote evidence for {} us",
+                                                    relay_name, server, duration_us));
   since_us = state_.now_us;
 }
 
-// A relay's own latest observation goes before what others report.
+// A relay's own latest observation takes precedence over remote evidence.
 void EjectionChecker::CheckOwnSuccess(const std::string& relay_name, const Relay& relay,
                                       const std::string& server) {
   const auto observations = relay.observations.find(server);
   if (observations == relay.observations.end() || observations->second.empty()) return;
   const Observation& latest = observations->second.back();
-  if (latest.failing || latest.at_us <= state_.now_us - limits_.own_us + state_.slack_us) return;
-  state_.AddViolation(Bound::kEjection, fmt::format("{} avoids {} on hearsay, but has found it sound itself",
-                                                    relay_name, server));
+  if (latest.failing || latest.at_us <= state_.now_us - limits_.own_success_us + state_.slack_us) return;
+  state_.AddViolation(
+      Bound::kEjection,
+      fmt::format("{} ejected {} on remote evidence despite its own recent success", relay_name, server));
 }
 
 void EjectionChecker::CheckWitnesses(const std::string& relay_name, const std::string& server) {
@@ -68,9 +69,8 @@
     witnesses += other != relay_name && failed_at_us >= from_us ? 1 : 0;
   }
   if (witnesses >= limits_.witnesses) return;
-  state_.AddViolation(Bound::kEjection,
-                      fmt::format("{} avoids {} on hearsay, though {} others found it bad lately", relay_name,
-                                  server, witnesses));
+  state_.AddViolation(Bound::kEjection, fmt::format("{} ejected {} on remote evidence with only {} witnesses",
+                                                    relay_name, server, witnesses));
 }
 
 }  // namespace stoatrun::history
--- a/fault_injection/history/ejection_checker.h
+++ b/fault_injection/history/ejection_checker.h
@@ -1,4 +1,4 @@
-// Checks which servers relays eject on remote evidence, that is because other relays report them as failing.
+// Checks ejections on remote evidence: servers that a relay avoids because other relays report failures.
 #ifndef STOATRUN_FAULT_INJECTION_HISTORY_EJECTION_CHECKER_H_
 #define STOATRUN_FAULT_INJECTION_HISTORY_EJECTION_CHECKER_H_
 
@@ -16,27 +16,28 @@
 // The bounds of an ejection on remote evidence, from the history's first record.
 struct EjectionLimits {
   double max_ejected_fraction = 1;  // Of the listed servers.
-  std::int64_t evidence_us = 0;     // How long evidence counts.
-  std::int64_t own_us = 0;          // How long an own success keeps a server from being ejected.
-  std::int64_t ejection_us = 0;     // The longest ejection at a stretch.
-  std::int64_t witnesses = 2;       // Other relays that must have seen failures.
+  std::int64_t evidence_us = 0;     // How long a reported failure counts as evidence.
+  std::int64_t own_success_us = 0;  // A relay's own success rules out ejection for this long.
+  std::int64_t ejection_us = 0;     // The longest uninterrupted ejection.
+  std::int64_t witnesses = 2;       // How many other relays must have reported failures.
 };
 
-// Ejections must be few, short, backed by witnesses, and not against the relay's own latest success.
+// Checks that ejections are limited in number and duration, are backed by enough witnesses, and don't
+// contradict the relay's own latest observation.
 class EjectionChecker {
  public:
   // `state` must outlive the checker.
   explicit EjectionChecker(CheckState& state) : state_(state) {}
 
-  // Before any event.
+  // To be called before any event.
   void SetLimits(const EjectionLimits& limits) { limits_ = limits; }
-  // A relay tried a server itself.
+  // A relay observed the result of its own attempt at a server.
   void OnObserved(const std::string& relay, const std::string& server, bool failing);
-  // A claim counts as evidence, whether the relay saw a failure or not.
+  // A relay reported a failure; this counts as evidence even if the relay observed none.
   void OnFailureClaimed(const std::string& relay, const std::string& server);
-  // What was seen of the former process says nothing of the new one.
+  // Discards observations of the server's previous process: they don't apply to the new one.
   void OnServerRestarted(const std::string& server);
-  // The relay forgets what it saw and ejected.
+  // Discards the relay's observations and ejections.
   void OnRunEnded(const std::string& relay);
   // The record `hearsay`: the servers that are ejected now. Throws simdjson::simdjson_error if a field is
   // missing.
@@ -48,7 +49,7 @@
     bool failing = false;
   };
   struct Relay {
-    std::map<std::string, std::deque<Observation>> observations;  // Of a server.
+    std::map<std::string, std::deque<Observation>> observations;  // By server.
     std::map<std::string, std::int64_t> ejected_since_us;
   };
 
@@ -59,8 +60,8 @@
   CheckState& state_;
   EjectionLimits limits_;
   std::map<std::string, Relay> relays_;
-  // Of a server, by relay: the latest failure that it saw or claimed. It outlives the relay's run, which may
-  // have reported it before it ended.
+  // By server, then by relay: the latest failure observed or claimed. Kept when the relay's run ends, as the
+  // run may have reported the failure to its peers before.
   std::map<std::string, std::map<std::string, std::int64_t>> failures_us_;
 };
 
--- a/fault_injection/history/history_checker.cpp
+++ b/fault_injection/history/history_checker.cpp
@@ -16,7 +16,7 @@
 namespace stoatrun::history {
 namespace {
 
-// Reads the records in order and passes each to the checkers that it concerns.
+// Reads the records in order and dispatches each to the checkers that need it.
 class HistoryChecker {
  public:
   Findings Run(std::string_view history) {
@@ -26,7 +26,7 @@
       const std::string_view line = history.substr(0, end);
       history.remove_prefix(end == std::string_view::npos ? history.size() : end + 1);
       ++line_number;
-      if (!line.empty()) TakeLine(line, line_number);
+      if (!line.empty()) ProcessLine(line, line_number);
     }
     counts_.Finish();
     rate_quotas_.Finish();
@@ -39,38 +39,38 @@
 
   void FormatViolation(std::string what) { state_.AddViolation(Bound::kFormat, std::move(what)); }
 
-  void TakeLine(std::string_view line, std::size_t line_number) {
+  void ProcessLine(std::string_view line, std::size_t line_number) {
     Record record;
     if (parser_.parse(line.data(), line.size()).get(record) != simdjson::SUCCESS) {
       return FormatViolation(fmt::format("line {} is not JSON", line_number));
     }
     ++state_.findings.events;
     try {
-      TakeRecord(record);
+      ProcessRecord(record);
     } catch (const simdjson::simdjson_error& error) {
       FormatViolation(fmt::format("line {}: {}", line_number, error.what()));
     }
   }
 
-  void TakeRecord(const Record& record) {
+  void ProcessRecord(const Record& record) {
     const std::string event = TextField(record, "e");
     AdvanceTo(IntegerField(record, "t"));
     if (event == "fleet") return OnFleet(record);
-    if (!started_) return FormatViolation("a record before `fleet`");
+    if (!started_) return FormatViolation("record before `fleet`");
     if (event == "server") return ejections_.OnServerRestarted(TextField(record, "s"));
     if (event == "note") return;
     const std::string relay = TextField(record, "r");
-    if (!relays_.contains(relay)) return FormatViolation("no relay " + relay);
+    if (!relays_.contains(relay)) return FormatViolation("unknown relay " + relay);
     const auto handler = Handlers().find(event);
-    if (handler == Handlers().end()) return FormatViolation("no event " + event);
+    if (handler == Handlers().end()) return FormatViolation("unknown event " + event);
     (this->*handler->second)(relay, record);
   }
 
   void AdvanceTo(std::int64_t at_us) {
     if (at_us < state_.now_us) {
-      FormatViolation(fmt::format("time goes back from {} to {}", state_.now_us, at_us));
+      FormatViolation(fmt::format("time stamp goes backwards from {} to {}", state_.now_us, at_us));
     }
-    state_.record_us = at_us;
+    state_.record_time_us = at_us;
     state_.now_us = std::max(state_.now_us, at_us);
     counts_.CheckDueTotals();
   }
@@ -89,13 +89,13 @@
     EjectionLimits limits;
     limits.max_ejected_fraction = double(record["avoid_part"]);
     limits.evidence_us = IntegerField(record, "evidence_us");
-    limits.own_us = IntegerField(record, "own_us");
+    limits.own_success_us = IntegerField(record, "own_us");
     limits.ejection_us = IntegerField(record, "hearsay_us");
     limits.witnesses = IntegerField(record, "witnesses");
     ejections_.SetLimits(limits);
   }
 
-  // The events at a relay, by their names in records.
+  // Handlers of a relay's events, by the event's name in records.
   static const std::map<std::string, Handler>& Handlers() {
     static const std::map<std::string, Handler> kHandlers{
         {"up", &HistoryChecker::OnRunStarted},           {"down", &HistoryChecker::OnRunEnded},
@@ -103,7 +103,7 @@
         {"twin", &HistoryChecker::OnDuplicateStarted},   {"untwin", &HistoryChecker::OnDuplicateStopped},
         {"maybe", &HistoryChecker::OnUncertain},         {"spend", &HistoryChecker::OnRateUnitSpent},
         {"hold", &HistoryChecker::OnUnitAcquired},       {"release", &HistoryChecker::OnUnitReleased},
-        {"take", &HistoryChecker::OnConnectionTaken},    {"end", &HistoryChecker::OnConnectionEnded},
+        {"take", &HistoryChecker::OnConnectionAccepted}, {"end", &HistoryChecker::OnConnectionEnded},
         {"accounts", &HistoryChecker::OnCountsReported}, {"sum", &HistoryChecker::OnTotalsReported},
         {"saw", &HistoryChecker::OnServerObserved},      {"said", &HistoryChecker::OnFailureClaimed},
         {"hearsay", &HistoryChecker::OnEjectedReported},
@@ -122,7 +122,7 @@
   }
   void OnFirstContact(const std::string& relay, const Record& record) {
     const std::string sender = TextField(record, "by");
-    if (!relays_.contains(sender)) return FormatViolation("no relay " + sender);
+    if (!relays_.contains(sender)) return FormatViolation("unknown relay " + sender);
     counts_.OnFirstContact(relay, sender);
   }
   void OnRemovedFromPeers(const std::string& relay, const Record& /*record*/) {
@@ -132,22 +132,22 @@
     state_.duplicates_until_us = std::numeric_limits<std::int64_t>::max();
   }
   void OnDuplicateStopped(const std::string& /*relay*/, const Record& /*record*/) {
-    state_.duplicates_until_us = state_.now_us + kGossipSpreadUs;
+    state_.duplicates_until_us = state_.now_us + kGossipPropagationUs;
   }
   void OnUncertain(const std::string& relay, const Record& record) {
     counts_.OnUncertain(relay, IntegerField(record, "n"));
   }
   void OnRateUnitSpent(const std::string& relay, const Record& record) {
-    rate_quotas_.OnSpent(relay, TextField(record, "b"));
+    rate_quotas_.OnUnitSpent(relay, TextField(record, "b"));
   }
   void OnUnitAcquired(const std::string& relay, const Record& record) {
-    concurrency_quotas_.OnAcquired(relay, TextField(record, "b"));
+    concurrency_quotas_.OnUnitAcquired(relay, TextField(record, "b"));
   }
   void OnUnitReleased(const std::string& relay, const Record& record) {
-    concurrency_quotas_.OnReleased(relay, TextField(record, "b"));
+    concurrency_quotas_.OnUnitReleased(relay, TextField(record, "b"));
   }
-  void OnConnectionTaken(const std::string& relay, const Record& /*record*/) {
-    counts_.OnConnectionTaken(relay);
+  void OnConnectionAccepted(const std::string& relay, const Record& /*record*/) {
+    counts_.OnConnectionAccepted(relay);
   }
   void OnConnectionEnded(const std::string& relay, const Record& record) {
     counts_.OnConnectionEnded(relay, TextField(record, "how"));
