--- a/fault_injection/datagram_switch.cpp
+++ b/fault_injection/datagram_switch.cpp
@@ -9,14 +9,14 @@
 namespace stoatrun::fault_injection {
 namespace {
 
-constexpr std::size_t kMaxRecorded = 64;
+constexpr std::size_t kMaxSamples = 64;
 constexpr std::size_t kMaxNoiseBytes = 1300;
 constexpr std::size_t kReceiveBytes = 2048;
 
 }  // namespace
 
-DatagramSwitch::DatagramSwitch(Harness& harness) : harness_(harness), ports_(harness.relays.size()) {
-  for (std::size_t relay = 0; relay < ports_.size(); ++relay) Open(relay);
+DatagramSwitch::DatagramSwitch(Harness& harness) : harness_(harness), sockets_(harness.relays.size()) {
+  for (std::size_t relay = 0; relay < sockets_.size(); ++relay) Open(relay);
 }
 
 void DatagramSwitch::Open(std::size_t relay) {
@@ -24,9 +24,9 @@
   const sockaddr_in address = SocketAddress(harness_.network.PeerIp(relay), kGossipPort);
   if (fd < 0 || bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
     if (fd >= 0) close(fd);
-    throw std::runtime_error("switch: bind");
+    throw std::runtime_error("datagram switch: can't bind " + harness_.network.PeerIp(relay));
   }
-  ports_[relay].socket =
+  sockets_[relay].watcher =
       std::make_unique<DescriptorWatcher>(harness_.loop, fd, [this, relay] { Receive(relay); });
 }
 
@@ -35,12 +35,12 @@
   while (true) {
     sockaddr_in from{};
     socklen_t size = sizeof from;
-    const ssize_t count = recvfrom(ports_[receiver].socket->Fd(), buffer.data(), buffer.size(), 0,
+    const ssize_t count = recvfrom(sockets_[receiver].watcher->Fd(), buffer.data(), buffer.size(), 0,
                                    reinterpret_cast<sockaddr*>(&from), &size);
     if (count < 0) return;
-    // The last byte of a relay's address is its index and one.
+    // The last byte of a relay's address is its index plus one.
     const std::size_t sender = (ntohl(from.sin_addr.s_addr) & 0xff) - 1;
-    if (sender >= ports_.size()) continue;
+    if (sender >= sockets_.size()) continue;
     Forward(sender, receiver, std::string(buffer.data(), static_cast<std::size_t>(count)));
   }
 }
@@ -48,7 +48,7 @@
 void DatagramSwitch::Forward(std::size_t sender, std::size_t receiver, const std::string& datagram) {
   ++harness_.results.datagrams;
   harness_.results.datagram_bytes += datagram.size();
-  if (ports_[receiver].recorded.size() < kMaxRecorded) ports_[receiver].recorded.push_back(datagram);
+  if (sockets_[receiver].samples.size() < kMaxSamples) sockets_[receiver].samples.push_back(datagram);
   RandomSource& random = harness_.random;
   const int copies = random.Percent(faults_.DuplicationPercent()) ? 2 : 1;
   for (int copy = 0; copy < copies; ++copy) {
@@ -61,8 +61,8 @@
     if (delay.count() == 0) {
       Deliver(sender, run, receiver, sent);
     } else {
-      harness_.loop.After(delay,
-                          [this, sender, run, receiver, sent] { Deliver(sender, run, receiver, sent); });
+      harness_.loop.RunAfter(delay,
+                             [this, sender, run, receiver, sent] { Deliver(sender, run, receiver, sent); });
     }
   }
 }
@@ -85,27 +85,27 @@
   }
   const bool same_run = sender.process.IsRunning() && sender.run == sender_run;
   if (!same_run || receiver.paused || faults_.CorruptionPercent() != 0) return;
-  if (contacts_.insert({sender_index, sender.run, receiver_index, receiver.run}).second) {
+  if (run_contacts_.insert({sender_index, sender.run, receiver_index, receiver.run}).second) {
     harness_.history.FirstContact(receiver.name, sender.name);
   }
 }
 
 void DatagramSwitch::SendGarbage(std::size_t receiver, std::uint64_t count) {
   for (std::uint64_t number = 0; number < count; ++number) {
-    const std::size_t sender = harness_.random.Below(ports_.size());
+    const std::size_t sender = harness_.random.Below(sockets_.size());
     Send(sender, harness_.network.RelayIp(receiver), GarbageDatagram(receiver, number));
   }
 }
 
 std::string DatagramSwitch::GarbageDatagram(std::size_t receiver, std::uint64_t number) {
-  const std::vector<std::string>& recorded = ports_[receiver].recorded;
-  if (number % 2 == 0 || recorded.empty()) {
+  const std::vector<std::string>& samples = sockets_[receiver].samples;
+  if (number % 2 == 0 || samples.empty()) {
     std::string noise(harness_.random.Below(kMaxNoiseBytes), '\0');
     for (char& byte : noise) byte = static_cast<char>(harness_.random.Bits());
     return noise;
   }
-  // A replay; most of these are changed at the end, the schema or the fleet's name.
-  std::string datagram = recorded[harness_.random.Below(recorded.size())];
+  // A replay; three of four are truncated or have the schema or the fleet's name altered.
+  std::string datagram = samples[harness_.random.Below(samples.size())];
   if (number % 8 == 1) datagram.resize(datagram.size() / 2);
   if (number % 8 == 3 && datagram.size() > 2) datagram[2] = 0;
   if (number % 8 == 5 && datagram.size() > 20) datagram[20] = static_cast<char>(datagram[20] ^ 1);
@@ -114,7 +114,7 @@
 
 void DatagramSwitch::Send(std::size_t sender, const std::string& receiver_ip, const std::string& datagram) {
   const sockaddr_in address = SocketAddress(receiver_ip, kGossipPort);
-  sendto(ports_[sender].socket->Fd(), datagram.data(), datagram.size(), 0,
+  sendto(sockets_[sender].watcher->Fd(), datagram.data(), datagram.size(), 0,
          reinterpret_cast<const sockaddr*>(&address), sizeof address);
 }
 
--- a/fault_injection/datagram_switch.h
+++ b/fault_injection/datagram_switch.h
@@ -1,5 +1,5 @@
-// Forwards the datagrams between relays, under the schedule's network faults: each relay finds the harness's
-// address where its peers' files say that a peer is.
+// Forwards datagrams between relays and applies the schedule's network faults. In each relay's operator file
+// the peers have addresses at which the harness listens.
 #ifndef STOATRUN_FAULT_INJECTION_DATAGRAM_SWITCH_H_
 #define STOATRUN_FAULT_INJECTION_DATAGRAM_SWITCH_H_
 
@@ -19,21 +19,21 @@
 // Runs on the harness's loop; not thread-safe.
 class DatagramSwitch {
  public:
-  // Opens the peers' addresses. Throws std::runtime_error if one can't be bound.
+  // Binds a socket to every peer address. Throws std::runtime_error if one can't be bound.
   explicit DatagramSwitch(Harness& harness);
 
-  // Cuts, loss, delay and so on; steps change it.
+  // The current network faults (cut links, loss, delay, ...), which schedule steps change.
   simulation::NetworkFaults& Faults() { return faults_; }
 
-  // Sends the relay so many datagrams that no peer sent: noise, truncated ones, ones of another schema or
-  // fleet, and old ones once more.
+  // Sends the relay `count` datagrams that no peer sent: random bytes, truncated datagrams, datagrams with
+  // another schema or fleet name, and replays.
   void SendGarbage(std::size_t receiver, std::uint64_t count);
 
  private:
-  // The peer address of one relay.
-  struct Port {
-    std::unique_ptr<DescriptorWatcher> socket;
-    std::vector<std::string> recorded;  // The first datagrams to the relay, for SendGarbage.
+  // The socket at one relay's peer address.
+  struct PeerSocket {
+    std::unique_ptr<DescriptorWatcher> watcher;
+    std::vector<std::string> samples;  // The first datagrams to the relay, for SendGarbage.
   };
 
   void Open(std::size_t relay);
@@ -43,13 +43,13 @@
                const std::string& datagram);
   void Corrupt(std::string& datagram);
   std::string GarbageDatagram(std::size_t receiver, std::uint64_t number);
-  // Sends from the peer address of `sender`, as the receiver expects of that peer.
+  // Sends from the peer address of `sender`, at which the receiver knows that peer.
   void Send(std::size_t sender, const std::string& receiver_ip, const std::string& datagram);
 
   Harness& harness_;
   simulation::NetworkFaults faults_{Micros(0)};
-  std::vector<Port> ports_;
-  std::set<std::array<std::uint64_t, 4>> contacts_;  // Sender and its run, receiver and its run.
+  std::vector<PeerSocket> sockets_;
+  std::set<std::array<std::uint64_t, 4>> run_contacts_;  // Sender and its run, receiver and its run.
 };
 
 }  // namespace stoatrun::fault_injection
--- a/fault_injection/event_loop.cpp
+++ b/fault_injection/event_loop.cpp
@@ -16,7 +16,8 @@
 }
 
 EventLoop::~EventLoop() {
-  callbacks_.clear();  // They may hold the last reference to a watcher, which needs the loop to stop.
+  // A callback may hold the last reference to a watcher, whose destructor needs the loop.
+  callbacks_.clear();
   ev_loop_destroy(loop_);
 }
 
@@ -24,7 +25,7 @@
   return std::chrono::duration_cast<Micros>(std::chrono::steady_clock::now() - start_);
 }
 
-void EventLoop::After(Micros delay, std::function<void()> callback) {
+void EventLoop::RunAfter(Micros delay, std::function<void()> callback) {
   callbacks_.emplace(Now() + delay, std::move(callback));
 }
 
--- a/fault_injection/event_loop.h
+++ b/fault_injection/event_loop.h
@@ -1,5 +1,5 @@
-// The harness's event loop: timers and readable descriptors on one libev loop. All of the harness runs on the
-// thread that calls Run(); nothing blocks.
+// The harness's event loop: timers and readable descriptors on one libev loop. The whole harness runs on the
+// thread that calls Run(); callbacks must not block.
 #ifndef STOATRUN_FAULT_INJECTION_EVENT_LOOP_H_
 #define STOATRUN_FAULT_INJECTION_EVENT_LOOP_H_
 
@@ -21,17 +21,17 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // The underlying loop, for watchers.
+  // The underlying libev loop, for watchers.
   struct ev_loop* native_handle() {
     return loop_;
   }
-  // Time since the loop was made.
+  // Time since the loop was created.
   Micros Now() const;
-  // Calls `callback` once, after the delay at the earliest.
-  void After(Micros delay, std::function<void()> callback);
+  // Calls `callback` once, no earlier than after `delay`.
+  void RunAfter(Micros delay, std::function<void()> callback);
   // Runs until Stop is called from a callback.
   void Run() { ev_run(loop_, 0); }
-  // Makes Run return when the present callbacks are done.
+  // Makes Run return after the callbacks that are running now.
   void Stop() { ev_break(loop_, EVBREAK_ALL); }
 
  private:
@@ -39,13 +39,13 @@
   static void OnPrepare(struct ev_loop* loop, ev_prepare* prepare, int events);
 
   struct ev_loop* loop_;
-  ev_timer timer_{};  // Set for the next callback, each time that the loop goes to sleep.
+  ev_timer timer_{};  // Armed for the next callback whenever the loop is about to wait.
   ev_prepare prepare_{};
-  std::multimap<Micros, std::function<void()>> callbacks_;  // By the time that they are due.
+  std::multimap<Micros, std::function<void()>> callbacks_;  // By due time.
   std::chrono::steady_clock::time_point start_;
 };
 
-// Owns a descriptor and calls back while it can be read. The loop must outlive it.
+// Owns a file descriptor and calls back while it is readable. The loop must outlive it.
 class DescriptorWatcher {
  public:
   // `on_readable` may destroy the watcher.
--- a/fault_injection/fake_clients.h
+++ b/fault_injection/fake_clients.h
@@ -1,5 +1,4 @@
-// Clients that the harness plays: opens connections at each relay at a mean rate, and closes them after a
-// while.
+// Simulated clients: open connections to each relay as a Poisson process, and close them after a random time.
 #ifndef STOATRUN_FAULT_INJECTION_FAKE_CLIENTS_H_
 #define STOATRUN_FAULT_INJECTION_FAKE_CLIENTS_H_
 
@@ -18,14 +17,15 @@
 class FakeClients {
  public:
   // Opens nothing before Start.
-  explicit FakeClients(Harness& harness) : harness_(harness), load_(harness.relays.size()) {}
+  explicit FakeClients(Harness& harness) : harness_(harness), clients_(harness.relays.size()) {}
 
-  // Begins to open connections at the relay, and goes on for the rest of the run.
+  // Opens connections to the relay from now to the end of the run.
   void Start(ManagedRelay& relay) { ScheduleNext(relay); }
-  // Records of how many connections it can't be known what the relay saw of them: those whose request it may
-  // not have read, and those that have just come or gone. To be called when it is stopped or killed.
+  // Records the number of connections whose state the relay may not have observed: those whose request it may
+  // not have read, and those that were opened or closed just now. To be called when the relay is paused or
+  // has ended.
   void RecordUncertain(const ManagedRelay& relay);
-  // Drops the relay's connections when its run has ended.
+  // Drops the connections to a relay whose run has ended.
   void OnRunEnded(const ManagedRelay& relay);
   // Drops all connections, at the end of a run.
   void CloseAll();
@@ -35,33 +35,34 @@
 
   struct Connection {
     std::string id;
-    std::shared_ptr<LineConnection> lines;
-    std::string group;         // Empty: none.
-    bool requested = false;    // Its OPEN was sent.
-    bool established = false;  // Its OPEN was answered with UP.
-    bool over = false;
+    std::shared_ptr<LineConnection> stream;
+    std::string group;         // Empty if it has none.
+    bool requested = false;    // OPEN was sent.
+    bool established = false;  // OPEN was answered with UP.
+    bool ended = false;
   };
   using ConnectionPtr = std::shared_ptr<Connection>;
 
-  struct RelayLoad {
+  struct RelayClients {
     std::vector<ConnectionPtr> connections;
-    std::deque<Micros> changed_at;  // When its latest connections came or went.
+    std::deque<Micros> changed_at;  // When its latest connections were opened or closed.
   };
 
-  RelayLoad& LoadOf(const ManagedRelay& relay) { return load_[relay.index]; }
+  RelayClients& ClientsOf(const ManagedRelay& relay) { return clients_[relay.index]; }
   void ScheduleNext(ManagedRelay& relay);
   void Open(ManagedRelay& relay);
-  void SendRequest(ManagedRelay& relay, const ConnectionPtr& connection, std::uint64_t run);
+  void SendOpenRequest(ManagedRelay& relay, const ConnectionPtr& connection, std::uint64_t run);
   void OnLine(ManagedRelay& relay, const ConnectionPtr& connection, std::string_view line);
   void OnPeerClosed(ManagedRelay& relay, const ConnectionPtr& connection);
-  // The client closes an established connection; a paused relay's clients wait for it.
-  void Leave(ManagedRelay& relay, const ConnectionPtr& connection, std::uint64_t run);
+  // Closes an established connection from the client's side; while the relay is paused, waits for it to
+  // resume.
+  void CloseByClient(ManagedRelay& relay, const ConnectionPtr& connection, std::uint64_t run);
   void RecordChange(const ManagedRelay& relay);
   void RecordEnd(const ManagedRelay& relay, Connection& connection, Outcome outcome);
   void Remove(const ManagedRelay& relay, const ConnectionPtr& connection);
 
   Harness& harness_;
-  std::vector<RelayLoad> load_;  // By relay.
+  std::vector<RelayClients> clients_;  // By relay.
   std::uint64_t last_id_ = 0;
 };
 
--- a/fault_injection/fake_discovery.cpp
+++ b/fault_injection/fake_discovery.cpp
@@ -7,7 +7,7 @@
 namespace stoatrun::fault_injection {
 namespace {
 
-constexpr Micros kKeepAlive = std::chrono::seconds(2);
+constexpr Micros kKeepAliveInterval = std::chrono::seconds(2);
 
 }  // namespace
 
@@ -32,7 +32,7 @@
       harness_.loop, fd, [this, relay](std::string_view line) { OnLine(relay, line); }, [] {});
 }
 
-// The empty line ends the request's head; whatever it asks for, it gets the watch.
+// An empty line ends the request's header; every request is answered with the watch stream.
 void FakeDiscovery::OnLine(std::size_t relay, std::string_view line) {
   if (!line.empty() || !watches_[relay]) return;
   watches_[relay]->Send(
@@ -57,7 +57,7 @@
 
 void FakeDiscovery::SendKeepAlive(std::size_t relay) {
   SendChunk(relay, "\n");
-  harness_.loop.After(kKeepAlive, [this, relay] { SendKeepAlive(relay); });
+  harness_.loop.RunAfter(kKeepAliveInterval, [this, relay] { SendKeepAlive(relay); });
 }
 
 }  // namespace stoatrun::fault_injection
--- a/fault_injection/fake_discovery.h
+++ b/fault_injection/fake_discovery.h
@@ -1,5 +1,4 @@
-// The discovery service that the harness plays: each relay watches the list of servers at an address of
-// its own.
+// Simulated discovery service: each relay watches the list of servers at its own address.
 #ifndef STOATRUN_FAULT_INJECTION_FAKE_DISCOVERY_H_
 #define STOATRUN_FAULT_INJECTION_FAKE_DISCOVERY_H_
 
@@ -20,9 +19,9 @@
   // Listens for all relays. Throws std::system_error.
   explicit FakeDiscovery(Harness& harness);
 
-  // Tells all relays that this server changed.
+  // Sends a change of this server to all relays.
   void PushChange(std::size_t server);
-  // Drops the watch of a relay whose run has ended.
+  // Drops the watch connection of a relay whose run has ended.
   void OnRunEnded(const ManagedRelay& relay) { watches_[relay.index].reset(); }
 
  private:
@@ -31,7 +30,7 @@
   void OnLine(std::size_t relay, std::string_view line);
   void Push(std::size_t relay, const std::vector<std::size_t>& servers, bool complete);
   void SendChunk(std::size_t relay, const std::string& text);
-  // An empty line now and then shows that the watch still works.
+  // Periodically sends an empty line, by which the relay sees that the watch is alive.
   void SendKeepAlive(std::size_t relay);
 
   Harness& harness_;
--- a/fault_injection/fake_servers.h
+++ b/fault_injection/fake_servers.h
@@ -1,5 +1,5 @@
-// Servers that the harness plays. Each relay finds every server at an address of its own, so that the
-// harness knows which relay makes an attempt, and sees quotas spent and held from outside.
+// Simulated servers. Every server has a separate address for each relay. From it the harness knows which
+// relay makes an attempt, and can record the use of quotas without asking the relay.
 #ifndef STOATRUN_FAULT_INJECTION_FAKE_SERVERS_H_
 #define STOATRUN_FAULT_INJECTION_FAKE_SERVERS_H_
 
@@ -25,11 +25,11 @@
  private:
   // A relay's connection to a server.
   struct Attempt {
-    std::shared_ptr<LineConnection> lines;
+    std::shared_ptr<LineConnection> stream;
     ManagedRelay* relay = nullptr;
-    std::string group;        // Of the client's connection, once it is established.
-    bool holds_unit = false;  // Of its group's quota.
-    bool over = false;
+    std::string group;        // The client's group, once the connection is established.
+    bool holds_unit = false;  // Holds a unit of its group's quota.
+    bool ended = false;
   };
 
   void Listen(ManagedRelay& relay, std::size_t server);
@@ -39,15 +39,15 @@
   // Answers a probe with a load report.
   void SendLoadReport(Attempt& attempt) const;
   void AcquireUnit(Attempt& attempt, const std::string& group);
-  void OnAttemptOver(const std::shared_ptr<Attempt>& attempt);
-  // Ends attempts that their relay has closed, though this was not read yet: units that it acquires
-  // afterwards must be recorded after those that it released.
+  void OnAttemptEnded(const std::shared_ptr<Attempt>& attempt);
+  // Ends attempts that their relay has closed but whose end of stream was not read yet. A relay may acquire a
+  // unit right after it releases one; the release must be recorded first.
   void EndClosedAttempts();
 
   Harness& harness_;
   std::vector<std::unique_ptr<DescriptorWatcher>> listeners_;
   std::vector<std::shared_ptr<Attempt>> attempts_;
-  std::set<std::string> seen_requests_;  // A second attempt of a request is a retry.
+  std::set<std::string> attempted_requests_;  // Any further attempt of the same request is a retry.
 };
 
 }  // namespace stoatrun::fault_injection
--- a/fault_injection/harness.cpp
+++ b/fault_injection/harness.cpp
@@ -6,11 +6,11 @@
 
 using std::chrono::milliseconds;
 
-Harness::Harness(const simulation::Schedule& played_schedule, const ProcessFleetSetup& fleet_setup)
-    : schedule(played_schedule),
+Harness::Harness(const simulation::Schedule& fault_schedule, const ProcessFleetSetup& fleet_setup)
+    : schedule(fault_schedule),
       setup(fleet_setup),
       network(loop),
-      random(played_schedule.seed),
+      random(fault_schedule.seed),
       history([this] { return loop.Now(); }, true) {
   for (std::size_t k = 0; k < schedule.relays; ++k) {
     relays.push_back(std::make_unique<ManagedRelay>());
--- a/fault_injection/history/quota_checkers.h
+++ b/fault_injection/history/quota_checkers.h
@@ -44,8 +44,8 @@
  private:
   CheckState& state_;
   const QuotaRules& rules_;
-  std::map<std::string, std::deque<std::int64_t>>
-      recent_us_;  // By quota: times of units spent in the window.
+  // By quota: the times at which units were spent within the window.
+  std::map<std::string, std::deque<std::int64_t>> recent_us_;
   double utilization_sum_ = 0;
   std::size_t utilization_count_ = 0;
 };
--- a/fault_injection/line_connection.cpp
+++ b/fault_injection/line_connection.cpp
@@ -47,7 +47,8 @@
 
 void LineConnection::Send(std::string_view text) {
   if (!watcher_ || closed_) return;
-  // On loopback a line goes at once or never: the peer's buffers hold far more. Reading finds a broken one.
+  // On loopback a line is sent completely or not at all, as the socket buffers are far larger. Reading
+  // detects a broken connection.
   if (send(watcher_->Fd(), text.data(), text.size(), MSG_NOSIGNAL) < 0) return;
 }
 
--- a/fault_injection/line_connection.h
+++ b/fault_injection/line_connection.h
@@ -1,4 +1,4 @@
-// TCP of the fake clients and servers: connections that speak lines, and listening sockets.
+// TCP for the simulated clients and servers: line-based connections and listening sockets.
 #ifndef STOATRUN_FAULT_INJECTION_LINE_CONNECTION_H_
 #define STOATRUN_FAULT_INJECTION_LINE_CONNECTION_H_
 
@@ -13,33 +13,34 @@
 
 namespace stoatrun::fault_injection {
 
-// An IPv4 address with a port, for the socket functions.
+// Converts an IPv4 address and a port for the socket functions.
 sockaddr_in SocketAddress(const std::string& host, int port);
 
-// A TCP connection that receives lines. The loop must outlive it. A callback may close it, but not destroy
-// it.
+// A TCP connection that splits its input into lines. The loop must outlive it. A callback may close the
+// connection, but must not destroy it.
 class LineConnection {
  public:
-  using OnLine = std::function<void(std::string_view line)>;  // Without the line's end.
-  using OnClosed = std::function<void()>;                     // Once, when the peer has closed or reset it.
+  using OnLine = std::function<void(std::string_view line)>;  // Without the line terminator.
+  using OnClosed = std::function<void()>;  // Called once, when the peer has closed or reset it.
 
-  // Takes over the connected or connecting descriptor.
+  // Takes ownership of the connected or connecting descriptor.
   LineConnection(EventLoop& loop, int fd, OnLine on_line, OnClosed on_closed);
-  // A descriptor on which a connection is made, or a negative number if it was rejected at once.
+  // Starts a non-blocking connect. Returns the descriptor, or a negative number if it failed at once.
   static int Connect(const std::string& host, int port);
 
-  // Sends at once; a closed connection passes it over.
+  // Sends without buffering; does nothing on a closed connection.
   void Send(std::string_view text);
-  // Whether the peer has closed it, as the kernel knows already; it need not have been read yet.
+  // Whether the kernel has already received the peer's close or reset, even if the end of stream was not read
+  // yet.
   bool PeerHasClosed() const;
-  // By either side.
+  // True once either side has closed it.
   bool IsClosed() const { return closed_; }
   // Closes without calling `on_closed`.
   void Close();
 
  private:
   void Read();
-  // Passes complete lines on; false if a callback has closed the connection.
+  // Calls `on_line` for each complete line; false if a callback has closed the connection.
   bool DispatchLines();
 
   std::unique_ptr<DescriptorWatcher> watcher_;
@@ -49,10 +50,10 @@
   bool closed_ = false;
 };
 
-// A listening socket. Throws std::system_error.
+// Opens a listening socket. Throws std::system_error.
 int ListenTcp(const std::string& host, int port);
 
-// Accepts a waiting connection, non-blocking; a negative number if there is none.
+// Accepts a pending connection in non-blocking mode; a negative number if there is none.
 int AcceptTcp(int listen_fd);
 
 }  // namespace stoatrun::fault_injection
--- a/fault_injection/main.cpp
+++ b/fault_injection/main.cpp
@@ -1,6 +1,6 @@
-// `stoatrun_fault_injection run FILE` plays a schedule with real processes and checks the history;
-// `stoatrun_fault_injection check FILE` checks a recorded one. Exit status: 0 all bounds hold, 2 error, 3 a
-// bound was violated or a process crashed.
+// `stoatrun_fault_injection run [FILE]` runs a schedule with real processes and checks the resulting history;
+// `stoatrun_fault_injection check FILE` checks a recorded history. Exit status: 0 if all bounds hold, 2 for
+// an error, 3 if a bound was violated or a process crashed.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -33,7 +33,7 @@
   std::string file;  // A schedule, or the history to check.
   std::string history_file;
   std::optional<std::uint64_t> seed;
-  std::uint64_t relays = 5, seconds = 25;  // Of a generated schedule.
+  std::uint64_t relays = 5, seconds = 25;  // Used for a generated schedule only.
   ProcessFleetSetup setup;
 };
 
@@ -41,7 +41,7 @@
   std::ifstream file(path);
   std::ostringstream text;
   if (!file || !(text << file.rdbuf() || file.peek() == std::ifstream::traits_type::eof())) {
-    throw std::runtime_error(path + ": can't be read");
+    throw std::runtime_error("can't read " + path);
   }
   return text.str();
 }
@@ -51,13 +51,13 @@
     std::cout << fmt::format("{:.3f} s {}: {}\n", static_cast<double>(violation.at_us) / 1e6,
                              NameOf(violation.bound), violation.what);
   }
-  if (findings.further_violations > 0) std::cout << findings.further_violations << " more\n";
+  if (findings.further_violations > 0) std::cout << findings.further_violations << " more violations\n";
   std::cout << fmt::format(
-      "{} events, {} runs, {} spends, {} holds, {} sums ({} without an upper bound), {} lists of avoided "
-      "servers: {}\n",
+      "{} events, {} runs, {} rate units spent, {} units acquired, {} fleet totals ({} without an upper "
+      "bound), {} ejection reports: {}\n",
       findings.events, findings.runs, findings.rate_units_spent, findings.units_acquired,
       findings.total_reports, findings.unbounded_totals, findings.ejection_reports,
-      findings.Sound() ? "all bounds kept" : "a bound broke");
+      findings.Sound() ? "all bounds hold" : "a bound was violated");
   return findings.Sound() ? 0 : kExitViolation;
 }
 
@@ -84,21 +84,25 @@
 
 std::string MakeTemporaryFolder() {
   std::string pattern = (std::filesystem::temp_directory_path() / "stoatrun_fault_injection.XXXXXX").string();
-  if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("no folder to be had");
+  if (mkdtemp(pattern.data()) == nullptr) {
+    throw std::runtime_error("can't create a temporary folder: " + pattern);
+  }
   return pattern;
 }
 
 int Run(Options options) {
   const Schedule schedule = ScheduleFrom(options);
   ProcessFleetSetup& setup = options.setup;
-  const bool own_folder = setup.folder.empty();
-  if (own_folder) {
+  const bool temporary_folder = setup.folder.empty();
+  if (temporary_folder) {
     setup.folder = MakeTemporaryFolder();
   } else {
     std::filesystem::create_directories(setup.folder);
   }
   setup.program = std::filesystem::absolute(setup.program).string();
-  if (!std::filesystem::exists(setup.program)) throw std::runtime_error(setup.program + ": no such program");
+  if (!std::filesystem::exists(setup.program)) {
+    throw std::runtime_error("relay program not found: " + setup.program);
+  }
 
   const ProcessFleetResults results = stoatrun::fault_injection::Play(schedule, setup);
   std::ofstream(options.history_file.empty() ? setup.folder + "/history.jsonl" : options.history_file)
@@ -109,26 +113,30 @@
     std::cout << "schedule:\n" << schedule.ToText() << "files: " << setup.folder << '\n';
     return kExitViolation;
   }
-  if (own_folder) std::filesystem::remove_all(setup.folder);
+  if (temporary_folder) std::filesystem::remove_all(setup.folder);
   return 0;
 }
 
 int Main(int argc, char** argv) {
-  CLI::App app("Real processes of stoatrun under faults, and what can be said of their histories.");
+  CLI::App app("Runs stoatrun processes under injected faults and checks their histories.");
   app.require_subcommand(1);
   Options options;
-  CLI::App* run = app.add_subcommand("run", "plays a schedule; without a file one is drawn from the seed");
-  run->add_option("file", options.file, "the schedule, as text");
-  run->add_option("--seed", options.seed, "goes before the file's");
-  run->add_option("--relays", options.relays, "of a drawn schedule")->check(CLI::Range(1, 250));
-  run->add_option("--seconds", options.seconds, "of a drawn schedule")->check(CLI::Range(1, 3600));
-  run->add_option("--program", options.setup.program, "the relay's program")->required();
+  CLI::App* run =
+      app.add_subcommand("run", "runs a schedule; without a file, one is generated from the seed");
+  run->add_option("file", options.file, "schedule file");
+  run->add_option("--seed", options.seed, "overrides the seed of the schedule file");
+  run->add_option("--relays", options.relays, "size of the fleet in a generated schedule")
+      ->check(CLI::Range(1, 250));
+  run->add_option("--seconds", options.seconds, "length of a generated schedule")->check(CLI::Range(1, 3600));
+  run->add_option("--program", options.setup.program, "path of the relay program")->required();
   run->add_option("--folder", options.setup.folder,
-                  "for files and logs; else a fresh one, taken away if all bounds hold");
-  run->add_option("--history", options.history_file, "where the history goes; else into the folder");
-  run->add_option("--connections", options.setup.connections_per_s, "new ones a second at each relay");
-  CLI::App* check = app.add_subcommand("check", "checks a history");
-  check->add_option("file", options.file)->required();
+                  "folder for files and logs (default: a temporary one, deleted if all bounds hold)");
+  run->add_option("--history", options.history_file,
+                  "file for the history (default: history.jsonl in the folder)");
+  run->add_option("--connections", options.setup.connections_per_s,
+                  "new connections per second at each relay");
+  CLI::App* check = app.add_subcommand("check", "checks a recorded history");
+  check->add_option("file", options.file, "history file")->required();
   CLI11_PARSE(app, argc, argv);
   if (check->parsed()) return Report(stoatrun::history::Check(ReadFile(options.file)));
   return Run(std::move(options));
--- a/fault_injection/process_fleet.cpp
+++ b/fault_injection/process_fleet.cpp
@@ -24,21 +24,21 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// More don't fit into the last byte of an address, or the subnets of a net.
+// Limited by the last byte of an address, and by the subnets of a network.
 constexpr std::size_t kMaxRelays = 250, kMaxServers = 100;
-// Between what happens in a relay and what is seen of it here.
+// The longest delay between an event in a relay and its record here.
 constexpr Micros kSlack = milliseconds(400);
-// Bounds of the relays' outlier detection, with some room: see FleetDescription.
+// Bounds of the relays' outlier detection, with a margin; see FleetDescription.
 constexpr double kMaxEjectedFraction = 0.3;
 constexpr Micros kEvidence = milliseconds(6600), kOwnObservation = milliseconds(4500),
                  kEjection = milliseconds(2600);
 constexpr std::int64_t kRateWindowUs = 1'000'000;
 
-constexpr Micros kFirstClients = milliseconds(700);
-constexpr Micros kFirstPoll = milliseconds(900);
-constexpr Micros kHeartbeat = milliseconds(20);
-constexpr Micros kCatchUp = milliseconds(50);  // A continued relay is left alone for so long.
-constexpr auto kShutdownWait = seconds(5);
+constexpr Micros kFirstClientDelay = milliseconds(700);
+constexpr Micros kFirstPollDelay = milliseconds(900);
+constexpr Micros kHousekeepingInterval = milliseconds(20);
+constexpr Micros kResumeGrace = milliseconds(50);  // Time for a resumed relay to process what it missed.
+constexpr auto kShutdownTimeout = seconds(5);
 
 class ProcessFleet final : public simulation::FaultTarget {
  public:
@@ -54,12 +54,12 @@
     harness_.history.FleetStarted(Describe());
     StartAll();
     for (const Step& step : harness_.schedule.steps) {
-      harness_.loop.After(step.at, [this, &step] {
+      harness_.loop.RunAfter(step.at, [this, &step] {
         harness_.history.StepApplied(step);
         simulation::ApplyStep(step, *this);
       });
     }
-    harness_.loop.After(harness_.schedule.length, [this] { harness_.loop.Stop(); });
+    harness_.loop.RunAfter(harness_.schedule.length, [this] { harness_.loop.Stop(); });
     harness_.loop.Run();
     MeasureUsage();
     StopAll();
@@ -68,7 +68,7 @@
     return std::move(harness_.results);
   }
 
-  // ---- faults ----
+  // FaultTarget:
 
   simulation::NetworkFaults& Network() override { return switch_.Faults(); }
 
@@ -112,7 +112,7 @@
     ManagedRelay& relay = *harness_.relays[index];
     if (!relay.process.IsRunning()) return;
     relay.process.Signal(SIGCONT);
-    harness_.loop.After(kCatchUp, [&relay] { relay.paused = false; });
+    harness_.loop.RunAfter(kResumeGrace, [&relay] { relay.paused = false; });
   }
 
   void StartDuplicate(std::size_t index) override {
@@ -130,7 +130,7 @@
     relay.duplicate.KillAndWait();
   }
 
-  // The others read their files again and know it no more; it goes on running.
+  // The other relays reload their settings without this one, which keeps running.
   void RemoveFromPeers(std::size_t index) override {
     ManagedRelay& removed = *harness_.relays[index];
     removed.removed = true;
@@ -168,10 +168,10 @@
     for (auto& relay : harness_.relays) {
       WriteRelayFiles(harness_, *relay);
       Start(relay->index);
-      harness_.loop.After(kFirstClients, [this, &relay = *relay] { clients_.Start(relay); });
-      harness_.loop.After(kFirstPoll, [this, &relay = *relay] { status_.Start(relay); });
+      harness_.loop.RunAfter(kFirstClientDelay, [this, &relay = *relay] { clients_.Start(relay); });
+      harness_.loop.RunAfter(kFirstPollDelay, [this, &relay = *relay] { status_.Start(relay); });
     }
-    harness_.loop.After(kHeartbeat, [this] { OnHeartbeat(); });
+    harness_.loop.RunAfter(kHousekeepingInterval, [this] { RunHousekeeping(); });
   }
 
   void StopAll() {
@@ -183,7 +183,7 @@
       relay->process.Signal(SIGTERM);
       relay->duplicate.KillAndWait();
     }
-    const auto deadline = std::chrono::steady_clock::now() + kShutdownWait;
+    const auto deadline = std::chrono::steady_clock::now() + kShutdownTimeout;
     for (auto& relay : harness_.relays) relay->process.WaitUntil(deadline);
   }
 
@@ -202,16 +202,16 @@
     results.resident_kib /= running;
   }
 
-  // A process that ended by itself counts as a crash.
-  void OnHeartbeat() {
+  // Counts processes that exited on their own as crashes, and closes deferred connections.
+  void RunHousekeeping() {
     for (auto& relay : harness_.relays) {
       if (!relay->process.ReapIfEnded()) continue;
       ++harness_.results.crashed;
-      harness_.history.Note(relay->name + " ended by itself");
+      harness_.history.Note(relay->name + " exited unexpectedly");
       OnRunEnded(*relay);
     }
     harness_.closer.Flush();
-    harness_.loop.After(kHeartbeat, [this] { OnHeartbeat(); });
+    harness_.loop.RunAfter(kHousekeepingInterval, [this] { RunHousekeeping(); });
   }
 
   void OnRunEnded(ManagedRelay& relay) {
--- a/fault_injection/relay_process.cpp
+++ b/fault_injection/relay_process.cpp
@@ -15,11 +15,11 @@
 namespace stoatrun::fault_injection {
 namespace {
 
-constexpr useconds_t kReapPauseUs = 10'000;
+constexpr useconds_t kReapPollIntervalUs = 10'000;
 
-// In the child; does not return.
+// Runs in the child process; does not return.
 [[noreturn]] void Execute(const std::string& program, const RelayProcess::Files& files) {
-  prctl(PR_SET_PDEATHSIG, SIGKILL);  // However the harness ends, no relay outlives it on its net.
+  prctl(PR_SET_PDEATHSIG, SIGKILL);  // If the harness dies, no relay stays behind on its loopback network.
   const int log = open(files.log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
   if (log >= 0) dup2(log, STDERR_FILENO);
   setenv("PROXY_CONFIG", files.config.c_str(), 1);
@@ -31,7 +31,7 @@
   _exit(127);
 }
 
-// utime and stime, the 14th and 15th words of /proc/PID/stat, in clock ticks.
+// The sum of utime and stime, fields 14 and 15 of /proc/PID/stat, in clock ticks.
 double CpuTicks(pid_t pid) {
   std::ifstream stat(fmt::format("/proc/{}/stat", pid));
   std::string word;
@@ -55,7 +55,7 @@
 
 void RelayProcess::Start(const std::string& program, const Files& files) {
   const pid_t pid = fork();
-  if (pid < 0) throw std::runtime_error("fork failed");
+  if (pid < 0) throw std::runtime_error("can't start a relay process: fork failed");
   if (pid == 0) Execute(program, files);
   pid_ = pid;
   started_at_ = std::chrono::steady_clock::now();
@@ -81,7 +81,7 @@
 void RelayProcess::WaitUntil(std::chrono::steady_clock::time_point deadline) {
   while (pid_ != 0 && !ReapIfEnded()) {
     if (std::chrono::steady_clock::now() > deadline) return KillAndWait();
-    usleep(kReapPauseUs);
+    usleep(kReapPollIntervalUs);
   }
 }
 
--- a/fault_injection/relay_process.h
+++ b/fault_injection/relay_process.h
@@ -1,4 +1,4 @@
-// A process of the relay program under the harness's control.
+// A process of the relay program, controlled by the harness.
 #ifndef STOATRUN_FAULT_INJECTION_RELAY_PROCESS_H_
 #define STOATRUN_FAULT_INJECTION_RELAY_PROCESS_H_
 
@@ -9,18 +9,18 @@
 
 namespace stoatrun::fault_injection {
 
-// Starts, signals and reaps one process; killed on destruction.
+// Starts, signals and reaps one process. The destructor kills it.
 class RelayProcess {
  public:
-  // Paths of what the process reads and writes.
+  // Files that the process reads and writes.
   struct Files {
-    std::string config;         // Goes into PROXY_CONFIG.
-    std::string operator_file;  // For --operator.
+    std::string config;         // Passed as PROXY_CONFIG.
+    std::string operator_file;  // Passed as --operator.
     std::string log;            // Standard error is appended to it.
   };
-  // What a process needs of the machine.
+  // Resource usage of a process.
   struct Usage {
-    double cpu_cores = 0;  // Mean, since its start.
+    double cpu_cores = 0;  // Mean since its start.
     double resident_kib = 0;
   };
 
@@ -29,19 +29,19 @@
   RelayProcess(const RelayProcess&) = delete;
   RelayProcess& operator=(const RelayProcess&) = delete;
 
-  // Until it has been reaped; it may have ended before.
+  // True from Start until the process is reaped, even if it has exited in between.
   bool IsRunning() const { return pid_ != 0; }
-  // Throws std::runtime_error if no process can be made. It must not be running.
+  // The process must not be running. Throws std::runtime_error if fork fails.
   void Start(const std::string& program, const Files& files);
-  // Does nothing if it is not running.
+  // Does nothing if the process is not running.
   void Signal(int signal_number) const;
-  // Whether it has ended by itself or of a signal since the last call; then it is running no more.
+  // Reaps the process if it has exited; true if so.
   bool ReapIfEnded();
-  // SIGKILL, if it is running.
+  // Sends SIGKILL and reaps the process, if it is running.
   void KillAndWait();
-  // Kills it only if it has not ended by then.
+  // Waits for the process to exit, and kills it at the deadline.
   void WaitUntil(std::chrono::steady_clock::time_point deadline);
-  // What the kernel says of it.
+  // Resource usage as /proc reports it.
   Usage MeasureUsage() const;
 
  private:
--- a/fault_injection/relay_settings.cpp
+++ b/fault_injection/relay_settings.cpp
@@ -52,7 +52,7 @@
 
 void WriteFile(const std::string& path, const std::string& text) {
   std::ofstream out(path, std::ios::trunc);
-  if (!(out << text) || !out.flush()) throw std::runtime_error(path + ": can't be written");
+  if (!(out << text) || !out.flush()) throw std::runtime_error("can't write " + path);
 }
 
 RelayProcess::Files FilesNamed(const Harness& harness, const std::string& name) {
--- a/fault_injection/status_poller.cpp
+++ b/fault_injection/status_poller.cpp
@@ -12,11 +12,11 @@
 using std::chrono::milliseconds;
 
 constexpr Micros kPollInterval = milliseconds(500);
-constexpr Micros kConnectWait = milliseconds(1);
+constexpr Micros kRequestDelay = milliseconds(1);
 constexpr std::size_t kMaxRequests = 4;
 
-// `[low, high]`; a `high` of null means that there is no upper bound.
-simulation::ReportedTotals::Interval ToInterval(const element& pair) {
+// Parses `[low, high]`, in which a null `high` means that there is no upper bound.
+simulation::ReportedTotals::Interval ParseInterval(const element& pair) {
   const simdjson::dom::array bounds(pair);
   const element high = bounds.at(1);
   return {std::uint64_t(bounds.at(0)), high.is_null() ? UINT64_MAX : std::uint64_t(high)};
@@ -26,7 +26,7 @@
 
 void StatusPoller::Start(ManagedRelay& relay) {
   if (relay.process.IsRunning() && !relay.paused) SendRequest(relay);
-  harness_.loop.After(kPollInterval, [this, &relay] { Start(relay); });
+  harness_.loop.RunAfter(kPollInterval, [this, &relay] { Start(relay); });
 }
 
 void StatusPoller::SendRequest(ManagedRelay& relay) {
@@ -39,8 +39,8 @@
         if (is_body && relay.run == run && relay.process.IsRunning()) OnStatus(relay, std::string(line));
       },
       [] {});
-  harness_.loop.After(kConnectWait,
-                      [request] { request->Send("GET /v1/fleet HTTP/1.1\r\nHost: r\r\n\r\n"); });
+  harness_.loop.RunAfter(kRequestDelay,
+                         [request] { request->Send("GET /v1/fleet HTTP/1.1\r\nHost: r\r\n\r\n"); });
   auto& requests = requests_[relay.index];
   requests.push_back(request);
   if (requests.size() <= kMaxRequests) return;
@@ -54,7 +54,7 @@
   RecordTotals(relay, status["total"]);
   RecordEjected(relay, status["servers"]);
   if (!bool(status["balanced"])) {
-    // Counts that don't balance, for which the checker reports it.
+    // The status gives no counts for this; unbalanced ones make the checker report a violation.
     harness_.history.CountsReported(relay.name, {.accepted = 1});
   }
   RecordMembers(relay, status["members"]);
@@ -62,13 +62,13 @@
 
 void StatusPoller::RecordTotals(const ManagedRelay& relay, const element& total) {
   simulation::ReportedTotals totals;
-  // Milliseconds are rounded down.
+  // The status rounds down to milliseconds.
   totals.oldest_us = std::int64_t(total["oldest_ms"]) * 1000 + 1000;
-  totals.accepted = ToInterval(total["taken"]);
-  totals.served = ToInterval(total["served"]);
-  totals.rejected = ToInterval(total["refused"]);
-  totals.failed = ToInterval(total["failed"]);
-  totals.open = ToInterval(total["open"]);
+  totals.accepted = ParseInterval(total["taken"]);
+  totals.served = ParseInterval(total["served"]);
+  totals.rejected = ParseInterval(total["refused"]);
+  totals.failed = ParseInterval(total["failed"]);
+  totals.open = ParseInterval(total["open"]);
   harness_.history.TotalsReported(relay.name, totals);
 }
 
@@ -86,9 +86,9 @@
     states += fmt::format("{}{} {}{}", states.empty() ? "" : ", ", std::string_view(member["name"]),
                           std::string_view(member["standing"]), bool(member["twins"]) ? " twins" : "");
   }
-  std::string& noted = member_states_[relay.index];
-  if (std::exchange(noted, states) != states) {
-    harness_.history.Note(fmt::format("{} knows: {}", relay.name, states));
+  std::string& previous = member_states_[relay.index];
+  if (std::exchange(previous, states) != states) {
+    harness_.history.Note(fmt::format("{} member states: {}", relay.name, states));
   }
 }
 
--- a/fault_injection/status_poller.h
+++ b/fault_injection/status_poller.h
@@ -1,4 +1,4 @@
-// Polls what relays report of the fleet on their management address, and records it.
+// Polls the fleet status from the relays' management addresses and records it in the history.
 #ifndef STOATRUN_FAULT_INJECTION_STATUS_POLLER_H_
 #define STOATRUN_FAULT_INJECTION_STATUS_POLLER_H_
 
@@ -20,9 +20,9 @@
   explicit StatusPoller(Harness& harness)
       : harness_(harness), requests_(harness.relays.size()), member_states_(harness.relays.size()) {}
 
-  // Polls the relay twice a second for the rest of the run, while it runs and is not paused.
+  // Polls the relay twice a second to the end of the run, except while it is paused or not running.
   void Start(ManagedRelay& relay);
-  // Drops the requests to a relay whose run has ended.
+  // Drops pending requests to a relay whose run has ended.
   void OnRunEnded(const ManagedRelay& relay) { requests_[relay.index].clear(); }
 
  private:
@@ -30,13 +30,13 @@
   void OnStatus(const ManagedRelay& relay, const std::string& json);
   void RecordTotals(const ManagedRelay& relay, const simdjson::dom::element& total);
   void RecordEjected(const ManagedRelay& relay, const simdjson::dom::element& servers);
-  // Members and their states, as a note whenever they change.
+  // Records the members and their states as a note whenever they change.
   void RecordMembers(const ManagedRelay& relay, const simdjson::dom::element& members);
 
   Harness& harness_;
   simdjson::dom::parser parser_;
-  std::vector<std::deque<std::shared_ptr<LineConnection>>> requests_;  // By relay: the latest.
-  std::vector<std::string> member_states_;                             // By relay: as noted last.
+  std::vector<std::deque<std::shared_ptr<LineConnection>>> requests_;  // By relay: the latest requests.
+  std::vector<std::string> member_states_;                             // By relay: as recorded last.
 };
 
 }  // namespace stoatrun::fault_injection
