--- a/fault_injection/relay_settings.cpp
+++ b/fault_injection/relay_settings.cpp
@@ -12,7 +12,7 @@
 // `host`: the IP address on which the process listens.
 std::string ConfigText(const Harness& harness, const ManagedRelay& relay, const std::string& host) {
   std::string groups, group_quotas;
-  for (std::size_t group = 0; group < kGroups; ++group) {
+  for (std::size_t group = 0; group < kGroupCount; ++group) {
     groups += fmt::format(R"({}{{"name":"{}"}})", group > 0 ? "," : "", GroupName(group));
     group_quotas += fmt::format("{}{}", group > 0 ? "," : "", harness.setup.group_units);
   }
@@ -52,7 +52,7 @@
 
 void WriteFile(const std::string& path, const std::string& text) {
   std::ofstream out(path, std::ios::trunc);
-  if (!(out << text) || !out.flush()) throw std::runtime_error(path + ": can't be written");
+  if (!(out << text) || !out.flush()) throw std::runtime_error("can't write " + path);
 }
 
 RelayProcess::Files FilesNamed(const Harness& harness, const std::string& name) {
