--- a/src/simulation/event_queue.h
+++ b/src/simulation/event_queue.h
@@ -1,4 +1,4 @@
-// Virtual time: callbacks in the order of their times.
+// Virtual time: runs callbacks in the order of their times.
 #ifndef STOATRUN_SIMULATION_EVENT_QUEUE_H_
 #define STOATRUN_SIMULATION_EVENT_QUEUE_H_
 
@@ -18,17 +18,17 @@
  public:
   using Callback = std::function<void()>;
 
-  // The time of the callback that runs, or of the last one.
+  // The time of the running callback, or of the last one that ran.
   Micros Now() const { return now_; }
-  // How many callbacks were added so far.
-  std::uint64_t Added() const { return added_; }
+  // The number of callbacks added so far.
+  std::uint64_t AddedCount() const { return added_; }
 
-  // Adds a callback; a time in the past counts as the next to run.
+  // Adds a callback. One with a time in the past runs next.
   void At(Micros at, Callback callback) {
     events_.push({at, added_++, std::make_shared<Callback>(std::move(callback))});
   }
 
-  // Runs all callbacks up to `end`, those included that they add.
+  // Runs all callbacks up to and including `end`, also those added meanwhile.
   void RunUntil(Micros end) {
     while (!events_.empty() && events_.top().at <= end) {
       const Event event = events_.top();
@@ -42,8 +42,8 @@
   struct Event {
     Micros at{0};
     std::uint64_t order = 0;
-    std::shared_ptr<Callback> callback;  // Shared: a priority queue gives out copies only.
-    // The queue's top is the greatest: the earliest.
+    std::shared_ptr<Callback> callback;  // Shared, since std::priority_queue::top() only allows a copy.
+    // Reversed: std::priority_queue has the greatest element on top, which must be the earliest event.
     bool operator<(const Event& other) const {
       return std::pair(at, order) > std::pair(other.at, other.order);
     }
--- a/src/simulation/fault_target.cpp
+++ b/src/simulation/fault_target.cpp
@@ -3,7 +3,7 @@
 namespace stoatrun::simulation {
 namespace {
 
-// False if the step does something else.
+// Returns false for steps that do not concern a server.
 bool ApplyToServer(const Step& step, FaultTarget& target) {
   switch (step.action) {
     case FaultAction::kFailServer:
--- a/src/simulation/relay_faults.h
+++ b/src/simulation/relay_faults.h
@@ -1,4 +1,4 @@
-// Faults in how one relay behaves, as a schedule's steps change them.
+// Faults in the behaviour of one relay, as set by a schedule's steps.
 #ifndef STOATRUN_SIMULATION_RELAY_FAULTS_H_
 #define STOATRUN_SIMULATION_RELAY_FAULTS_H_
 
@@ -8,13 +8,13 @@
 
 namespace stoatrun::simulation {
 
-// Both fleets keep one for each relay; none of these by default.
+// Kept for each relay, by the simulation and by the fault-injection harness. By default no fault is active.
 struct RelayFaults {
   bool server_links_broken = false;  // Every server fails for this relay alone.
-  bool misreports = false;           // It reports failures of servers that work.
-  std::optional<double> demand;      // The fraction of each quota that it wants; none: as the workload says.
+  bool misreports = false;           // It reports failures of healthy servers.
+  std::optional<double> demand;      // As a fraction of each quota; none: the workload's default.
 
-  // Applies the step if it changes one of these; false if it does something else.
+  // Applies the step if it changes one of these; returns false for other steps.
   bool Apply(const Step& step);
 };
 
--- a/src/simulation/relay_workload.cpp
+++ b/src/simulation/relay_workload.cpp
@@ -6,23 +6,23 @@
 namespace stoatrun::simulation {
 namespace {
 
-// Most slow-start requests go to the one server that has just come up.
+// The fraction of slow-start requests that go to the server currently in slow start.
 constexpr double kSlowStartServerShare = 0.8;
-constexpr double kServedShare = 0.9;  // Of the connections that a client closes; the others fail.
-// The outcomes' names in histories, in the order of the enum.
+constexpr double kServedShare = 0.9;  // Of the connections that end by themselves; the others fail.
+// Names of the outcomes in histories, in the order of the enum.
 constexpr std::array<const char*, 3> kOutcomeNames{"served", "refused", "failed"};
 
 }  // namespace
 
-void RelayWorkload::DrawBusiest() {
+void RelayWorkload::DrawHotspots() {
   busiest_relay_ = state_.random.Below(state_.relays.size());
   slow_start_server_ = state_.random.Below(state_.servers.size());
-  state_.events.At(state_.Now() + state_.RandomMilliseconds(2000, 3000), [this] { DrawBusiest(); });
+  state_.events.At(state_.Now() + state_.RandomMilliseconds(2000, 3000), [this] { DrawHotspots(); });
 }
 
 void RelayWorkload::Start(SimulatedRelay& relay) {
-  ScheduleSpend(relay, RateQuota::kSlowStart);
-  ScheduleSpend(relay, RateQuota::kRetry);
+  ScheduleRateUnit(relay, RateQuota::kSlowStart);
+  ScheduleRateUnit(relay, RateQuota::kRetry);
   ScheduleConnection(relay);
   ScheduleRequest(relay);
 }
@@ -35,24 +35,25 @@
 
 double RelayWorkload::DemandRate(const SimulatedRelay& relay, std::uint32_t units) const {
   if (relay.faults.demand) return *relay.faults.demand * units;
-  const double all = state_.setup.demand * units;
-  if (relay.index == busiest_relay_) return all * state_.setup.busiest_share;
+  const double total = state_.setup.demand * units;
+  if (relay.index == busiest_relay_) return total * state_.setup.busiest_share;
   const std::size_t others = std::max<std::size_t>(1, state_.relays.size() - 1);
-  return all * (1 - state_.setup.busiest_share) / static_cast<double>(others);
+  return total * (1 - state_.setup.busiest_share) / static_cast<double>(others);
 }
 
-void RelayWorkload::ScheduleSpend(SimulatedRelay& relay, RateQuota quota) {
+void RelayWorkload::ScheduleRateUnit(SimulatedRelay& relay, RateQuota quota) {
   const Micros wait = state_.RandomInterval(DemandRate(relay, UnitsOf(quota)));
   state_.After(relay, wait, [this, &relay, quota] {
     const SimulatedServer& server = state_.random.Chance(kSlowStartServerShare)
                                         ? state_.servers[slow_start_server_]
                                         : state_.RandomServer();
-    Spend(relay, quota == RateQuota::kSlowStart ? kSlowStartQuotaPrefix + server.name : kRetryQuota);
-    ScheduleSpend(relay, quota);
+    AcquireRateUnit(relay,
+                    quota == RateQuota::kSlowStart ? kSlowStartQuotaPrefix + server.name : kRetryQuota);
+    ScheduleRateUnit(relay, quota);
   });
 }
 
-void RelayWorkload::Spend(SimulatedRelay& relay, const std::string& quota) {
+void RelayWorkload::AcquireRateUnit(SimulatedRelay& relay, const std::string& quota) {
   fleet::Outbox out;
   if (relay.node->TryAcquire(state_.LocalTime(relay), quota, out)) {
     if (state_.Now() >= state_.setup.warm_up) ++spent_units_[quota];
@@ -61,7 +62,7 @@
   network_.Send(relay, out);
 }
 
-void RelayWorkload::Finish() {
+void RelayWorkload::RecordQuotaUtilization() {
   const Micros measured = state_.schedule.length - state_.setup.warm_up;
   for (const auto& [quota, spent] : spent_units_) {
     const std::uint32_t units = UnitsOf(quota == kRetryQuota ? RateQuota::kRetry : RateQuota::kSlowStart);
@@ -143,12 +144,12 @@
   state_.After(relay, state_.RandomInterval(state_.setup.requests_per_s), [this, &relay] {
     const SimulatedServer& server = state_.RandomServer();
     relay.node->OnRequestSent(state_.LocalTime(relay), server.name);
-    Observe(relay, server);
+    ObserveServer(relay, server);
     ScheduleRequest(relay);
   });
 }
 
-void RelayWorkload::Observe(SimulatedRelay& relay, const SimulatedServer& server) {
+void RelayWorkload::ObserveServer(SimulatedRelay& relay, const SimulatedServer& server) {
   const bool failing = relay.faults.server_links_broken || server.failing;
   const auto verdict = failing ? fleet::HealthVerdict::kFailing : fleet::HealthVerdict::kHealthy;
   relay.node->Outliers().Observe(state_.LocalTime(relay), server.name, verdict);
--- a/src/simulation/relay_workload.h
+++ b/src/simulation/relay_workload.h
@@ -1,5 +1,5 @@
-// The traffic of simulated relays: quota units that they want, connections that come and go, and requests to
-// servers with what is observed of these.
+// The traffic of simulated relays: their demand for quota units, client connections, and requests to servers
+// with the outcomes that the relays observe.
 #ifndef STOATRUN_SIMULATION_RELAY_WORKLOAD_H_
 #define STOATRUN_SIMULATION_RELAY_WORKLOAD_H_
 
@@ -15,24 +15,25 @@
 
 namespace stoatrun::simulation {
 
-// Plays the traffic of all relays; each relay's ends with its run. Not thread-safe.
+// Generates the traffic of all relays; each relay's traffic stops when its run ends. Not thread-safe.
 class RelayWorkload {
  public:
   RelayWorkload(SimulationState& state, SimulatedNetwork& network) : state_(state), network_(network) {}
 
-  // Draws the relay with the most demand and the server in slow start, and again every few seconds.
-  void DrawBusiest();
+  // Chooses at random the relay with the most demand and the server in slow start, and repeats this every few
+  // seconds.
+  void DrawHotspots();
   // Starts the traffic of a relay's new run.
   void Start(SimulatedRelay& relay);
-  // Closes connections for units of concurrency quotas that are no longer the relay's.
+  // Closes connections that hold units of concurrency quotas beyond the relay's current share.
   void CloseExcess(SimulatedRelay& relay);
-  // Closes all connections in good order.
+  // Closes all connections; they count as served.
   void CloseAll(SimulatedRelay& relay);
-  // The relay tries the server, and observes whether it fails.
-  void Observe(SimulatedRelay& relay, const SimulatedServer& server);
+  // The relay contacts the server and records whether it fails.
+  void ObserveServer(SimulatedRelay& relay, const SimulatedServer& server);
 
-  // Writes the utilization of rate quotas into the metrics, at the end of a run.
-  void Finish();
+  // Writes the utilization of the rate quotas to the metrics; called at the end of a run.
+  void RecordQuotaUtilization();
 
  private:
   enum class RateQuota { kSlowStart, kRetry };
@@ -40,11 +41,11 @@
   using ConnectionPtr = std::shared_ptr<SimulatedConnection>;
 
   std::uint32_t UnitsOf(RateQuota quota) const;
-  // Units per second that the relay wants of a quota with so many.
+  // How many units per second the relay demands of a quota that has `units`.
   double DemandRate(const SimulatedRelay& relay, std::uint32_t units) const;
 
-  void ScheduleSpend(SimulatedRelay& relay, RateQuota quota);
-  void Spend(SimulatedRelay& relay, const std::string& quota);
+  void ScheduleRateUnit(SimulatedRelay& relay, RateQuota quota);
+  void AcquireRateUnit(SimulatedRelay& relay, const std::string& quota);
 
   void ScheduleConnection(SimulatedRelay& relay);
   void OpenConnection(SimulatedRelay& relay);
@@ -56,7 +57,7 @@
   SimulationState& state_;
   SimulatedNetwork& network_;
   std::size_t busiest_relay_ = 0, slow_start_server_ = 0;
-  std::map<std::string, std::uint64_t> spent_units_;  // Of a rate quota, after the warm-up.
+  std::map<std::string, std::uint64_t> spent_units_;  // By rate quota, since the end of the warm-up.
 };
 
 }  // namespace stoatrun::simulation
--- a/src/simulation/simulated_fleet.cpp
+++ b/src/simulation/simulated_fleet.cpp
@@ -20,14 +20,16 @@
 using std::chrono::seconds;
 
 constexpr Micros kRateWindow = seconds(1);
-constexpr Micros kTick = milliseconds(250);
-// Bounds of the relays' outlier detection, with some room: see FleetDescription.
-constexpr Micros kEvidence = milliseconds(6600), kOwnObservation = milliseconds(4900),
-                 kEjection = milliseconds(2300);
-// A process takes its generation from the wall clock; a restart sometimes finds it set back.
-constexpr double kClockSetBack = 0.2;
+constexpr Micros kTickPeriod = milliseconds(250);
+// Bounds of the relays' outlier detection that the history checker enforces, with some tolerance; see
+// FleetDescription.
+constexpr Micros kMaxEvidenceAge = milliseconds(6600), kOwnSuccessValidity = milliseconds(4900),
+                 kMaxEjection = milliseconds(2300);
+// A process takes its generation from the wall clock. With this probability the wall clock has been set back
+// when a process starts, which gives it a generation of at most kMaxSetBackGeneration.
+constexpr double kClockSetBackProbability = 0.2;
 constexpr std::uint64_t kFirstGeneration = 1'000'000, kMaxSetBackGeneration = 1000;
-// Clocks run fast or slow by up to so much of what is allowed.
+// The largest clock drift of a simulated relay, as a fraction of fleet::kMaxClockDrift.
 constexpr double kClockRateMargin = 0.95;
 
 class SimulatedFleet final : public FaultTarget {
@@ -44,7 +46,7 @@
     for (auto& relay : state_.relays) {
       state_.events.At(state_.RandomMilliseconds(0, 400), [this, k = relay->index] { Start(k); });
     }
-    workload_.DrawBusiest();
+    workload_.DrawHotspots();
     for (const Step& step : state_.schedule.steps) {
       state_.events.At(step.at, [this, &step] {
         state_.history.StepApplied(step);
@@ -73,7 +75,7 @@
     ++state_.servers[server].start;
     state_.history.ServerRestarted(state_.servers[server].name);
     for (auto& relay : state_.relays) {
-      if (relay->node) ListServers(*relay);
+      if (relay->node) SetServerList(*relay);
     }
   }
 
@@ -89,20 +91,22 @@
     relay.paused = false;
     relay.deferred.clear();
     const auto wall_clock = kFirstGeneration + static_cast<std::uint64_t>(state_.Now().count() / 1000);
-    const std::uint64_t generation =
-        state_.random.Chance(kClockSetBack) ? 1 + state_.random.Below(kMaxSetBackGeneration) : wall_clock;
+    const std::uint64_t generation = state_.random.Chance(kClockSetBackProbability)
+                                         ? 1 + state_.random.Below(kMaxSetBackGeneration)
+                                         : wall_clock;
     const std::uint64_t seed = state_.random.Next();
     const fleet::Incarnation incarnation{generation, state_.random.Next() | 1U};
     relay.node = std::make_unique<fleet::Node>(SettingsOf(relay.index), relay.name, incarnation, seed,
                                                state_.LocalTime(relay));
-    ListServers(relay);
+    SetServerList(relay);
     state_.history.RunStarted(relay.name);
-    state_.Repeat(relay, kTick, [this, &relay] { Tick(relay); });
+    state_.Repeat(relay, kTickPeriod, [this, &relay] { Tick(relay); });
     status_.Start(relay);
     workload_.Start(relay);
   }
 
-  // All that came due meanwhile happens at once, in any order, as the first turn of an event loop does it.
+  // Runs everything that came due during the pause at once and in random order, as the first iteration of an
+  // event loop may do.
   void Resume(std::size_t index) override {
     SimulatedRelay& relay = *state_.relays[index];
     if (!relay.paused || !relay.node) return;
@@ -122,7 +126,7 @@
     relay.node.reset();
     relay.connections.clear();
     relay.deferred.clear();
-    relay.checking.clear();
+    relay.pending_checks.clear();
     relay.paused = false;
     ++relay.run;
   }
@@ -179,9 +183,9 @@
     }
     fleet.quotas.push_back({kSlowStartQuotaPrefix, state_.SlowStartUnits(), kRateWindow.count()});
     fleet.max_ejected_fraction = settings.max_ejected_fraction;
-    fleet.evidence_us = kEvidence.count();
-    fleet.own_us = kOwnObservation.count();
-    fleet.ejection_us = kEjection.count();
+    fleet.evidence_us = kMaxEvidenceAge.count();
+    fleet.own_us = kOwnSuccessValidity.count();
+    fleet.ejection_us = kMaxEjection.count();
     return fleet;
   }
 
@@ -191,15 +195,15 @@
         static_cast<double>(state_.relays.size()) * static_cast<double>(state_.schedule.length.count()) / 1e6;
     metrics.datagrams_per_relay_s = static_cast<double>(metrics.datagrams) / relay_seconds;
     metrics.bytes_per_relay_s = static_cast<double>(metrics.datagram_bytes) / relay_seconds;
-    workload_.Finish();
+    workload_.RecordQuotaUtilization();
     for (const auto& relay : state_.relays) {
-      if (relay->ejected_failing_at.count() == 0) continue;
-      const Micros delay = relay->ejected_failing_at - state_.first_failure_at;
+      if (relay->first_failing_ejected_at.count() == 0) continue;
+      const Micros delay = relay->first_failing_ejected_at - state_.first_failure_at;
       metrics.ejection_delays_s.push_back(static_cast<double>(delay.count()) / 1e6);
     }
   }
 
-  void ListServers(SimulatedRelay& relay) {
+  void SetServerList(SimulatedRelay& relay) {
     std::vector<FleetClient::ListedEndpoint> listed;
     for (const SimulatedServer& server : state_.servers) listed.push_back({server.name, server.start});
     relay.node->Outliers().SetEndpoints(listed);
--- a/src/simulation/simulated_network.cpp
+++ b/src/simulation/simulated_network.cpp
@@ -6,9 +6,10 @@
 namespace stoatrun::simulation {
 namespace {
 
-constexpr std::size_t kMaxDeferred = 128;  // Of a paused process; further datagrams are dropped.
+constexpr std::size_t kMaxDeferred =
+    128;  // Callbacks of a paused process; beyond, datagrams to it are dropped.
 constexpr std::uint64_t kFalseObservations = 1000;
-constexpr std::uint64_t kFalseVersionBase = 1'000'000;  // Newer than any true evidence.
+constexpr std::uint64_t kFalseVersionBase = 1'000'000;  // Makes it newer than any true evidence.
 constexpr Micros kFalseValidity = std::chrono::hours(1);
 
 }  // namespace
@@ -36,25 +37,25 @@
   SimulatedRelay& receiver = *state_.relays[receiver_index];
   state_.events.At(state_.Now() + delay,
                    [this, &sender, &receiver, sent = std::make_shared<const fleet::Datagram>(datagram)] {
-                     Arrive(sender, receiver, sent);
+                     Deliver(sender, receiver, sent);
                    });
 }
 
-void SimulatedNetwork::Arrive(const SimulatedRelay& sender, SimulatedRelay& receiver,
-                              const DatagramPtr& datagram) {
+void SimulatedNetwork::Deliver(const SimulatedRelay& sender, SimulatedRelay& receiver,
+                               const DatagramPtr& datagram) {
   if (faults_.Blocks(sender.index, receiver.index) || !receiver.node) return;
   const std::uint64_t sender_run = sender.run;
   if (!receiver.paused) {
-    Process(sender, sender_run, receiver, *datagram);
+    HandleDatagram(sender, sender_run, receiver, *datagram);
   } else if (receiver.deferred.size() < kMaxDeferred) {
     receiver.deferred.emplace_back([this, &sender, sender_run, &receiver, datagram] {
-      Process(sender, sender_run, receiver, *datagram);
+      HandleDatagram(sender, sender_run, receiver, *datagram);
     });
   }
 }
 
-void SimulatedNetwork::Process(const SimulatedRelay& sender, std::uint64_t sender_run,
-                               SimulatedRelay& receiver, const fleet::Datagram& datagram) {
+void SimulatedNetwork::HandleDatagram(const SimulatedRelay& sender, std::uint64_t sender_run,
+                                      SimulatedRelay& receiver, const fleet::Datagram& datagram) {
   if (!receiver.node) return;
   const bool same_run = sender.run == sender_run && sender.node != nullptr;
   if (same_run && contacts_.insert({sender.index, sender_run, receiver.index, receiver.run}).second) {
@@ -74,7 +75,7 @@
   evidence.endpoint_start = server.start;
   evidence.verdict = fleet::HealthVerdict::kFailing;
   evidence.observations = kFalseObservations;
-  evidence.version = kFalseVersionBase + state_.events.Added();
+  evidence.version = kFalseVersionBase + state_.events.AddedCount();
   evidence.age = Micros(0);
   evidence.valid = kFalseValidity;
   datagram.evidence.insert(datagram.evidence.begin(), evidence);
--- a/src/simulation/simulated_network.h
+++ b/src/simulation/simulated_network.h
@@ -1,4 +1,4 @@
-// Carries the datagrams between simulated relays, under the schedule's network faults.
+// Delivers datagrams between simulated relays, with the network faults that the schedule injects.
 #ifndef STOATRUN_SIMULATION_SIMULATED_NETWORK_H_
 #define STOATRUN_SIMULATION_SIMULATED_NETWORK_H_
 
@@ -13,32 +13,32 @@
 
 namespace stoatrun::simulation {
 
-// Delivers at random times, so that datagrams may overtake each other. Not thread-safe.
+// Delays are random, so datagrams may be reordered. Not thread-safe.
 class SimulatedNetwork {
  public:
   // `state` must outlive the network.
   explicit SimulatedNetwork(SimulationState& state) : state_(state) {}
 
-  // Cuts, loss, delay and so on; steps change it.
+  // The network faults in effect; the schedule's steps change them.
   NetworkFaults& Faults() { return faults_; }
 
-  // Sends what a relay has put out, and clears `out`.
+  // Sends the relay's outgoing datagrams and clears `out`.
   void Send(SimulatedRelay& sender, fleet::Outbox& out);
 
  private:
   using DatagramPtr = std::shared_ptr<const fleet::Datagram>;
 
-  // Puts the datagram on its way, or drops it.
+  // Schedules the datagram's delivery, or drops it as lost.
   void Transmit(const SimulatedRelay& sender, std::size_t receiver_index, const fleet::Datagram& datagram);
-  void Arrive(const SimulatedRelay& sender, SimulatedRelay& receiver, const DatagramPtr& datagram);
-  void Process(const SimulatedRelay& sender, std::uint64_t sender_run, SimulatedRelay& receiver,
-               const fleet::Datagram& datagram);
-  // Adds a claim of failures that nobody saw.
+  void Deliver(const SimulatedRelay& sender, SimulatedRelay& receiver, const DatagramPtr& datagram);
+  void HandleDatagram(const SimulatedRelay& sender, std::uint64_t sender_run, SimulatedRelay& receiver,
+                      const fleet::Datagram& datagram);
+  // Adds evidence of failures that no relay observed.
   void AddFalseEvidence(const SimulatedRelay& sender, fleet::Datagram& datagram);
 
   SimulationState& state_;
   NetworkFaults faults_{std::chrono::milliseconds(2)};
-  std::set<std::array<std::uint64_t, 4>> contacts_;  // Sender and its run, receiver and its run.
+  std::set<std::array<std::uint64_t, 4>> contacts_;  // Sender, its run, receiver, its run.
 };
 
 }  // namespace stoatrun::simulation
--- a/src/simulation/simulation_state.cpp
+++ b/src/simulation/simulation_state.cpp
@@ -37,14 +37,14 @@
 void SimulationState::Repeat(SimulatedRelay& relay, Micros period, const std::function<void()>& callback) {
   const auto first = random.Below(static_cast<std::size_t>(period.count()));
   After(relay, Micros(static_cast<std::int64_t>(first)),
-        [this, &relay, period, callback] { RunAndRepeat(relay, period, callback); });
+        [this, &relay, period, callback] { RunAndReschedule(relay, period, callback); });
 }
 
-void SimulationState::RunAndRepeat(SimulatedRelay& relay, Micros period,
-                                   const std::function<void()>& callback) {
+void SimulationState::RunAndReschedule(SimulatedRelay& relay, Micros period,
+                                       const std::function<void()>& callback) {
   callback();
   if (!relay.node) return;
-  After(relay, period, [this, &relay, period, callback] { RunAndRepeat(relay, period, callback); });
+  After(relay, period, [this, &relay, period, callback] { RunAndReschedule(relay, period, callback); });
 }
 
 Micros SimulationState::RandomInterval(double per_second) {
--- a/src/simulation/simulation_state.h
+++ b/src/simulation/simulation_state.h
@@ -1,4 +1,5 @@
-// What the parts of a simulated fleet share: virtual time, randomness, the history, relays and servers.
+// The state that the parts of a simulated fleet share: virtual time, random numbers, the history, relays and
+// servers.
 #ifndef STOATRUN_SIMULATION_SIMULATION_STATE_H_
 #define STOATRUN_SIMULATION_SIMULATION_STATE_H_
 
@@ -22,67 +23,69 @@
 
 namespace stoatrun::simulation {
 
-// Names of the rate quotas; each server in slow start has one of its own.
+// Names of the rate quotas. Each server in slow start has a quota of its own: the prefix and its name.
 inline constexpr const char* kRetryQuota = "retry";
 inline constexpr const char* kSlowStartQuotaPrefix = "cold:";
 
 // A client's connection at a relay.
 struct SimulatedConnection {
   fleet::LocalConnectionCounts::Handle count_handle;
-  std::string quota;  // Of which it holds a unit; empty: none.
+  std::string quota;  // The concurrency quota of which it holds a unit; empty: none.
   bool ended = false;
 };
 
-// A relay: its process, of which there may be none, and the faults under which it is.
+// A relay: its process, if one is running, and the faults injected into it.
 struct SimulatedRelay {
   std::size_t index = 0;
   std::string name;
   std::unique_ptr<fleet::Node> node;  // Null: not running.
-  std::uint64_t run = 0;              // Changes with each start and end.
+  std::uint64_t run = 0;              // Changes whenever the process starts or ends.
   bool paused = false;
-  std::vector<std::function<void()>> deferred;  // What came due while it was paused.
-  // Its monotonic clock against virtual time.
+  std::vector<std::function<void()>> deferred;  // Callbacks that came due while it was paused.
+  // Its monotonic clock reads the offset plus virtual time multiplied by the rate.
   Micros clock_offset{0};
   double clock_rate = 1.0;
 
   RelayFaults faults;
 
   std::vector<std::shared_ptr<SimulatedConnection>> connections;
-  std::set<std::string> checking;                       // Ejected servers that it is about to try itself.
-  Micros ejected_failing_at{0};                         // The first failing server; 0: not yet.
-  std::map<std::string, Micros> wrongly_ejected_since;  // Sound servers, on remote evidence.
+  std::set<std::string> pending_checks;  // Ejected servers for which a health check is scheduled.
+  Micros first_failing_ejected_at{0};    // When it ejected the first failing server; 0: not yet.
+  std::map<std::string, Micros> wrongly_ejected_since;  // Healthy servers ejected on remote evidence.
 };
 
 // A server, the same for all relays.
 struct SimulatedServer {
   std::string name;
   bool failing = false;
-  std::int64_t start = 1;  // Counts its processes.
+  std::int64_t start = 1;  // The number of the server's current process.
 };
 
-// Plain state with the few operations that all parts need. Not thread-safe.
+// The shared state and the operations on it that all parts need. Not thread-safe.
 struct SimulationState {
   SimulationState(const Schedule& played_schedule, const SimulatedFleetSetup& fleet_setup);
 
   // Virtual time.
   Micros Now() const { return events.Now(); }
-  // What the relay's clock reads.
+  // The reading of the relay's monotonic clock.
   Micros LocalTime(const SimulatedRelay& relay) const;
-  // Runs what a process does after the delay: not once its run has ended, and not while it is paused.
+  // Runs the callback of a relay's process after the delay. It is dropped if the run has ended by then, and
+  // deferred until the process resumes if it is paused.
   void After(SimulatedRelay& relay, Micros delay, std::function<void()> callback);
-  // Runs it with this period for the rest of the relay's run, the first time within a period.
+  // Runs the callback periodically until the relay's run ends, the first time at a random moment within one
+  // period.
   void Repeat(SimulatedRelay& relay, Micros period, const std::function<void()>& callback);
-  // The time to the next event of a Poisson process.
+  // A random time to the next event of a Poisson process.
   Micros RandomInterval(double per_second);
-  // Whole milliseconds from the minimum to below the minimum and the range.
+  // A random number of whole milliseconds from `min_ms` to below `min_ms + range_ms`.
   Micros RandomMilliseconds(std::size_t min_ms, std::size_t range_ms);
-  // Each with the same probability.
+  // A server, each with the same probability.
   const SimulatedServer& RandomServer() { return servers[random.Below(servers.size())]; }
 
-  // The quotas' sizes: at least a unit for each relay.
-  std::uint32_t SlowStartUnits() const;  // Of requests to a server in slow start, per window.
-  std::uint32_t RetryUnits() const;      // Of retries, per window.
-  std::uint32_t GroupUnits() const;      // Of a group's connections at one time.
+  // The sizes of the quotas: at least one unit per relay.
+  std::uint32_t SlowStartUnits() const;  // Requests to one server in slow start, per window.
+  std::uint32_t RetryUnits() const;      // Retries per window.
+  std::uint32_t GroupUnits() const;      // Concurrent connections of one group.
 
   const Schedule& schedule;
   const SimulatedFleetSetup& setup;
@@ -92,11 +95,11 @@
   SimulatedFleetMetrics metrics;
   std::vector<std::unique_ptr<SimulatedRelay>> relays;  // By index.
   std::vector<SimulatedServer> servers;                 // By index.
-  std::string first_failing_server;                     // By the schedule's steps; empty: none yet.
+  std::string first_failing_server;                     // Failed by a step of the schedule; empty: none yet.
   Micros first_failure_at{0};
 
  private:
-  void RunAndRepeat(SimulatedRelay& relay, Micros period, const std::function<void()>& callback);
+  void RunAndReschedule(SimulatedRelay& relay, Micros period, const std::function<void()>& callback);
 };
 
 }  // namespace stoatrun::simulation
--- a/src/simulation/status_recorder.cpp
+++ b/src/simulation/status_recorder.cpp
@@ -48,11 +48,11 @@
 }
 
 void StatusRecorder::MeasureEjectionDelay(SimulatedRelay& relay, const std::set<std::string>& ejected) {
-  if (state_.first_failure_at.count() == 0 || relay.ejected_failing_at.count() > 0) return;
+  if (state_.first_failure_at.count() == 0 || relay.first_failing_ejected_at.count() > 0) return;
   const auto own = relay.node->Outliers().OwnVerdict(state_.LocalTime(relay), state_.first_failing_server);
   const bool on_own_evidence = own && *own != fleet::HealthVerdict::kHealthy;
   if (on_own_evidence || ejected.contains(state_.first_failing_server)) {
-    relay.ejected_failing_at = state_.Now();
+    relay.first_failing_ejected_at = state_.Now();
   }
 }
 
@@ -71,10 +71,10 @@
 }
 
 void StatusRecorder::ScheduleCheck(SimulatedRelay& relay, const std::string& server) {
-  if (!relay.checking.insert(server).second) return;
+  if (!relay.pending_checks.insert(server).second) return;
   state_.After(relay, state_.RandomMilliseconds(50, 1500), [this, &relay, server] {
-    relay.checking.erase(server);
-    workload_.Observe(relay, state_.servers[IndexFromName(server)]);
+    relay.pending_checks.erase(server);
+    workload_.ObserveServer(relay, state_.servers[IndexFromName(server)]);
   });
 }
 
--- a/src/simulation/status_recorder.h
+++ b/src/simulation/status_recorder.h
@@ -1,4 +1,4 @@
-// Records what simulated relays report of themselves and of the fleet, and measures how they eject servers.
+// Records the simulated relays' reports about themselves and the fleet, and measures their ejections.
 #ifndef STOATRUN_SIMULATION_STATUS_RECORDER_H_
 #define STOATRUN_SIMULATION_STATUS_RECORDER_H_
 
@@ -10,14 +10,15 @@
 
 namespace stoatrun::simulation {
 
-// Reads the relays' modules as the status page of a process does. Not thread-safe.
+// Reads the same state of the fleet modules as the status page of a relay process. Not thread-safe.
 class StatusRecorder {
  public:
   StatusRecorder(SimulationState& state, RelayWorkload& workload) : state_(state), workload_(workload) {}
 
   // Starts the recording of a relay's new run.
   void Start(SimulatedRelay& relay);
-  // Records the relay's own connection counts, and measures faults in what it believes.
+  // Records the relay's own connection counts, and counts inconsistent ones and members falsely marked as
+  // duplicates.
   void RecordCounts(SimulatedRelay& relay);
 
  private:
@@ -25,7 +26,7 @@
   void RecordEjected(SimulatedRelay& relay);
   void MeasureEjectionDelay(SimulatedRelay& relay, const std::set<std::string>& ejected);
   void MeasureWrongEjections(SimulatedRelay& relay, const std::set<std::string>& ejected);
-  // The relay soon tries an ejected server itself, as its health checks do.
+  // Schedules a request of the relay to an ejected server, as a health check would send it.
   void ScheduleCheck(SimulatedRelay& relay, const std::string& server);
 
   SimulationState& state_;
