--- a/tests/balancer/balancer_replay_program.sh
+++ b/tests/balancer/balancer_replay_program.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# balancer_replay accepts a recording whose actions match, reports the first that differs, and names malformed
-# files.
+# balancer_replay accepts a recording whose actions match, reports the first action that differs, and reports
+# malformed files with file name and line.
 set -u
 balancer_replay=$1
 fail() { echo "$1"; exit 1; }
@@ -23,10 +23,10 @@
 echo "$out" | grep -q 'differing.txt:6: batch 3 differs' || fail "the message must name the line: $out"
 sed '$d' recorded.txt | sed '2d' > truncated.txt
 "$balancer_replay" truncated.txt 2>err.txt; [ $? = 2 ] || fail "a batch without its reply must exit 2"
-grep -q 'truncated.txt:2: a batch before' err.txt || fail "message: $(cat err.txt)"
+grep -q 'truncated.txt:2: a batch of events before the reply' err.txt || fail "message: $(cat err.txt)"
 sed '$d' recorded.txt > truncated.txt
 "$balancer_replay" truncated.txt 2>err.txt; [ $? = 2 ] || fail "a truncated recording must exit 2"
-grep -q 'ends before the reply' err.txt || fail "message: $(cat err.txt)"
+grep -q 'the file ends before the reply' err.txt || fail "message: $(cat err.txt)"
 "$balancer_replay" events.none 2>err.txt; [ $? = 2 ] || fail "a missing file must exit 2"
 echo "{\"atTime\":5}" > bad.txt
 "$balancer_replay" bad.txt 2>err.txt; [ $? = 2 ] || fail "a malformed batch must exit 2"
--- a/tests/simulation/schedules_test.cpp
+++ b/tests/simulation/schedules_test.cpp
@@ -140,9 +140,9 @@
   fleet::injected_fault = Fault::kNone;
   std::size_t played = 0;
   for (const auto& entry : std::filesystem::directory_iterator(FLEET_SCHEDULES)) {
-    std::ifstream in(entry.path());
+    std::ifstream file(entry.path());
     std::ostringstream text;
-    text << in.rdbuf();
+    text << file.rdbuf();
     const Schedule schedule = Schedule::Parse(text.str(), entry.path().filename().string());
     const history::Findings findings = PlayAndCheck(schedule);
     if (!findings.Sound()) FAIL(entry.path() << ": " << findings.violations[0].what);
--- a/tools/fleet_measure.cpp
+++ b/tools/fleet_measure.cpp
@@ -1,6 +1,8 @@
-// Measures a simulated fleet and prints CSV: `fleet_measure >metrics.csv`. Each experiment is played with
-// several seeds; a row gives the median, the least and the greatest value of one metric. bench/fleet_plots.py
-// draws it.
+// Measures simulated fleets and prints CSV: `fleet_measure >metrics.csv`. Each experiment runs with several
+// seeds; a row gives the median, minimum and maximum of one metric. bench/fleet_plots.py plots the rows.
+//
+// The names of experiments, conditions and metrics are part of the output: bench/fleet_plots.py names its
+// files after them.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -32,10 +34,10 @@
 using stoatrun::simulation::SimulatedFleetSetup;
 using stoatrun::simulation::Step;
 
-// Values of metrics by their names in the CSV.
+// Metric values by their names in the CSV.
 using Metrics = std::map<std::string, double>;
 
-// Fleets so large take long: they are played with fewer seeds.
+// Fleets of at least this size run with fewer seeds, since each run takes long.
 constexpr std::size_t kLargeFleet = 1000;
 constexpr std::uint64_t kMaxLargeFleetSeeds = 2;
 
@@ -56,7 +58,7 @@
   return schedule;
 }
 
-// A setup with little traffic of which no history is needed.
+// A setup with little traffic and without a history.
 SimulatedFleetSetup QuietSetup() {
   SimulatedFleetSetup setup;
   setup.record_history = false;
@@ -65,7 +67,7 @@
   return setup;
 }
 
-// -1 if there are no values.
+// Returns -1 if there are no values.
 double Percentile(std::vector<double> values, double fraction) {
   if (values.empty()) return -1;
   std::sort(values.begin(), values.end());
@@ -74,9 +76,9 @@
 
 enum class QuotaDemand { kOneRelay, kAllRelays };
 
-// How much of a quota is used if one relay wants far more than there is and the others nothing, or all want
-// as much.
-Experiment QuotaUse(std::size_t relays, QuotaDemand demand, bool sharing) {
+// How much of a quota is used if a single relay demands five times the quota, or if all relays together
+// demand at least three times the quota in equal shares.
+Experiment QuotaUtilization(std::size_t relays, QuotaDemand demand, bool sharing) {
   const bool one = demand == QuotaDemand::kOneRelay;
   Experiment experiment;
   experiment.name = "budget used";
@@ -104,8 +106,8 @@
   return experiment;
 }
 
-// How old and how wide the fleet's totals are under these faults.
-Experiment Totals(std::size_t relays, const std::string& condition, const std::vector<Step>& steps) {
+// The age of the fleet's totals and the width of their intervals under the given faults.
+Experiment FleetTotals(std::size_t relays, const std::string& condition, const std::vector<Step>& steps) {
   Experiment experiment;
   experiment.name = "totals";
   experiment.condition = condition;
@@ -131,7 +133,7 @@
   return experiment;
 }
 
-// How fast relays eject a server that begins to fail, with few requests each.
+// How fast relays eject a server that starts to fail, at a low request rate.
 Experiment FailingServer(std::size_t relays, bool sharing) {
   constexpr auto kFailsAt = seconds(15);
   constexpr auto kLength = seconds(70);
@@ -151,7 +153,7 @@
     std::vector<double> delays_s = results.metrics.ejection_delays_s;
     metrics["relays that avoided it, part"] =
         static_cast<double>(delays_s.size()) / static_cast<double>(relays);
-    // Those that did not within the time count with all of it.
+    // Relays that did not eject it count with the whole remaining time.
     delays_s.resize(relays, static_cast<double>((kLength - kFailsAt).count()));
     metrics["until half avoid it, s"] = Percentile(delays_s, 0.5);
     metrics["until nine in ten avoid it, s"] = Percentile(delays_s, 0.9);
@@ -159,7 +161,7 @@
   return experiment;
 }
 
-// How long sound servers are ejected if three relays see failures at all of them.
+// How long healthy servers are ejected if up to three relays see failures of all servers.
 Experiment WrongEvidence(std::size_t relays) {
   Experiment experiment;
   experiment.name = "sound server wrongly judged";
@@ -183,7 +185,7 @@
   return experiment;
 }
 
-// How many datagrams and bytes relays send without faults.
+// How many datagrams and bytes the relays send without faults.
 Experiment Traffic(std::size_t relays, double demand) {
   Experiment experiment;
   experiment.name = "traffic";
@@ -201,7 +203,7 @@
   return experiment;
 }
 
-// The names of the first third of the relays, as a schedule lists them.
+// The first third of the relays as a list in the schedule format.
 std::string FirstThird(std::size_t relays) {
   std::string names;
   for (std::size_t k = 0; k < std::max<std::size_t>(1, relays / 3); ++k) {
@@ -214,14 +216,14 @@
   std::vector<Experiment> all;
   for (const std::size_t relays : {std::size_t{3}, std::size_t{10}, std::size_t{30}, std::size_t{100}}) {
     for (const bool sharing : {true, false}) {
-      all.push_back(QuotaUse(relays, QuotaDemand::kOneRelay, sharing));
-      all.push_back(QuotaUse(relays, QuotaDemand::kAllRelays, sharing));
+      all.push_back(QuotaUtilization(relays, QuotaDemand::kOneRelay, sharing));
+      all.push_back(QuotaUtilization(relays, QuotaDemand::kAllRelays, sharing));
     }
-    all.push_back(Totals(relays, "no loss", {}));
-    all.push_back(Totals(relays, "30% lost", {{milliseconds(0), FaultAction::kSetLoss, {"30"}}}));
-    all.push_back(Totals(relays, "60% lost", {{milliseconds(0), FaultAction::kSetLoss, {"60"}}}));
-    all.push_back(Totals(relays, "a third cut off from 20 s on",
-                         {{seconds(20), FaultAction::kPartition, {FirstThird(relays)}}}));
+    all.push_back(FleetTotals(relays, "no loss", {}));
+    all.push_back(FleetTotals(relays, "30% lost", {{milliseconds(0), FaultAction::kSetLoss, {"30"}}}));
+    all.push_back(FleetTotals(relays, "60% lost", {{milliseconds(0), FaultAction::kSetLoss, {"60"}}}));
+    all.push_back(FleetTotals(relays, "a third cut off from 20 s on",
+                              {{seconds(20), FaultAction::kPartition, {FirstThird(relays)}}}));
   }
   for (const std::size_t relays : {std::size_t{3}, std::size_t{30}, std::size_t{100}, kLargeFleet}) {
     all.push_back(FailingServer(relays, true));
@@ -233,7 +235,7 @@
   return all;
 }
 
-// Plays the experiment with each seed, in a thread of its own.
+// Runs the experiment with each seed in a separate thread.
 std::vector<Metrics> RunExperiment(const Experiment& experiment, std::uint64_t seeds) {
   if (experiment.relays >= kLargeFleet) seeds = std::min(seeds, kMaxLargeFleetSeeds);
   std::vector<Metrics> metrics(seeds);
@@ -252,7 +254,7 @@
   for (const auto& [name, first_value] : metrics.front()) {
     std::vector<double> values;
     values.reserve(metrics.size());
-    for (const Metrics& of_seed : metrics) values.push_back(of_seed.at(name));
+    for (const Metrics& seed_metrics : metrics) values.push_back(seed_metrics.at(name));
     std::cout << fmt::format("{},{},\"{}\",\"{}\",{:.4g},{:.4g},{:.4g}\n", experiment.name, experiment.relays,
                              experiment.condition, name, Percentile(values, 0.5), Percentile(values, 0),
                              Percentile(values, 1))
@@ -261,13 +263,13 @@
 }
 
 int Main(int argc, char** argv) {
-  CLI::App app("Measures a simulated fleet; CSV on standard output.");
+  CLI::App app("Measures simulated fleets and prints CSV to standard output.");
   std::uint64_t seeds = 5;
   std::size_t max_relays = 1000;
   std::string only;
-  app.add_option("--seeds", seeds)->check(CLI::Range(1, 1000));
+  app.add_option("--seeds", seeds, "runs per experiment")->check(CLI::Range(1, 1000));
   app.add_option("--most", max_relays, "largest fleet")->check(CLI::Range(3, 4000));
-  app.add_option("--only", only, "experiments whose name begins so");
+  app.add_option("--only", only, "only experiments whose names have this prefix");
   CLI11_PARSE(app, argc, argv);
   std::cout << "experiment,relays,condition,figure,median,least,most\n";
   for (const Experiment& experiment : AllExperiments()) {
--- a/tools/fleet_schedules.cpp
+++ b/tools/fleet_schedules.cpp
@@ -1,5 +1,6 @@
-// Plays fault schedules of a simulated fleet and checks each history: `fleet_schedules --seeds 10000`. Prints
-// the violations, with the schedules shrunk. Exit status: 0 none, 2 error, 3 a bound was violated.
+// Runs fault schedules on a simulated fleet and checks each history: `fleet_schedules --seeds 10000`. Prints
+// the first violation of each failing schedule and the shrunk schedule. Exit status: 0 no violation, 2 error,
+// 3 a bound or another invariant was violated.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -37,23 +38,23 @@
   std::size_t relays = 5;
   std::uint64_t seconds = 30;
   std::size_t threads = std::max(1U, std::thread::hardware_concurrency());
-  std::string file;           // One schedule to play instead.
-  std::string output_folder;  // For schedules that violated a bound; empty: they are printed only.
+  std::string file;           // Run only this schedule; empty: generated ones.
+  std::string output_folder;  // Shrunk schedules are also written here, unless empty.
 };
 
-// Plays generated schedules of a range of seeds in several threads and adds up what was found.
+// Runs the generated schedules of a range of seeds in several threads and sums up the results.
 class ScheduleRuns {
  public:
   explicit ScheduleRuns(const Options& options) : options_(options), next_seed_(options.first) {}
 
-  // The exit status.
+  // Returns the exit status.
   int Run() {
     std::vector<std::thread> threads;
     for (std::size_t k = 0; k < options_.threads; ++k) threads.emplace_back([this] { PlaySeeds(); });
     for (std::thread& thread : threads) thread.join();
     Report();
-    const std::size_t faults = violated_ + oversized_ + unbalanced_ + false_duplicates_;
-    return faults == 0 ? 0 : kExitViolation;
+    const std::size_t failures = violated_ + oversized_ + unbalanced_ + false_duplicates_;
+    return failures == 0 ? 0 : kExitViolation;
   }
 
  private:
@@ -99,8 +100,9 @@
 
   void Report() const {
     std::cout << fmt::format(
-        "{} schedules, {} broke a bound; checked {} spends, {} holds, {} sums, {} lists of avoided servers\n"
-        "datagrams too large: {}, accounts that did not balance: {}, relays taken for twins: {}\n",
+        "{} schedules, {} violated a bound; checked {} spent rate units, {} acquired concurrency units, "
+        "{} reported totals, {} reported lists of ejected servers\n"
+        "oversized datagrams: {}, unbalanced connection counts: {}, relays mistaken for duplicates: {}\n",
         played_, violated_, rate_units_spent_, units_acquired_, total_reports_, ejection_reports_, oversized_,
         unbalanced_, false_duplicates_);
   }
@@ -113,11 +115,11 @@
   std::size_t oversized_ = 0, unbalanced_ = 0, false_duplicates_ = 0;
 };
 
-// Prints the history of one schedule; violations go to standard error.
+// Runs one schedule; its history goes to standard output, violations to standard error.
 int PlayFile(const std::string& path) {
   std::ifstream file(path);
   std::ostringstream text;
-  if (!file || !(text << file.rdbuf())) throw std::runtime_error(path + ": can't be read");
+  if (!file || !(text << file.rdbuf())) throw std::runtime_error(path + ": cannot be read");
   const SimulatedFleetResults results = Play(Schedule::Parse(text.str(), path));
   std::cout << results.history;
   const Findings findings = Check(results.history);
@@ -128,15 +130,15 @@
 }
 
 int Main(int argc, char** argv) {
-  CLI::App app("Plays fault schedules of a simulated fleet and checks what happened.");
+  CLI::App app("Runs fault schedules on a simulated fleet and checks the histories.");
   Options options;
   app.add_option("--first", options.first, "first seed");
-  app.add_option("--seeds", options.seeds, "how many");
-  app.add_option("--relays", options.relays)->check(CLI::Range(1, 4096));
-  app.add_option("--seconds", options.seconds, "of each schedule")->check(CLI::Range(1, 3600));
+  app.add_option("--seeds", options.seeds, "number of seeds");
+  app.add_option("--relays", options.relays, "relays in the fleet")->check(CLI::Range(1, 4096));
+  app.add_option("--seconds", options.seconds, "length of each schedule")->check(CLI::Range(1, 3600));
   app.add_option("--threads", options.threads)->check(CLI::Range(1, 256));
-  app.add_option("--file", options.file, "one schedule, as text; its history goes to standard output");
-  app.add_option("--keep", options.output_folder, "folder for shrunk schedules that broke a bound");
+  app.add_option("--file", options.file, "run only this schedule; its history goes to standard output");
+  app.add_option("--keep", options.output_folder, "folder for shrunk schedules that violate a bound");
   CLI11_PARSE(app, argc, argv);
   return options.file.empty() ? ScheduleRuns(options).Run() : PlayFile(options.file);
 }
