--- a/src/simulation/schedule.h
+++ b/src/simulation/schedule.h
@@ -7,14 +7,16 @@
 // milliseconds from the start of the run.
 //
 //   cut A B, heal A B         datagrams from A to B (one direction) are dropped; are delivered again
-//   split A,B,... ; join      a partition between the listed relays and the rest; ends all cuts and
-//   partitions loss PERCENT              this percentage of datagrams is dropped double PERCENT this
-//   percentage of datagrams is delivered twice corrupt PERCENT           this percentage of datagrams has one
-//   byte changed (processes only) delay FROM_MS TO_MS       uniform one-way delay; datagrams are reordered if
-//   TO exceeds FROM garbage A N               relay A receives N invalid datagrams that no peer sent
-//   (processes only) pause A, continue A       the process is stopped (SIGSTOP) and resumed (SIGCONT) kill A,
-//   start A           SIGKILL; a new run without state of the previous one leave A                   graceful
-//   shutdown twin A, untwin A          a second process is started under A's name; is killed (processes only)
+//   split A,B,... ; join      a partition between the listed relays and the rest; ends all cuts, partitions
+//   loss PERCENT              this percentage of datagrams is dropped
+//   double PERCENT            this percentage of datagrams is delivered twice
+//   corrupt PERCENT           this percentage of datagrams has one byte changed (processes only)
+//   delay FROM_MS TO_MS       uniform one-way delay; datagrams are reordered if TO exceeds FROM
+//   garbage A N               relay A receives N invalid datagrams that no peer sent (processes only)
+//   pause A, continue A       the process is stopped (SIGSTOP) and resumed (SIGCONT)
+//   kill A, start A           SIGKILL; a new run without state of the previous one
+//   leave A                   graceful shutdown
+//   twin A, untwin A          a second process starts under A's name; is killed (processes only)
 //   remove A                  A is removed from its peers' operator files (processes only)
 //   bad S, good S             server S fails all requests; recovers
 //   renew S                   server S is replaced by a new process
