--- a/simulator_adapter/action_writer.cpp
+++ b/simulator_adapter/action_writer.cpp
@@ -9,49 +9,50 @@
 namespace stoatrun {
 namespace {
 
-constexpr std::size_t kMaxDigits = 24;  // Of a 64-bit number.
+constexpr std::size_t kMaxDigits = 24;  // Holds any 64-bit number.
 
-// The number of a typed id.
+// The underlying integer of a strongly typed id.
 template <typename Id>
-std::uint64_t NumberOf(Id id) {
+std::uint64_t ToNumber(Id id) {
   static_assert(std::is_enum_v<Id>);
   return static_cast<std::uint64_t>(id);
 }
 
-// A duration on the wire: microseconds, none below 0.
-std::uint64_t MicrosOf(balancer::Micros duration) {
+// The wire protocol has unsigned durations in microseconds; negative ones become 0.
+std::uint64_t ToWireMicros(balancer::Micros duration) {
   return static_cast<std::uint64_t>(std::max<balancer::Micros::rep>(duration.count(), 0));
 }
 
 }  // namespace
 
 void ActionWriter::operator()(const balancer::SendAttempt& action) {
-  AppendCommand("Send", {NumberOf(action.id), NumberOf(action.endpoint), MicrosOf(action.timeout)});
+  AppendCommand("Send", {ToNumber(action.id), ToNumber(action.endpoint), ToWireMicros(action.timeout)});
 }
 
 void ActionWriter::operator()(const balancer::CancelAttempt& action) {
-  AppendCommand("CallOff", {NumberOf(action.id), action.attempt});
+  AppendCommand("CallOff", {ToNumber(action.id), action.attempt});
 }
 
 void ActionWriter::operator()(const balancer::RejectRequest& action) {
-  AppendCommand("NotNow", {NumberOf(action.id), MicrosOf(action.retry_after)});
+  AppendCommand("NotNow", {ToNumber(action.id), ToWireMicros(action.retry_after)});
 }
 
 void ActionWriter::operator()(const balancer::FailRequest& action) {
-  AppendCommand("Surrender", {NumberOf(action.id)});
+  AppendCommand("Surrender", {ToNumber(action.id)});
 }
 
 void ActionWriter::operator()(const balancer::MigrateConnection& action) {
-  AppendCommand("Migrate", {NumberOf(action.id)});
+  AppendCommand("Migrate", {ToNumber(action.id)});
 }
 
 void ActionWriter::operator()(const balancer::ProbeEndpoint& action) {
-  AppendCommand("AskLoad", {NumberOf(action.endpoint)});
+  AppendCommand("AskLoad", {ToNumber(action.endpoint)});
 }
 
 void ActionWriter::operator()(const balancer::StartTimer& action) {
-  constexpr std::uint64_t kNonce = 0;  // The balancer has one timer; the simulator echoes this.
-  AppendCommand("SetTimer", {MicrosOf(action.delay), kNonce});
+  // The simulator echoes the nonce. It identifies nothing, because the balancer has a single timer.
+  constexpr std::uint64_t kNonce = 0;
+  AppendCommand("SetTimer", {ToWireMicros(action.delay), kNonce});
 }
 
 void ActionWriter::operator()(const balancer::WatchEndpoints& /*action*/) {
--- a/simulator_adapter/action_writer.h
+++ b/simulator_adapter/action_writer.h
@@ -1,4 +1,4 @@
-// Writes the balancer's actions as commands of the simulator's wire.
+// Serializes the balancer's actions as commands of the simulator's wire protocol.
 #ifndef STOATRUN_SIMULATOR_ADAPTER_ACTION_WRITER_H_
 #define STOATRUN_SIMULATOR_ADAPTER_ACTION_WRITER_H_
 
@@ -11,13 +11,12 @@
 
 namespace stoatrun {
 
-// A visitor for balancer::Action. Each call appends one command to `reply`, whose last character is the `[`
-// of the command list or the end of a command.
+// A visitor for balancer::Action. Each call appends one command to `reply`, which must end with the opening
+// `[` of the command list or with a complete command.
 class ActionWriter {
  public:
   ActionWriter(std::string& reply, std::uint64_t instance_id) : reply_(reply), instance_id_(instance_id) {}
 
-  // One overload for each kind of action.
   void operator()(const balancer::SendAttempt& action);
   void operator()(const balancer::CancelAttempt& action);
   void operator()(const balancer::RejectRequest& action);
--- a/simulator_adapter/adapter.cpp
+++ b/simulator_adapter/adapter.cpp
@@ -43,7 +43,7 @@
   const auto found = instances_.find(instance_id);
   Instance* instance = found == instances_.end() ? nullptr : found->second.get();
   static const std::vector<ReportField> kNoFields;
-  // A message to an unknown instance is read as well, so that a malformed one is an error in any case.
+  // Messages to unknown instances are parsed too, so that a malformed message is always an error.
   const std::optional<balancer::Event> event =
       ReadEvent(type, message, instance == nullptr ? kNoFields : instance->report_fields);
   if (!event || instance == nullptr) return;
--- a/simulator_adapter/adapter.h
+++ b/simulator_adapter/adapter.h
@@ -1,8 +1,8 @@
-// Connects the simulator's JSON wire to the balancer library: messages become events, actions become
-// commands. It decides nothing itself.
+// Connects the simulator's JSON wire protocol to the balancer library: translates messages to events and
+// actions to commands. Contains no balancing logic.
 //
-// The wire is one JSON object per line in each direction: a batch of messages with a time, and the commands
-// that answer it. Not thread-safe; the program handles one line at a time.
+// The protocol has one JSON object per line in each direction: a batch of messages with a timestamp, and the
+// commands that answer it. Not thread-safe.
 #ifndef STOATRUN_SIMULATOR_ADAPTER_ADAPTER_H_
 #define STOATRUN_SIMULATOR_ADAPTER_ADAPTER_H_
 
@@ -22,18 +22,18 @@
 
 namespace stoatrun {
 
-// A line doesn't follow the wire protocol. what() names the field.
+// Thrown for a line that violates the wire protocol. what() names the field.
 using WireError = JsonError;
 
-// Hosts any number of balancer instances, which share nothing but the JSON parser.
+// Hosts any number of independent balancer instances; they share only the JSON parser.
 class SimulatorAdapter {
  public:
   SimulatorAdapter() = default;
   SimulatorAdapter(const SimulatorAdapter&) = delete;
   SimulatorAdapter& operator=(const SimulatorAdapter&) = delete;
 
-  // Handles one batch (a line without its end) and returns the reply (likewise). Throws WireError; batches
-  // after an error are not defined, as part of the batch may have been handled.
+  // Handles one batch and returns the reply, both without a line terminator. Throws WireError; the adapter's
+  // state is then unspecified, because part of the batch may have been handled.
   std::string HandleLine(std::string_view line);
 
  private:
@@ -50,7 +50,7 @@
   simdjson::dom::parser parser_;
   balancer::Micros now_{0};
   std::unordered_map<std::uint64_t, std::unique_ptr<Instance>> instances_;  // Never iterated.
-  std::vector<balancer::Action> actions_;                                   // Reused for each message.
+  std::vector<balancer::Action> actions_;                                   // Reused between messages.
 };
 
 }  // namespace stoatrun
--- a/simulator_adapter/event_reader.cpp
+++ b/simulator_adapter/event_reader.cpp
@@ -19,43 +19,43 @@
 using balancer::RequestId;
 using ReportFields = std::vector<ReportField>;
 
-// The kinds of a Notice that concern the balancer.
+// The kinds of Notice that the balancer handles; others are ignored.
 constexpr std::uint64_t kNoticeLoad = 1;
 constexpr std::uint64_t kNoticeMessageLatency = 2;
 constexpr double kMicrosPerMilli = 1000.0;
 
 std::optional<LoadReport> ReadReport(MessageReader& message, const ReportFields& fields) {
   const json::element* values = message.Optional();
-  const std::string where = message.Where("feedback");
+  const std::string path = message.FieldPath("feedback");
   if (values == nullptr) return std::nullopt;
   LoadReport report;
   std::size_t index = 0;
-  for (const json::element value : json::AsArray(*values, where)) {
+  for (const json::element value : json::AsArray(*values, path)) {
     const ReportField field = index < fields.size() ? fields[index] : ReportField::kOther;
     ++index;
     if (json::IsNull(value)) continue;
-    SetField(report, field, json::AsNumber(value, where));
+    SetField(report, field, json::AsNumber(value, path));
   }
   return report;
 }
 
 Outcome ParseOutcome(std::string_view ending) {
-  struct Name {
+  struct OutcomeName {
     std::string_view ending;
     Outcome outcome;
   };
-  static constexpr std::array<Name, 8> kNames{{{"pass", Outcome::kServed},
-                                               {"fault", Outcome::kError},
-                                               {"no_room", Outcome::kRejected},
-                                               {"too_slow", Outcome::kTimedOut},
-                                               {"no_route", Outcome::kNotConnected},
-                                               {"cut", Outcome::kConnectionLost},
-                                               {"undone", Outcome::kCancelled},
-                                               {"stale_send", Outcome::kNotSent}}};
-  for (const Name& name : kNames) {
+  static constexpr std::array<OutcomeName, 8> kOutcomes{{{"pass", Outcome::kServed},
+                                                         {"fault", Outcome::kError},
+                                                         {"no_room", Outcome::kRejected},
+                                                         {"too_slow", Outcome::kTimedOut},
+                                                         {"no_route", Outcome::kNotConnected},
+                                                         {"cut", Outcome::kConnectionLost},
+                                                         {"undone", Outcome::kCancelled},
+                                                         {"stale_send", Outcome::kNotSent}}};
+  for (const OutcomeName& name : kOutcomes) {
     if (name.ending == ending) return name.outcome;
   }
-  return Outcome::kUnknown;  // The request may have been executed.
+  return Outcome::kUnknown;  // The endpoint may have executed the request.
 }
 
 balancer::Endpoint ReadEndpoint(MessageReader& row) {
@@ -64,14 +64,16 @@
   balancer::Endpoint endpoint;
   endpoint.id = EndpointId(row.Unsigned("server"));
   endpoint.zone = balancer::ZoneId(static_cast<std::uint32_t>(row.UnsignedOr("failureDomain", 0)));
-  row.Optional();  // The machine kind is not used.
+  row.Optional();  // Skips the machine type, which is not used.
   endpoint.cell = balancer::CellId(row.UnsignedOr("bay", 0));
   const std::uint64_t state = row.Unsigned("stageState");
-  if (state >= kStates.size()) json::Fail(row.Where("stageState"), "expected 0 to 2");
+  if (state >= kStates.size()) json::Fail(row.FieldPath("stageState"), "expected 0 to 2");
   endpoint.state = kStates[state];
-  if (const json::element* size = row.Optional()) endpoint.size = json::AsNumber(*size, row.Where("size"));
+  if (const json::element* size = row.Optional()) {
+    endpoint.size = json::AsNumber(*size, row.FieldPath("size"));
+  }
   if (const json::element* started = row.Optional()) {
-    endpoint.started_at = Micros(json::AsSigned(*started, row.Where("startedAt")));
+    endpoint.started_at = Micros(json::AsSigned(*started, row.FieldPath("startedAt")));
   }
   endpoint.name_hash = static_cast<std::uint64_t>(endpoint.id);
   return endpoint;
@@ -82,16 +84,16 @@
                                      EndpointUpdate::Kind::kCached, EndpointUpdate::Kind::kFailed};
   EndpointUpdate update;
   const std::uint64_t kind = message.Unsigned("form");
-  if (kind >= kKinds.size()) json::Fail(message.Where("form"), "expected 0 to 3");
+  if (kind >= kKinds.size()) json::Fail(message.FieldPath("form"), "expected 0 to 3");
   update.kind = kKinds[kind];
   message.UnsignedOr("generation", 0);
   const json::element* rows = message.Optional();
   if (rows == nullptr) {
-    if (update.kind != EndpointUpdate::Kind::kFailed) json::Fail(message.Where("rows"), "missing");
+    if (update.kind != EndpointUpdate::Kind::kFailed) json::Fail(message.FieldPath("rows"), "missing");
     return update;
   }
-  for (const json::element value : json::AsArray(*rows, message.Where("rows"))) {
-    MessageReader row(value, message.Where("rows"));
+  for (const json::element value : json::AsArray(*rows, message.FieldPath("rows"))) {
+    MessageReader row(value, message.FieldPath("rows"));
     update.entries.push_back(ReadEndpoint(row));
   }
   return update;
@@ -102,13 +104,13 @@
   request.id = RequestId(message.Unsigned("xid"));
   request.class_id = balancer::ClassId(static_cast<std::uint32_t>(message.Unsigned("category")));
   message.UnsignedOr("owner", 0);
-  if (const json::element* key = message.Optional()) json::AsText(*key, message.Where("entity"));
+  if (const json::element* key = message.Optional()) json::AsText(*key, message.FieldPath("entity"));
   request.deadline = Micros(message.Signed("deadline"));
   if (const json::element* hint = message.Optional()) {
-    request.load_hint = json::AsNumber(*hint, message.Where("expected"));
+    request.load_hint = json::AsNumber(*hint, message.FieldPath("expected"));
   }
   if (const json::element* group = message.Optional()) {
-    request.affinity_group = HashName(json::AsText(*group, message.Where("group")));
+    request.affinity_group = HashName(json::AsText(*group, message.FieldPath("group")));
   }
   message.BoolOr("againByClient", false);
   message.BoolOr("stray", false);
@@ -180,8 +182,8 @@
     message.Unsigned("nonce");
     return balancer::TimerFired{};
   }
-  if (type == "PeerData") return std::nullopt;  // Instances don't send each other data.
-  json::Fail(message.Where("type"), "unknown message");
+  if (type == "PeerData") return std::nullopt;  // Instances exchange no data.
+  json::Fail(message.FieldPath("type"), "unknown message");
 }
 
 }  // namespace stoatrun
--- a/simulator_adapter/event_reader.h
+++ b/simulator_adapter/event_reader.h
@@ -1,5 +1,5 @@
-// Maps the simulator's messages to the balancer's events. Pure; this is the only place that knows their field
-// names and codes.
+// Parses the simulator's messages into the balancer's events. Stateless; message field names and codes are
+// defined only here.
 #ifndef STOATRUN_SIMULATOR_ADAPTER_EVENT_READER_H_
 #define STOATRUN_SIMULATOR_ADAPTER_EVENT_READER_H_
 
@@ -13,9 +13,9 @@
 
 namespace stoatrun {
 
-// The event of a message whose type and instance have been read. Nothing for a message that concerns no
-// decision. `report_fields`: the order of the values in load reports. Throws JsonError for an unknown type or
-// a malformed field.
+// Parses the rest of a message whose type and instance have been read. Returns nullopt for a message that the
+// balancer does not handle. `report_fields` gives the order of the values in load reports. Throws JsonError
+// for an unknown type or a malformed field.
 std::optional<balancer::Event> ReadEvent(std::string_view type, MessageReader& message,
                                          const std::vector<ReportField>& report_fields);
 
--- a/simulator_adapter/main.cpp
+++ b/simulator_adapter/main.cpp
@@ -1,5 +1,5 @@
-// The program that the simulator starts: one batch a line on standard input, one reply a line on standard
-// output. The first malformed line ends it with exit code 1 and a message on standard error.
+// The program that the simulator starts. Reads one batch per line from standard input and writes one reply
+// per line to standard output. Exits with code 1 and a message on standard error at the first malformed line.
 #include <cstddef>
 #include <exception>
 #include <iostream>
@@ -20,7 +20,7 @@
       return 1;
     }
     if (!std::cout) {
-      std::cerr << "simulator_adapter: line " << number << ": the reply could not be written\n";
+      std::cerr << "simulator_adapter: line " << number << ": cannot write the reply to standard output\n";
       return 1;
     }
   }
--- a/simulator_adapter/message_reader.h
+++ b/simulator_adapter/message_reader.h
@@ -1,7 +1,7 @@
-// Reads the values of one wire message or list row, which is a JSON array, in their order. Errors name the
-// field as `PATH.FIELD`.
+// Sequential reader for one wire message or list row, which is a JSON array of positional fields. Errors name
+// the field as `PATH.FIELD`.
 //
-// A reader holds elements of the JSON parser: it must not outlive the parser's current document.
+// A reader refers to the JSON parser's current document and must not outlive it.
 #ifndef STOATRUN_SIMULATOR_ADAPTER_MESSAGE_READER_H_
 #define STOATRUN_SIMULATOR_ADAPTER_MESSAGE_READER_H_
 
@@ -16,54 +16,58 @@
 
 namespace stoatrun {
 
-// All reads take the next value and throw JsonError if it has another type. A missing tail counts as null.
+// Each read consumes the next value and throws JsonError if its type is wrong. Values missing at the end of
+// the array count as null.
 class MessageReader {
  public:
-  // Throws JsonError if `array` is no JSON array.
+  // Throws JsonError if `array` is not a JSON array.
   MessageReader(const json::element& array, std::string path) : path_(std::move(path)) {
     for (const json::element value : json::AsArray(array, path_)) values_.push_back(value);
   }
 
-  // The name of a field in error messages.
-  std::string Where(std::string_view field) const { return std::string(path_).append(1, '.').append(field); }
-  // Replaces the path, once the message's type is known.
+  // The path of a field for error messages.
+  std::string FieldPath(std::string_view field) const {
+    return std::string(path_).append(1, '.').append(field);
+  }
+  // Replaces the path once the message's type is known.
   void SetPath(std::string path) { path_ = std::move(path); }
 
-  // The next value; null pointer if it is null or missing.
+  // The next value; nullptr if it is null or missing.
   const json::element* Optional() {
     const std::size_t index = next_++;
     return index < values_.size() && !json::IsNull(values_[index]) ? &values_[index] : nullptr;
   }
-  // The next value, which must be there.
+  // The next value; throws JsonError if it is null or missing.
   const json::element& Required(std::string_view field) {
     const json::element* value = Optional();
-    if (value == nullptr) json::Fail(Where(field), "missing");
+    if (value == nullptr) json::Fail(FieldPath(field), "missing");
     return *value;
   }
 
-  // Required values: each function takes the next value and throws JsonError, which names `field`, if it is
+  // Required values: each function consumes the next value and throws a JsonError that names `field` if it is
   // null, missing or of another type.
 
-  // An integer of 0 or more.
-  std::uint64_t Unsigned(std::string_view field) { return json::AsUnsigned(Required(field), Where(field)); }
+  // A non-negative integer.
+  std::uint64_t Unsigned(std::string_view field) {
+    return json::AsUnsigned(Required(field), FieldPath(field));
+  }
   // An integer of either sign.
-  std::int64_t Signed(std::string_view field) { return json::AsSigned(Required(field), Where(field)); }
+  std::int64_t Signed(std::string_view field) { return json::AsSigned(Required(field), FieldPath(field)); }
   // A number, with or without a fraction.
-  double Number(std::string_view field) { return json::AsNumber(Required(field), Where(field)); }
-  // A JSON boolean.
-  bool Bool(std::string_view field) { return json::AsBool(Required(field), Where(field)); }
+  double Number(std::string_view field) { return json::AsNumber(Required(field), FieldPath(field)); }
+  bool Bool(std::string_view field) { return json::AsBool(Required(field), FieldPath(field)); }
   // A JSON string; the view is valid as long as the parser's current document.
-  std::string_view Text(std::string_view field) { return json::AsText(Required(field), Where(field)); }
+  std::string_view Text(std::string_view field) { return json::AsText(Required(field), FieldPath(field)); }
 
-  // An optional integer of 0 or more; `fallback` if it is null or missing.
+  // An optional non-negative integer; `fallback` if it is null or missing.
   std::uint64_t UnsignedOr(std::string_view field, std::uint64_t fallback) {
     const json::element* value = Optional();
-    return value == nullptr ? fallback : json::AsUnsigned(*value, Where(field));
+    return value == nullptr ? fallback : json::AsUnsigned(*value, FieldPath(field));
   }
   // An optional JSON boolean; `fallback` if it is null or missing.
   bool BoolOr(std::string_view field, bool fallback) {
     const json::element* value = Optional();
-    return value == nullptr ? fallback : json::AsBool(*value, Where(field));
+    return value == nullptr ? fallback : json::AsBool(*value, FieldPath(field));
   }
 
  private:
