--- a/bench/fleet_plots.py
+++ b/bench/fleet_plots.py
@@ -1,7 +1,9 @@
 #!/usr/bin/env python3
-"""Draws what fleet_measure printed: bench/fleet_plots.py METRICS.csv FOLDER writes one SVG per experiment and metric.
+"""Plots the CSV output of fleet_measure, with one SVG file per experiment and metric.
 
-A bar shows the median over seeds, the line on it the range from the least to the greatest value.
+    bench/fleet_plots.py METRICS.csv DIRECTORY
+
+A bar shows the median over the seeds; the line on it spans the minimum to the maximum.
 """
 import csv
 import html
@@ -11,25 +13,25 @@
 from collections import defaultdict
 
 WIDTH, ROW_HEIGHT = 760, 22
-LEFT, RIGHT = 330, 90  # Margins: for the labels, and for the values.
+LEFT, RIGHT = 330, 90  # Margins for the labels and the values.
 
 
-def row_svg(row, top, scale):
-    """A labelled bar; `top` and `scale` in pixels."""
-    median, least, greatest = (float(row[column]) for column in ("median", "least", "most"))
+def render_bar(row, top, scale):
+    """SVG elements of a labelled bar. `top` is in pixels, `scale` in pixels per unit."""
+    median, minimum, maximum = (float(row[column]) for column in ("median", "least", "most"))
     label = f'{row["relays"]} relays, {row["condition"]}'
-    end = LEFT + greatest * scale
+    end = LEFT + maximum * scale
     return [
         f'<text x="{LEFT - 6}" y="{top + 12}" text-anchor="end">{html.escape(label)}</text>',
         f'<rect x="{LEFT}" y="{top + 2}" width="{max(median, 0) * scale:.1f}" height="12" fill="#6a8caf"/>',
-        f'<line x1="{LEFT + max(least, 0) * scale:.1f}" x2="{end:.1f}" y1="{top + 8}" y2="{top + 8}" stroke="black"/>',
+        f'<line x1="{LEFT + max(minimum, 0) * scale:.1f}" x2="{end:.1f}" y1="{top + 8}" y2="{top + 8}" stroke="black"/>',
         f'<text x="{end + 6:.1f}" y="{top + 12}">{median:.3g}</text>',
     ]
 
 
-def chart_svg(title, rows):
-    greatest = max(float(row["most"]) for row in rows) or 1.0
-    scale = (WIDTH - LEFT - RIGHT) / greatest
+def render_chart(title, rows):
+    maximum = max(float(row["most"]) for row in rows) or 1.0
+    scale = (WIDTH - LEFT - RIGHT) / maximum
     height = 40 + ROW_HEIGHT * len(rows)
     lines = [
         f'<svg xmlns="http://www.w3.org/2000/svg" width="{WIDTH}" height="{height}" font-family="sans-serif" font-size="12">',
@@ -37,12 +39,12 @@
         f'<text x="8" y="20" font-size="14">{html.escape(title)}</text>',
     ]
     for index, row in enumerate(rows):
-        lines += row_svg(row, 36 + index * ROW_HEIGHT, scale)
+        lines += render_bar(row, 36 + index * ROW_HEIGHT, scale)
     return "\n".join(lines + ["</svg>", ""])
 
 
 def read_charts(path):
-    """The rows of the CSV by (experiment, metric)."""
+    """Returns the rows of the CSV file, grouped by (experiment, metric)."""
     charts = defaultdict(list)
     with open(path, newline="") as csv_file:
         for row in csv.DictReader(csv_file):
@@ -60,7 +62,7 @@
             continue
         name = re.sub(r"[^a-z0-9]+", "-", f"{experiment} {metric}".lower()).strip("-")
         with open(os.path.join(folder, name + ".svg"), "w") as svg_file:
-            svg_file.write(chart_svg(f"{experiment}: {metric}", rows))
+            svg_file.write(render_chart(f"{experiment}: {metric}", rows))
 
 
 if __name__ == "__main__":
--- a/bench/ledger_bench.cpp
+++ b/bench/ledger_bench.cpp
@@ -1,4 +1,5 @@
-// The ledger's parts: cost of an event, of a checkpoint, of recovery; size of the file; exports to reconcile.
+// Benchmarks of the ledger: cost of an event, a checkpoint and a recovery, and size of the database file.
+// Also generates exports as input for reconciliation.
 #include <benchmark/benchmark.h>
 #include <fmt/format.h>
 
@@ -17,7 +18,7 @@
 namespace stoatrun::ledger {
 namespace {
 
-constexpr std::int64_t kHour = 1'800'000'000;
+constexpr std::int64_t kStartSeconds = 1'800'000'000;  // Unix time of the first period.
 
 AccountsSetup MakeAccountsSetup(int groups) {
   AccountsSetup setup;
@@ -27,11 +28,11 @@
   return setup;
 }
 
-// A connection's begin and end, with others open.
+// Begins and ends one connection per iteration, in turn over the groups.
 void BeginAndEnd(benchmark::State& state) {
   const int groups = static_cast<int>(state.range(0));
   const AccountsSetup setup = MakeAccountsSetup(groups);
-  Accounts accounts(setup, Micros(0), std::chrono::seconds(kHour));
+  Accounts accounts(setup, Micros(0), std::chrono::seconds(kStartSeconds));
   std::int64_t now = 0;
   for ([[maybe_unused]] const auto iteration : state) {
     const auto& group = setup.groups[static_cast<std::size_t>(now) % setup.groups.size()];
@@ -44,7 +45,7 @@
 void Checkpoint(benchmark::State& state) {
   const int groups = static_cast<int>(state.range(0));
   const AccountsSetup setup = MakeAccountsSetup(groups);
-  Accounts accounts(setup, Micros(0), std::chrono::seconds(kHour));
+  Accounts accounts(setup, Micros(0), std::chrono::seconds(kStartSeconds));
   std::int64_t now = 0;
   for (const auto& group : setup.groups) {
     for (std::size_t class_index = 0; class_index < 3; ++class_index) {
@@ -57,17 +58,17 @@
 }
 BENCHMARK(Checkpoint)->Name("BM_Checkpoint")->Arg(4)->Arg(100);
 
-struct Folder {
+struct TemporaryDirectory {
   std::string path;
-  Folder() {
+  TemporaryDirectory() {
     std::string name = std::filesystem::temp_directory_path() / "stoatrun-bench-XXXXXX";
     path = mkdtemp(name.data());
   }
-  ~Folder() { std::filesystem::remove_all(path); }
+  ~TemporaryDirectory() { std::filesystem::remove_all(path); }
 };
 
 void FillLedger(Store& store, int periods, int groups) {
-  store.BeginRun(kHour * 1'000'000, kHour);
+  store.BeginRun(kStartSeconds * 1'000'000, kStartSeconds);
   Posting posting;
   for (int group = 0; group < groups; ++group) {
     posting.groups.push_back(
@@ -82,29 +83,29 @@
   posting.connection_time_us = std::int64_t{900'000'000} * groups;
   for (int k = 0; k < periods; ++k) {
     posting.number = static_cast<std::uint64_t>(k) + 1;
-    posting.period_start_s = kHour + std::int64_t{3600} * k;
+    posting.period_start_s = kStartSeconds + std::int64_t{3600} * k;
     posting.wall_us = posting.period_start_s * 1'000'000;
     posting.period_ended = true;
     store.Apply(posting, {});
   }
 }
 
-// A start on a ledger of so many periods and groups, up to the first posting that it takes.
+// Opens a ledger that holds the given numbers of periods and groups, until it accepts postings.
 void Recovery(benchmark::State& state) {
-  const Folder folder;
-  const StoreSetup setup{folder.path, "n0", "b", nullptr, true, 5000};
+  const TemporaryDirectory directory;
+  const StoreSetup setup{directory.path, "n0", "b", nullptr, true, 5000};
   {
     Store store(setup);
     FillLedger(store, static_cast<int>(state.range(0)), static_cast<int>(state.range(1)));
   }
-  std::int64_t wall = kHour * 1'000'000;
+  std::int64_t wall = kStartSeconds * 1'000'000;
   for ([[maybe_unused]] const auto iteration : state) {
     Store store(setup);
-    store.BeginRun(++wall, kHour);
+    store.BeginRun(++wall, kStartSeconds);
     benchmark::DoNotOptimize(store.State());
   }
   state.counters["file_mib"] =
-      static_cast<double>(std::filesystem::file_size(Store::DatabasePath(folder.path))) / (1024 * 1024);
+      static_cast<double>(std::filesystem::file_size(Store::DatabasePath(directory.path))) / (1024 * 1024);
 }
 BENCHMARK(Recovery)
     ->Name("BM_Recovery")
@@ -113,14 +114,14 @@
     ->Unit(benchmark::kMillisecond)
     ->Iterations(5);
 
-// The file after a million connections in 24 periods and 20 groups, posted every 5 s.
+// File size after a million connections in 24 periods and 20 groups, checkpointed about every 500 s.
 void MillionConnections(benchmark::State& state) {
   for ([[maybe_unused]] const auto iteration : state) {
-    const Folder folder;
-    Store store({folder.path, "n0", "b", nullptr, true, 5000});
+    const TemporaryDirectory directory;
+    Store store({directory.path, "n0", "b", nullptr, true, 5000});
     const AccountsSetup setup = MakeAccountsSetup(20);
-    Accounts accounts(setup, Micros(0), std::chrono::seconds(kHour));
-    store.BeginRun(kHour * 1'000'000, kHour);
+    Accounts accounts(setup, Micros(0), std::chrono::seconds(kStartSeconds));
+    store.BeginRun(kStartSeconds * 1'000'000, kStartSeconds);
     std::int64_t now = 0;
     std::uint64_t number = 0;
     for (int k = 0; k < 1'000'000; ++k) {
@@ -128,7 +129,9 @@
                                           static_cast<std::size_t>(k % 3));
       now += 86'400;
       accounts.End(Micros(now), handle);
-      if (k % 58 != 0) continue;  // About 5 s. Postings of one period are joined, as on a slow disk.
+      // 58 connections take about 5 s, the time between checkpoints. Only every 100th checkpoint is taken,
+      // because a slow disk delays checkpoints and the postings of one period are merged meanwhile.
+      if (k % 58 != 0) continue;
       if (k % 5800 == 0) {
         for (Posting& posting : accounts.TakePostings(Micros(now), Accounts::CurrentPeriod::kContinues)) {
           posting.number = ++number;
@@ -137,13 +140,13 @@
       }
     }
     state.counters["file_mib"] =
-        static_cast<double>(std::filesystem::file_size(Store::DatabasePath(folder.path))) / (1024 * 1024);
+        static_cast<double>(std::filesystem::file_size(Store::DatabasePath(directory.path))) / (1024 * 1024);
   }
 }
 BENCHMARK(MillionConnections)->Name("BM_MillionConnections")->Unit(benchmark::kSecond)->Iterations(1);
 
-// The record that all records of an export are made from.
-wire::Record MakeUseRecord(const std::string& relay) {
+// The template for all records of an export.
+wire::Record MakeRecordTemplate(const std::string& relay) {
   wire::Record record;
   record.set_relay(relay);
   record.set_book("b");
@@ -155,8 +158,8 @@
   return record;
 }
 
-// Numbers the record and fills in usage that depends on the number.
-void FillIn(wire::Record& record, std::uint64_t seq) {
+// Sets the record's sequence number and usage values derived from it.
+void SetSeqAndUsage(wire::Record& record, std::uint64_t seq) {
   record.set_seq(seq);
   wire::Use& use = *record.mutable_use();
   std::int64_t sum_us = 0;
@@ -176,12 +179,12 @@
   std::ofstream out(path, std::ios::binary);
   std::string previous_hash = InitialPrevHash();
   std::uint64_t seq = 0;
-  wire::Record record = MakeUseRecord(relay);
+  wire::Record record = MakeRecordTemplate(relay);
   for (int period = 0; period < periods; ++period) {
-    record.mutable_use()->set_period_start_s(kHour + std::int64_t{3600} * period);
+    record.mutable_use()->set_period_start_s(kStartSeconds + std::int64_t{3600} * period);
     for (int group = 0; group < groups; ++group) {
       record.mutable_use()->set_group(fmt::format("group-{:03}", group));
-      FillIn(record, ++seq);
+      SetSeqAndUsage(record, ++seq);
       const Line line = MakeLine(record, previous_hash);
       previous_hash = line.hash;
       out << line.text;
@@ -190,18 +193,19 @@
   out << MakeTrailer({relay, "b", 1, seq, previous_hash});
 }
 
-// Exports of `relays` relays, one file each.
-void WriteExports(const std::string& folder, int relays, int periods, int groups) {
+// Writes the exports of `relays` relays, one file each.
+void WriteExports(const std::string& directory, int relays, int periods, int groups) {
   for (int k = 0; k < relays; ++k) {
     const std::string relay = fmt::format("n{}", k);
-    WriteExport(fmt::format("{}/{}.jsonl", folder, relay), relay, periods, groups);
+    WriteExport(fmt::format("{}/{}.jsonl", directory, relay), relay, periods, groups);
   }
 }
 
 }  // namespace
 }  // namespace stoatrun::ledger
 
-// `stoatrun_ledger_bench exports FOLDER RELAYS PERIODS GROUPS` writes exports; anything else runs benchmarks.
+// `stoatrun_ledger_bench exports DIRECTORY RELAYS PERIODS GROUPS` writes exports; other arguments run
+// benchmarks.
 int main(int argc, char** argv) {
   if (argc == 6 && std::strcmp(argv[1], "exports") == 0) {
     stoatrun::ledger::WriteExports(argv[2], std::atoi(argv[3]), std::atoi(argv[4]), std::atoi(argv[5]));
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -1,9 +1,11 @@
-// Load on one relay over loopback: upstream servers, clients and the relay on one machine. Starts the relay
-// itself and prints one JSON object: CPU per set-up, round trips of lines, memory per established connection.
+// Load test of one relay over loopback. Starts the relay, upstream servers and clients on one machine, and
+// prints one JSON object: CPU time per connection set-up and per line, round-trip times of lines, and memory
+// per established connection.
 //
 //   stoatrun_load --relay build/stoatrun [--arg A]... [--setups N] [--standing N] [--lines N] [--preload SO]
 //
-// Bounded: it ends after the counts given, or with exit 1 after --seconds. Single-threaded.
+// Ends after the given numbers of set-ups, connections and lines, or with exit code 1 after --seconds.
+// Single-threaded.
 #include <fmt/format.h>
 #include <sys/resource.h>
 
@@ -28,8 +30,8 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr double kMicrosPerSecond = 1e6;
-constexpr int kMaxPendingSetups = 32;  // Clients that wait for an answer at once.
-// The ranges of client identifiers; set-ups begin at 0.
+constexpr int kMaxPendingSetups = 32;  // Clients that may wait for an answer at the same time.
+// The first client identifiers of each phase; set-ups begin at 0.
 constexpr int kFirstEstablishedId = 1'000'000, kFirstEstablishedRetryId = 2'000'000,
               kFirstSetupRetryId = 3'000'000;
 
@@ -42,7 +44,7 @@
   return std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - start).count();
 }
 
-// The measurement: set-ups, then established connections, then lines on these.
+// Runs the phases of the test: set-ups, then established connections, then lines on those connections.
 class LoadTest {
  public:
   explicit LoadTest(const Options& options) : options_(options), started_at_(Clock::now()) {}
@@ -73,15 +75,15 @@
 
   void Open(int id) { traffic_.OpenClient(relay_.Port(), id); }
 
-  void Turn(const LoadTraffic::LineHandler& on_line) {
+  void PollOnce(const LoadTraffic::LineHandler& on_line) {
     if (MicrosSince(started_at_) > std::int64_t{options_.seconds} * 1'000'000) {
-      throw std::runtime_error("it took too long");
+      throw std::runtime_error(fmt::format("the test did not finish within {} s", options_.seconds));
     }
-    traffic_.Turn(on_line);
+    traffic_.PollOnce(on_line);
   }
 
-  // Connections that are closed as soon as they are answered. Paced: servers accept a limited number of
-  // set-ups between two load reports, and a client that is declined with BUSY retries later.
+  // Opens connections and closes each as soon as it is answered. Paced at --rate, because servers accept a
+  // limited number of set-ups between two load reports; a client rejected with BUSY is retried later.
   void MeasureSetups() {
     const double cpu_before = relay_.CpuMicros();
     const auto began_at = Clock::now();
@@ -95,7 +97,7 @@
         Open(opened);
       }
       for (; retried < rejected_ && opened + retried < due; ++retried) Open(kFirstSetupRetryId + retried);
-      Turn([&](Peer& client, std::string_view line) {
+      PollOnce([&](Socket& client, std::string_view line) {
         ++(line.starts_with("UP") ? established : rejected_);
         LoadTraffic::Close(client);
       });
@@ -104,14 +106,14 @@
     setups_per_second_ = options_.setups * kMicrosPerSecond / static_cast<double>(MicrosSince(began_at));
   }
 
-  // Connections that stay.
+  // Opens the connections that stay open for the rest of the test.
   void EstablishConnections() {
     int opened = 0, established = 0;
     while (established < options_.established) {
       while (opened - established < kMaxPendingSetups && opened < options_.established) {
         Open(kFirstEstablishedId + opened++);
       }
-      Turn([&](Peer& client, std::string_view line) {
+      PollOnce([&](Socket& client, std::string_view line) {
         if (!line.starts_with("UP")) {
           LoadTraffic::Close(client);
           Open(kFirstEstablishedRetryId + ++rejected_);
@@ -123,17 +125,17 @@
     }
   }
 
-  // One line after the other over the established connections in turn.
+  // Sends one line at a time, round-robin over the established connections, and waits for each echo.
   void MeasureRoundTrips() {
-    const std::vector<Peer*> clients = traffic_.EstablishedClients();
+    const std::vector<Socket*> clients = traffic_.EstablishedClients();
     const double cpu_before = relay_.CpuMicros();
     for (int k = 0; k < options_.lines; ++k) {
-      const Peer& sender = *clients[static_cast<std::size_t>(k) % clients.size()];
+      const Socket& sender = *clients[static_cast<std::size_t>(k) % clients.size()];
       const auto sent_at = Clock::now();
       LoadTraffic::Send(sender, "M 1 tick\r\n");
       bool answered = false;
       while (!answered) {
-        Turn([&](const Peer& client, std::string_view /*line*/) {
+        PollOnce([&](const Socket& client, std::string_view /*line*/) {
           if (&client != &sender) return;
           answered = true;
           round_trips_us_.push_back(MicrosSince(sent_at));
@@ -153,16 +155,16 @@
   const Clock::time_point started_at_;
   RelayUnderTest relay_;
   LoadTraffic traffic_;
-  int rejected_ = 0;  // Clients answered with BUSY or closed for want of capacity.
+  int rejected_ = 0;  // Clients whose first line was not UP: the relay rejected them, for example with BUSY.
   double answer_cpu_us_ = 0, setups_per_second_ = 0, line_cpu_us_ = 0;
   std::vector<std::int64_t> round_trips_us_;
 };
 
-void RaiseDescriptorLimit() {
-  rlimit descriptors{};
-  if (getrlimit(RLIMIT_NOFILE, &descriptors) == 0) {
-    descriptors.rlim_cur = descriptors.rlim_max;
-    setrlimit(RLIMIT_NOFILE, &descriptors);
+void RaiseFileDescriptorLimit() {
+  rlimit limit{};
+  if (getrlimit(RLIMIT_NOFILE, &limit) == 0) {
+    limit.rlim_cur = limit.rlim_max;
+    setrlimit(RLIMIT_NOFILE, &limit);
   }
 }
 
@@ -171,17 +173,17 @@
 
 int main(int argc, char** argv) {
   stoatrun::bench::Options options;
-  CLI::App app("Load on one relay over loopback", "stoatrun_load");
-  app.add_option("--relay", options.relay.program, "the program")->required();
-  app.add_option("--arg", options.relay.args, "an argument of the program");
-  app.add_option("--preload", options.relay.preload, "a shared object for the program");
-  app.add_option("--setups", options.setups);
-  app.add_option("--standing", options.established);
-  app.add_option("--rate", options.rate, "set-ups a second");
-  app.add_option("--lines", options.lines);
-  app.add_option("--seconds", options.seconds, "give up after these");
+  CLI::App app("Load test of one relay over loopback", "stoatrun_load");
+  app.add_option("--relay", options.relay.program, "path to the relay binary")->required();
+  app.add_option("--arg", options.relay.args, "argument for the relay; repeatable");
+  app.add_option("--preload", options.relay.preload, "shared object to preload into the relay");
+  app.add_option("--setups", options.setups, "number of connection set-ups to measure");
+  app.add_option("--standing", options.established, "number of connections kept open");
+  app.add_option("--rate", options.rate, "connection set-ups per second");
+  app.add_option("--lines", options.lines, "number of line round trips to measure");
+  app.add_option("--seconds", options.seconds, "time limit for the whole test");
   CLI11_PARSE(app, argc, argv);
-  stoatrun::bench::RaiseDescriptorLimit();
+  stoatrun::bench::RaiseFileDescriptorLimit();
   std::signal(SIGPIPE, SIG_IGN);
   try {
     stoatrun::bench::LoadTest(options).Run();
--- a/bench/load_sockets.cpp
+++ b/bench/load_sockets.cpp
@@ -44,7 +44,7 @@
   if (bind(listener.fd, reinterpret_cast<sockaddr*>(&address), size) != 0 ||
       listen(listener.fd, kListenBacklog) != 0 ||
       getsockname(listener.fd, reinterpret_cast<sockaddr*>(&address), &size) != 0) {
-    throw std::runtime_error("no port to be had");
+    throw std::runtime_error("cannot listen on a free loopback port");
   }
   listener.port = ntohs(address.sin_port);
   return listener;
--- a/bench/load_sockets.h
+++ b/bench/load_sockets.h
@@ -1,4 +1,4 @@
-// Blocking set-up of loopback TCP sockets for the load tool.
+// Creates and connects loopback TCP sockets for the load tool.
 #ifndef STOATRUN_BENCH_LOAD_SOCKETS_H_
 #define STOATRUN_BENCH_LOAD_SOCKETS_H_
 
@@ -10,13 +10,13 @@
   int port = 0;
 };
 
-// Throws std::runtime_error if there is none to be had.
+// Throws std::runtime_error on failure.
 Listener ListenOnFreePort();
 
-// Returns a connected, blocking socket, or -1.
+// Returns a blocking socket connected to a loopback port, or -1 on failure.
 int ConnectTo(int port);
 
-// Sends small writes at once.
+// Sets TCP_NODELAY, so that small writes are sent without delay.
 void DisableNagle(int fd);
 
 }  // namespace stoatrun::bench
--- a/bench/load_traffic.h
+++ b/bench/load_traffic.h
@@ -1,7 +1,7 @@
-// The sockets of the load tool's servers and clients, served by one epoll loop.
+// Event loop for the load tool's upstream servers and clients.
 //
-// The servers answer by themselves; the lines that clients receive go to a handler. Errors are
-// std::runtime_error. One thread.
+// Servers reply on their own; lines that clients receive are passed to a handler. Errors are thrown as
+// std::runtime_error. Not thread-safe.
 #ifndef STOATRUN_BENCH_LOAD_TRAFFIC_H_
 #define STOATRUN_BENCH_LOAD_TRAFFIC_H_
 
@@ -13,21 +13,20 @@
 
 namespace stoatrun::bench {
 
-// One socket.
-struct Peer {
-  // A server's listening socket, or one end of a connection.
+struct Socket {
+  // kServer and kClient are the server's and the client's end of a connection.
   enum class Kind { kListener, kServer, kClient };
   Kind kind = Kind::kServer;
   int fd = -1;
-  std::string input;         // Received and not yet parsed.
-  bool established = false;  // Set by the handler.
-  bool closing = false;      // Closed when it has been served.
+  std::string input;         // Received data that has not been parsed yet.
+  bool established = false;  // Set by the line handler.
+  bool closing = false;      // Closed after its pending event has been handled.
 };
 
-// All sockets.
+// Owns all sockets and an epoll instance that watches them.
 class LoadTraffic {
  public:
-  using LineHandler = std::function<void(Peer& client, std::string_view line)>;
+  using LineHandler = std::function<void(Socket& client, std::string_view line)>;
 
   LoadTraffic();
   LoadTraffic(const LoadTraffic&) = delete;
@@ -35,26 +34,26 @@
 
   // Starts an upstream server and returns its port.
   int AddServer();
-  // Connects a client that requests a connection under the identifier `id`.
+  // Connects a client to the relay and requests a connection with the identifier `id`.
   void OpenClient(int relay_port, int id);
-  // Sends a line with its end.
-  static void Send(const Peer& peer, std::string_view text);
-  // Closes the peer once it has been served.
-  static void Close(Peer& peer) { peer.closing = true; }
-  // Serves the sockets that are ready, waiting up to 2 ms for one.
-  void Turn(const LineHandler& on_line);
-  // The clients that a handler has marked as established.
-  std::vector<Peer*> EstablishedClients() const;
+  // Sends `text`, which must include the line terminator.
+  static void Send(const Socket& socket, std::string_view text);
+  // Marks the socket to be closed after its current event has been handled.
+  static void Close(Socket& socket) { socket.closing = true; }
+  // Handles all readable sockets; waits up to 2 ms for the first.
+  void PollOnce(const LineHandler& on_line);
+  // Open clients that the handler has marked as established.
+  std::vector<Socket*> EstablishedClients() const;
 
  private:
-  Peer& Add(Peer::Kind kind, int fd);
-  void Serve(Peer& peer, const LineHandler& on_line);
-  void Accept(const Peer& listener);
-  static void Receive(Peer& peer);
-  static void Answer(const Peer& server, const std::string& line);
+  Socket& Add(Socket::Kind kind, int fd);
+  void HandleReadable(Socket& socket, const LineHandler& on_line);
+  void Accept(const Socket& listener);
+  static void Receive(Socket& socket);
+  static void Reply(const Socket& server, const std::string& line);
 
   const int epoll_;
-  std::vector<std::unique_ptr<Peer>> peers_;  // By descriptor.
+  std::vector<std::unique_ptr<Socket>> sockets_;  // Indexed by file descriptor.
 };
 
 }  // namespace stoatrun::bench
--- a/bench/relay_under_test.cpp
+++ b/bench/relay_under_test.cpp
@@ -17,14 +17,14 @@
 namespace stoatrun::bench {
 namespace {
 
-constexpr int kStartAttempts = 500;
+constexpr int kMaxStartPolls = 500;
 constexpr useconds_t kStartPollInterval = 10'000;  // Microseconds.
 
 }  // namespace
 
 RelayUnderTest::RelayUnderTest() {
   std::string name = std::filesystem::temp_directory_path() / "stoatrun-load-XXXXXX";
-  folder_ = mkdtemp(name.data());
+  directory_ = mkdtemp(name.data());
 }
 
 RelayUnderTest::~RelayUnderTest() {
@@ -32,24 +32,24 @@
     kill(pid_, SIGKILL);
     waitpid(pid_, nullptr, 0);
   }
-  std::filesystem::remove_all(folder_);
+  std::filesystem::remove_all(directory_);
 }
 
 void RelayUnderTest::Start(const RelayCommand& command, const std::vector<int>& server_ports) {
-  const Listener reserved = ListenOnFreePort();
-  close(reserved.fd);
-  port_ = reserved.port;
+  const Listener free_port = ListenOnFreePort();
+  close(free_port.fd);
+  port_ = free_port.port;
   WriteConfig(server_ports);
   pid_ = fork();
   if (pid_ == 0) Execute(command);
-  for (int attempt = 0; attempt < kStartAttempts; ++attempt) {
+  for (int poll = 0; poll < kMaxStartPolls; ++poll) {
     if (const int fd = ConnectTo(port_); fd >= 0) {
       close(fd);
       return;
     }
     usleep(kStartPollInterval);
   }
-  throw std::runtime_error("the relay does not start");
+  throw std::runtime_error("the relay did not accept connections within 5 s");
 }
 
 double RelayUnderTest::CpuMicros() const {
--- a/bench/relay_under_test.h
+++ b/bench/relay_under_test.h
@@ -1,6 +1,6 @@
-// A relay as a child process, with a configuration of its own, and its CPU time and memory.
+// Runs a relay as a child process with a generated configuration and measures its CPU time and memory.
 //
-// Errors are std::runtime_error. One thread.
+// Errors are thrown as std::runtime_error. Not thread-safe.
 #ifndef STOATRUN_BENCH_RELAY_UNDER_TEST_H_
 #define STOATRUN_BENCH_RELAY_UNDER_TEST_H_
 
@@ -12,14 +12,14 @@
 
 namespace stoatrun::bench {
 
-// What is run.
+// The relay's command line.
 struct RelayCommand {
   std::string program;
   std::vector<std::string> args;
-  std::string preload;  // A shared object for LD_PRELOAD; empty: none.
+  std::string preload;  // Shared object for LD_PRELOAD; empty for none.
 };
 
-// Kills the relay and removes its folder when it is destroyed.
+// The destructor kills the relay and removes its temporary directory.
 class RelayUnderTest {
  public:
   RelayUnderTest();
@@ -30,20 +30,20 @@
   // Starts the relay with upstream servers on the given ports and waits until it accepts connections.
   void Start(const RelayCommand& command, const std::vector<int>& server_ports);
 
-  // The port for clients.
+  // The port on which the relay accepts clients.
   int Port() const { return port_; }
-  // CPU time of all threads, in microseconds.
+  // CPU time that all threads have used, in microseconds.
   double CpuMicros() const;
   // Resident memory, in KiB.
   std::int64_t ResidentKib() const;
 
  private:
-  std::string ConfigPath() const { return folder_ + "/config.json"; }
+  std::string ConfigPath() const { return directory_ + "/config.json"; }
   void WriteConfig(const std::vector<int>& server_ports) const;
-  // Becomes the relay; runs in the child process.
+  // Runs in the child process: sets the environment and executes the relay.
   [[noreturn]] void Execute(const RelayCommand& command) const;
 
-  std::string folder_;
+  std::string directory_;
   int port_ = 0;
   pid_t pid_ = -1;
 };
